--- /dev/null
+++ b/tarragonarch-entry/src/test/java/org/tarragonarch/entry/metrics/MeterNamesTest.java
@@ -0,0 +1,28 @@
+package org.tarragonarch.entry.metrics;
+
+import java.io.IOException;
+import java.time.Duration;
+import org.tarragonarch.core.event.SubmissionForm;
+import org.tarragonarch.entry.MeterNames;
+import org.tarragonarch.model.id.NodeId;
+import org.testng.annotations.Test;
+
+/** The names and labels of the meters of a node. */
+public final class MeterNamesTest {
+    /** Guards against a renamed constant that changes a label on which alerts and dashboards rely. */
+    @Test
+    public void testScrape_seriesHaveTheirNames() throws IOException {
+        try (NodeMetrics metrics = NodeMetrics.create(NodeId.of("n"))) {
+            metrics.httpEvents("caller");
+            for (SubmissionForm form : SubmissionForm.values()) {
+                metrics.answered(form, "o", "c", Duration.ofMillis(5));
+            }
+            metrics.refused("c");
+            metrics.platformCalled("p", false, Duration.ofMillis(1));
+            metrics.platformCalled("p", true, Duration.ofMillis(1));
+            metrics.gauge("g", "bytes", "-", () -> 0);
+            metrics.status().show(MetricsPageTest.status());
+            MeterNames.assertSeries(metrics.scrape(), "/outer-names/node-metrics.txt");
+        }
+    }
+}
--- a/tarragonarch-entry/src/test/java/org/tarragonarch/entry/metrics/MetricsPageTest.java
+++ b/tarragonarch-entry/src/test/java/org/tarragonarch/entry/metrics/MetricsPageTest.java
@@ -75,7 +75,7 @@
         return names;
     }
 
-    private static NodeStatus status() {
+    static NodeStatus status() {
         ConfigurationVersion version = ConfigurationVersion.of(1);
         return new NodeStatus(
                 NodeId.of("hobart-1"),
--- /dev/null
+++ b/tarragonarch-model/src/test/java/org/tarragonarch/model/task/OuterNamesTest.java
@@ -0,0 +1,29 @@
+package org.tarragonarch.model.task;
+
+import static org.testng.Assert.assertEquals;
+
+import com.google.common.collect.ImmutableMap;
+import java.util.Arrays;
+import org.testng.annotations.Test;
+
+/** Constants of two enums that are mapped onto each other by their names. */
+public final class OuterNamesTest {
+    private static final ImmutableMap<JobOutcome, JobProgress> PROGRESS = ImmutableMap.of(
+            JobOutcome.DONE, JobProgress.DONE,
+            JobOutcome.FAILED, JobProgress.FAILED,
+            JobOutcome.CANCELLED, JobProgress.CANCELLED);
+
+    /** Guards against a constant renamed in only one of the enums, so that {@code valueOf} throws. */
+    @Test
+    public void testName_ofLastingOutcomeIsThatOfProgress() {
+        PROGRESS.forEach((outcome, progress) -> assertEquals(JobProgress.valueOf(outcome.name()), progress));
+    }
+
+    /** Guards against a new lasting outcome without a progress of the same name. */
+    @Test
+    public void testLasting_holdsOnlyForMappedOutcomes() {
+        assertEquals(
+                Arrays.stream(JobOutcome.values()).filter(JobOutcome::lasting).toList(),
+                PROGRESS.keySet().asList());
+    }
+}
