--- /dev/null
+++ b/tarragonarch-ctl/src/test/java/org/tarragonarch/ctl/explain/OuterNamesTest.java
@@ -0,0 +1,119 @@
+package org.tarragonarch.ctl.explain;
+
+import static org.testng.Assert.assertEquals;
+import static org.testng.Assert.assertTrue;
+
+import com.fasterxml.jackson.databind.JsonNode;
+import com.google.common.collect.ImmutableSet;
+import com.google.common.io.Resources;
+import java.io.BufferedReader;
+import java.io.IOException;
+import java.io.StringReader;
+import java.nio.charset.StandardCharsets;
+import java.util.Arrays;
+import org.testng.annotations.DataProvider;
+import org.testng.annotations.Test;
+
+/** Guards against a change of the words that 'explain' reads and prints through the rename of a Java name. */
+public final class OuterNamesTest {
+    @Test
+    public void testCause_wordsAndMeaningsAreTheseOnly() {
+        ImmutableSet<String> words = Arrays.stream(Cause.values())
+                .map(cause -> cause.word() + ": " + cause.meaning())
+                .collect(ImmutableSet.toImmutableSet());
+        assertEquals(
+                words,
+                ImmutableSet.of(
+                        "served: every task ended well",
+                        "cancelled: its client cancelled it",
+                        "unknown-queue: the configuration of the node that was asked had no such queue; "
+                                + "compare its version and age",
+                        "holder-lost: the holder that had the job was lost, and nobody can say what of it ran",
+                        "bad-endpoint: one endpoint did not do the work that it was given",
+                        "bad-work: its tasks failed wherever they ran",
+                        "no-room: no holder had room for it in time",
+                        "drained: no holder had an endpoint that could take it, and a failure domain was drained",
+                        "no-endpoints: no holder had an endpoint that could take it",
+                        "no-holder: no holder of any shard was reachable",
+                        "node-stopped: the node with its client's connection ended before the job did",
+                        "out-of-time: it was not done when its client's time was over, and no bad run or "
+                                + "lost node is logged",
+                        "not-logged: the logs given do not show its answer; add those of the other nodes"));
+    }
+
+    /**
+     * The outcome in a log, which is printed as it stands, and the cause that is found with no other line.
+     *
+     * <p>They stand in a resource, as a rename over the Java sources would change them here too.
+     */
+    @DataProvider
+    public Object[][] outcomes() throws IOException {
+        return Resources.readLines(Resources.getResource("outer-names/job-outcomes.txt"), StandardCharsets.UTF_8)
+                .stream()
+                .map(line -> line.split(" "))
+                .toArray(Object[][]::new);
+    }
+
+    @Test(dataProvider = "outcomes")
+    public void testToJson_outcomeIsReadAndPrinted(String outcome, String cause) throws IOException {
+        String line = "{\"time\":\"2026-05-04T12:00:06.411Z\",\"node\":\"n-1\",\"event\":\"job-answered\","
+                + "\"job\":\"535f8b75492e838d\",\"outcome\":\"" + outcome + "\"}";
+        LogFiles files = new LogFiles();
+        files.read(new BufferedReader(new StringReader(line)));
+        JsonNode json = Explanation.of("535f8b75492e838d", files).toJson();
+        assertEquals(json.path("outcome").asText(), outcome);
+        assertEquals(json.path("cause").asText(), cause);
+    }
+
+    @DataProvider
+    public Object[] events() {
+        return new Object[] {
+            "job-answered",
+            "job-cancelled",
+            "queue-unknown",
+            "job-declined",
+            "job-moved",
+            "job-moved-back",
+            "job-holder-lost",
+            "job-offered-again",
+            "job-clients-left",
+            "job-recovered",
+            "job-resubmitted",
+            "origin-lost",
+            "jobs-not-open",
+            "endpoint-speed-changed",
+            "run-ended-badly",
+            "endpoint-restarted",
+            "share-limited",
+            "share-unlimited",
+            "shard-claimed",
+            "shard-resigned",
+            "shard-fenced",
+            "peer-joined",
+            "peer-lost",
+            "store-lost",
+            "store-rows-unusable",
+            "store-call-failed",
+            "store-regained",
+            "configuration-in-force",
+            "configuration-unreadable",
+            "domain-drained",
+            "domain-undrained",
+            "drain-row-unreadable",
+            "endpoint-row-unreadable",
+            "node-row-unreadable",
+            "node-started",
+            "node-leaving",
+            "node-stopped",
+            "settings-read-again",
+            "settings-unreadable",
+            "log-lines-dropped"
+        };
+    }
+
+    @Test(dataProvider = "events")
+    public void testParse_eventOfTheLogIsKnown(String event) {
+        String line = "{\"time\":\"2026-05-04T12:00:06.411Z\",\"node\":\"n-1\",\"event\":\"" + event + "\"}";
+        assertTrue(LogEntry.parse(line).isPresent());
+    }
+}
--- /dev/null
+++ b/tarragonarch-standin/src/test/java/org/tarragonarch/standin/scenario/OuterNamesTest.java
@@ -0,0 +1,67 @@
+package org.tarragonarch.standin.scenario;
+
+import static org.testng.Assert.assertEquals;
+
+import com.google.common.collect.ImmutableList;
+import com.google.common.collect.ImmutableSet;
+import java.util.Set;
+import java.util.TreeSet;
+import org.tarragonarch.core.action.NoteEvent;
+import org.tarragonarch.core.event.SubmissionForm;
+import org.tarragonarch.model.report.NodePhase;
+import org.tarragonarch.standin.explore.EndpointFault;
+import org.testng.annotations.Test;
+
+/** Guards against a change of the words of scenarios through the rename of a constant. */
+public final class OuterNamesTest {
+    private static final ImmutableList<String> NOTES = ImmutableList.of(
+            "late-answer-dropped",
+            "send-refused",
+            "task-retried",
+            "retry-budget-empty",
+            "endpoint-quarantined",
+            "endpoint-readmitted",
+            "endpoint-leaving",
+            "endpoint-appeared",
+            "endpoint-gone",
+            "peer-alive",
+            "peer-silent",
+            "stale-report-dropped",
+            "report-gap",
+            "old-configuration-refused",
+            "platform-read-failed",
+            "claim-reply-lost",
+            "claim-lost",
+            "slept-past-lease",
+            "drain-cut-short");
+
+    @Test
+    public void testTakeConstant_faultsAreTheseOnly() throws Exception {
+        assertStandsForAll(EndpointFault.class, ImmutableList.of("none", "fails-all", "cuts-answer-short", "hangs"));
+    }
+
+    @Test
+    public void testTakeConstant_formsAreTheseOnly() throws Exception {
+        assertStandsForAll(SubmissionForm.class, ImmutableList.of("request", "job"));
+    }
+
+    @Test
+    public void testTakeConstant_phasesAreTheseOnly() throws Exception {
+        assertStandsForAll(NodePhase.class, ImmutableList.of("starting", "serving", "draining", "finishing", "left"));
+    }
+
+    @Test
+    public void testTakeConstant_notesAreTheseOnly() throws Exception {
+        assertStandsForAll(NoteEvent.class, NOTES);
+    }
+
+    /** Checks that every word is read, and that the words stand for all constants. */
+    private static <E extends Enum<E>> void assertStandsForAll(Class<E> type, ImmutableList<String> words)
+            throws ScenarioSyntaxException {
+        Set<E> read = new TreeSet<>();
+        for (String word : words) {
+            read.add(new Words(1, word).takeConstant(type));
+        }
+        assertEquals(read, ImmutableSet.copyOf(type.getEnumConstants()));
+    }
+}
