--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/placing/CapacityCount.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/placing/CapacityCount.java
@@ -6,14 +6,14 @@
 /**
  * The capacity of the usable endpoints for tasks of one job's size; a place is room for one task.
  *
- * @param places the number of places
- * @param weightedPlaces the sum over the places of their endpoint's speed: the work done per unit of time
- * @param freePlaces the number of free places
- * @param initializingPlaces the number of places on endpoints that are being opened; included in {@code places} and
+ * @param slots the number of places
+ * @param weightedSlots the sum over the places of their endpoint's speed: the work done per unit of time
+ * @param freeSlots the number of free places
+ * @param initializingSlots the number of places on endpoints that are being opened; included in {@code places} and
  *     {@code weightedPlaces}, not in {@code freePlaces}
  * @param milliCores the processor time of the endpoints, in thousandths of a core
  */
-record CapacityCount(long places, double weightedPlaces, long freePlaces, long initializingPlaces, long milliCores) {
+record CapacityCount(long slots, double weightedSlots, long freeSlots, long initializingSlots, long milliCores) {
     static CapacityCount of(Iterable<HeldEndpoint> endpoints, PlacedJob job, long now) {
         long perTask = Math.max(1, job.need().milliCores());
         long places = 0;
@@ -22,7 +22,7 @@
         long initializingPlaces = 0;
         long milliCores = 0;
         for (HeldEndpoint endpoint : endpoints) {
-            boolean usable = endpoint.takes(Resources.NONE, now);
+            boolean usable = endpoint.accepts(Resources.NONE, now);
             if (!usable && !endpoint.isInitializing()
                     || !endpoint.entry().service().equals(job.queue().service())) {
                 continue;
@@ -33,8 +33,8 @@
             places += whole;
             weightedPlaces += whole * endpoint.speed().classSpeed();
             initializingPlaces += usable ? 0 : whole;
-            freePlaces += usable && job.need().fitsInto(endpoint.free())
-                    ? endpoint.free().milliCores() / perTask
+            freePlaces += usable && job.need().fitsInto(endpoint.freeCapacity())
+                    ? endpoint.freeCapacity().milliCores() / perTask
                     : 0;
         }
         return new CapacityCount(places, weightedPlaces, freePlaces, initializingPlaces, milliCores);
@@ -42,11 +42,11 @@
 
     /** Returns the mean speed of the places; 1 without any. */
     double meanSpeed() {
-        return places == 0 ? 1 : weightedPlaces / places;
+        return slots == 0 ? 1 : weightedSlots / slots;
     }
 
     /** Converts the count. */
-    PoolPlaces toPoolPlaces() {
-        return new PoolPlaces(milliCores, places, freePlaces);
+    PoolPlaces toPoolSlots() {
+        return new PoolPlaces(milliCores, slots, freeSlots);
     }
 }
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/placing/CompletionEstimator.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/placing/CompletionEstimator.java
@@ -30,12 +30,12 @@
         CapacityCount capacity = CapacityCount.of(endpoints, job, now);
         PendingJobs own = pending.of(job.share());
         boolean roomForAll =
-                pending.waitingTasks() + job.step().count() <= capacity.freePlaces() + capacity.initializingPlaces();
+                pending.waitingTasks() + job.step().count() <= capacity.freeSlots() + capacity.initializingSlots();
         long wait;
-        long places = capacity.places();
+        long places = capacity.slots();
         Optional<ShareState> share = Optional.empty();
         if (shares.plan().isConfigured()) {
-            ShareWait inShare = waitInShare(job, own, capacity.toPoolPlaces(), now);
+            ShareWait inShare = waitInShare(job, own, capacity.toPoolSlots(), now);
             wait = Math.round(inShare.millis() / capacity.meanSpeed());
             places = inShare.places();
             roomForAll &= inShare.fitsBelowCeiling();
@@ -52,7 +52,7 @@
                 inTimeWithin,
                 deadlineWithin,
                 places,
-                capacity.freePlaces(),
+                capacity.freeSlots(),
                 own.size(),
                 roomForAll,
                 share);
@@ -60,13 +60,13 @@
 
     /** Returns how long the job's tasks wait for what goes before them in its queue. */
     private static long waitInOrder(PlacedJob job, PendingJobs own, CapacityCount capacity, long now) {
-        long missing = Math.max(0, job.step().count() - capacity.freePlaces());
+        long missing = Math.max(0, job.step().count() - capacity.freeSlots());
         boolean startsNow = missing == 0 && own.isEmpty();
-        if (capacity.places() == 0 || startsNow) {
+        if (capacity.slots() == 0 || startsNow) {
             return 0;
         }
         long ahead = own.waitingTaskMillis(now) + missing * job.expectedRunMillis();
-        return (long) (ahead / capacity.weightedPlaces());
+        return (long) (ahead / capacity.weightedSlots());
     }
 
     private ShareWait waitInShare(PlacedJob job, PendingJobs own, PoolPlaces places, long now) {
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/placing/EndpointChoice.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/placing/EndpointChoice.java
@@ -23,7 +23,7 @@
         HeldEndpoint best = null;
         boolean bestFailedBefore = false;
         for (HeldEndpoint candidate : endpoints) {
-            if (!candidate.takes(need, nowMillis)
+            if (!candidate.accepts(need, nowMillis)
                     || !candidate.entry().service().equals(job.queue().service())) {
                 continue;
             }
@@ -58,7 +58,7 @@
         if (speed != speedOfBest) {
             return speed > speedOfBest;
         }
-        return candidate.free().milliCores() < best.free().milliCores();
+        return candidate.freeCapacity().milliCores() < best.freeCapacity().milliCores();
     }
 
     /**
@@ -66,10 +66,10 @@
      * is best alone, next best beside others of its kind.
      */
     private static int exposure(HeldEndpoint endpoint, PlacedTask task) {
-        if (endpoint.room().isEmpty()) {
+        if (endpoint.reservedCapacity().isEmpty()) {
             return 0;
         }
-        boolean hostsSuspect = endpoint.hostsSuspect();
+        boolean hostsSuspect = endpoint.hasSuspectTask();
         if (task.isSuspect()) {
             return hostsSuspect ? 1 : 2;
         }
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/placing/EndpointClock.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/placing/EndpointClock.java
@@ -11,18 +11,18 @@
 final class EndpointClock {
     private long clockMillis;
     private long takenAtMillis;
-    private boolean known;
+    private boolean isKnown;
 
-    void answered(OptionalLong answer, long nowMillis) {
+    void update(OptionalLong answer, long nowMillis) {
         if (answer.isPresent()) {
             clockMillis = answer.getAsLong();
             takenAtMillis = nowMillis;
-            known = true;
+            isKnown = true;
         }
     }
 
-    boolean known() {
-        return known;
+    boolean isKnown() {
+        return isKnown;
     }
 
     long at(long nowMillis) {
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/placing/EndpointLink.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/placing/EndpointLink.java
@@ -27,7 +27,7 @@
     private EndpointClock clock = new EndpointClock();
     private EndpointEntry entry;
     private int incarnationNumber;
-    private long leaseOverAtMillis;
+    private long leaseExpiryMillis;
 
     EndpointLink(
             EndpointEntry entry, FencingToken token, PlacingSettings settings, EndpointOrders orders, Timers timers) {
@@ -59,20 +59,20 @@
     }
 
     /** Records when the incarnation started that is called already. */
-    void startedAt(long millis) {
+    void recordStart(long millis) {
         entry = entry.withIncarnation(entry.incarnation().startedAt(millis));
     }
 
     /** Records that a later incarnation takes the calls from now on; its clock is not known. */
-    void restarted(EndpointEntry later) {
+    void switchIncarnation(EndpointEntry later) {
         entry = later;
         incarnationNumber++;
         clock = new EndpointClock();
     }
 
     /** Records the clock in a list of the present incarnation; empty if the list has none. */
-    void clockListed(OptionalLong clockMillis) {
-        clock.answered(clockMillis, timers.nowMillis());
+    void updateClock(OptionalLong clockMillis) {
+        clock.update(clockMillis, timers.nowMillis());
     }
 
     PlacingSettings settings() {
@@ -88,8 +88,8 @@
     }
 
     /** Returns when everything that a call has extended so far has certainly lapsed, in milliseconds. */
-    long leaseOverAtMillis() {
-        return leaseOverAtMillis;
+    long leaseExpiryMillis() {
+        return leaseExpiryMillis;
     }
 
     /** Starts a run, and extends the lease of all that runs. */
@@ -98,7 +98,7 @@
         int sentTo = incarnationNumber;
         orders.start(entry, order, delivery(false), answer -> {
             if (sentTo == incarnationNumber) {
-                clock.answered(answer.clockMillis(), timers.nowMillis());
+                clock.update(answer.clockMillis(), timers.nowMillis());
             }
             reply.accept(answer);
         });
@@ -113,7 +113,7 @@
         int sentTo = incarnationNumber;
         orders.stop(entry, token, run, delivery(fresh), answer -> {
             if (sentTo == incarnationNumber) {
-                clock.answered(answer.clockMillis(), timers.nowMillis());
+                clock.update(answer.clockMillis(), timers.nowMillis());
                 reply.accept(answer);
             }
         });
@@ -145,7 +145,7 @@
     /** Returns when a lease that is extended now ends, on the endpoint's clock. */
     private long extendLease() {
         long now = timers.nowMillis();
-        leaseOverAtMillis = Math.max(leaseOverAtMillis, now + settings.certainLapse());
+        leaseExpiryMillis = Math.max(leaseExpiryMillis, now + settings.certainLapse());
         return clock.at(now) + settings.lease();
     }
 }
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/placing/EndpointObservations.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/placing/EndpointObservations.java
@@ -4,13 +4,13 @@
 
 /** The health, speed and stalled runs of the present incarnation of one endpoint, as observed by this holder. */
 final class EndpointObservations {
-    private final ReservedRoom room;
+    private final ReservedCapacity room;
     private final ProgressReports progress;
     private EndpointHealth health;
     private EndpointSpeed speed;
     private StallDetector stalls;
 
-    EndpointObservations(ReservedRoom room, ProgressReports progress) {
+    EndpointObservations(ReservedCapacity room, ProgressReports progress) {
         this.room = room;
         this.progress = progress;
         reset();
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/placing/HeldEndpoint.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/placing/HeldEndpoint.java
@@ -22,8 +22,8 @@
  */
 final class HeldEndpoint {
     private final EndpointLink link;
-    private final EndpointEvents events;
-    private final ReservedRoom room;
+    private final EndpointListener events;
+    private final ReservedCapacity reservedCapacity;
     private final RunEnds ends;
     private final ListedRuns listedRuns;
     private final RunListPoller poller;
@@ -40,19 +40,19 @@
      */
     HeldEndpoint(
             EndpointLink link,
-            EndpointEvents events,
+            EndpointListener events,
             ProgressReports progress,
             UnansweredStarts unanswered,
             ShareTally tally) {
         this.link = link;
         this.events = events;
-        this.room = new ReservedRoom(link.entry().capacity(), tally);
+        this.reservedCapacity = new ReservedCapacity(link.entry().capacity(), tally);
         Host host = new Host();
-        this.ends = new RunEnds(link, room, this, events);
+        this.ends = new RunEnds(link, reservedCapacity, this, events);
         this.poller = new RunListPoller(link, host);
-        this.listedRuns = new ListedRuns(link, room, unanswered, poller, host);
-        this.orders = new RunOrders(link, room, poller, unanswered, host);
-        this.observations = new EndpointObservations(room, progress);
+        this.listedRuns = new ListedRuns(link, reservedCapacity, unanswered, poller, host);
+        this.orders = new RunOrders(link, reservedCapacity, poller, unanswered, host);
+        this.observations = new EndpointObservations(reservedCapacity, progress);
     }
 
     /** Reads the lists for the first time. */
@@ -73,7 +73,7 @@
      */
     void abandon() {
         closed = true;
-        long left = Math.max(0, link.leaseOverAtMillis() - link.nowMillis());
+        long left = Math.max(0, link.leaseExpiryMillis() - link.nowMillis());
         link.timers().after(left, () -> ends.endAll(EndKind.LAPSED));
     }
 
@@ -91,13 +91,13 @@
         if (entry().incarnation().isLaterThan(later.incarnation())) {
             link.update(entry().withDraining(later.draining()));
         } else {
-            room.resize(later.capacity());
+            reservedCapacity.resize(later.capacity());
             if (later.incarnation().isLaterThan(entry().incarnation())) {
-                restarted(later);
+                switchIncarnation(later);
                 poller.pollIfIdle();
             } else {
                 if (later.incarnation().hasStart() && !entry().incarnation().hasStart()) {
-                    poller.startLearned();
+                    poller.resetEnds();
                 }
                 link.update(later);
             }
@@ -120,28 +120,28 @@
         return observations.speed();
     }
 
-    ReservedRoom room() {
-        return room;
+    ReservedCapacity reservedCapacity() {
+        return reservedCapacity;
     }
 
-    Resources free() {
-        return room.free();
+    Resources freeCapacity() {
+        return reservedCapacity.free();
     }
 
     /** Returns whether everything that runs there is known. */
-    boolean known() {
-        return poller.read() && listedRuns.allReserved();
+    boolean knowsAllRuns() {
+        return poller.hasRead() && listedRuns.areAllReserved();
     }
 
     /** Returns whether no run of the job can be here but those that may be adopted. */
-    boolean readyFor(JobId job) {
-        return poller.read() && !listedRuns.recovered().anyStopping(job);
+    boolean hasOnlyAdoptableRuns(JobId job) {
+        return poller.hasRead() && !listedRuns.recovered().isStoppingRunOf(job);
     }
 
     /** Lets a job adopt what an earlier holder started of it here. */
     void adopt(PlacedJob job) {
         listedRuns.recovered().adopt(job, this::adopt);
-        if (!room.isEmpty()) {
+        if (!reservedCapacity.isEmpty()) {
             poller.pollIfIdle();
         }
     }
@@ -152,12 +152,12 @@
     }
 
     /** Returns whether a task runs here under which an endpoint has crashed. */
-    boolean hostsSuspect() {
-        return room.anySuspect();
+    boolean hasSuspectTask() {
+        return reservedCapacity.hasSuspectTask();
     }
 
     /** Returns whether the endpoint has ever answered. */
-    boolean answered() {
+    boolean hasAnswered() {
         return listedRuns.anyListRead();
     }
 
@@ -166,18 +166,18 @@
      * an earlier holder left there is being stopped.
      */
     boolean isInitializing() {
-        return !closed && !retired && !entry().draining() && !poller.silent() && !known();
+        return !closed && !retired && !entry().draining() && !poller.isSilent() && !knowsAllRuns();
     }
 
-    boolean takes(Resources need, long nowMillis) {
-        return need.fitsInto(room.free())
-                && known()
-                && !poller.silent()
+    boolean accepts(Resources need, long nowMillis) {
+        return need.fitsInto(reservedCapacity.free())
+                && knowsAllRuns()
+                && !poller.isSilent()
                 && !closed
                 && !retired
                 && !entry().draining()
                 && !observations.health().isEjected(nowMillis)
-                && !(observations.health().isOnTrial() && !room.isEmpty());
+                && !(observations.health().isOnTrial() && !reservedCapacity.isEmpty());
     }
 
     /** Returns whether the endpoint, were it idle, could be given a task of the service that needs so much. */
@@ -212,39 +212,39 @@
         return retired || entry().draining();
     }
 
-    /** Switches to a later incarnation; see {@link RunEnds#restarted} for the runs of the earlier one. */
-    private void restarted(EndpointEntry later) {
+    /** Switches to a later incarnation; see {@link RunEnds#endpointRestarted} for the runs of the earlier one. */
+    private void switchIncarnation(EndpointEntry later) {
         boolean leftAsPlanned = leftAsPlanned();
-        link.restarted(later);
-        poller.restart();
-        listedRuns.restarted();
+        link.switchIncarnation(later);
+        poller.reset();
+        listedRuns.endpointRestarted();
         observations.reset();
-        events.restarted(this);
-        ends.restarted(leftAsPlanned);
-        orders.stopAgainAfterRestart();
+        events.endpointRestarted(this);
+        ends.endpointRestarted(leftAsPlanned);
+        orders.resendStopsAfterRestart();
     }
 
     /** What this endpoint does for its parts. */
     private final class Host implements RunListPoller.Host, RunOrders.Host {
         @Override
-        public boolean closed() {
+        public boolean isClosed() {
             return closed;
         }
 
         @Override
         public boolean needsPolling() {
-            return !room.isEmpty() || listedRuns.mayStartLate();
+            return !reservedCapacity.isEmpty() || listedRuns.mayStartUnansweredRun();
         }
 
         @Override
-        public boolean anyRecovered() {
+        public boolean hasRecoveredRuns() {
             return !listedRuns.recovered().isEmpty();
         }
 
         @Override
-        public void ended(TaskEnd end) {
+        public void runEnded(TaskEnd end) {
             listedRuns.processEnd(end);
-            room.of(end.run()).ifPresent(reservation -> ends.endAsListed(reservation, end.kind()));
+            reservedCapacity.find(end.run()).ifPresent(reservation -> ends.endAsListed(reservation, end.kind()));
         }
 
         @Override
@@ -253,21 +253,21 @@
             ends.processList(percentByRun, sentAtMillis, observations.stalls());
             listedRuns.processList(percentByRun.keySet(), sentAtMillis, firstList);
             if (firstList) {
-                events.firstListed(HeldEndpoint.this);
+                events.firstListRead(HeldEndpoint.this);
             }
             if (wasSilent || firstList || listedRuns.recovered().isEmpty()) {
-                events.usable(HeldEndpoint.this);
+                events.endpointUsable(HeldEndpoint.this);
             }
         }
 
         @Override
-        public void unanswered() {
-            ends.lapseWhile(() -> !closed && poller.silent());
+        public void pollUnanswered() {
+            ends.endLapsedRuns(() -> !closed && poller.isSilent());
         }
 
         @Override
-        public void fenced() {
-            events.fenced(HeldEndpoint.this);
+        public void endpointFenced() {
+            events.endpointFenced(HeldEndpoint.this);
         }
 
         @Override
@@ -278,8 +278,8 @@
         }
 
         @Override
-        public void restarted(EndpointIncarnation later) {
-            HeldEndpoint.this.restarted(entry().withIncarnation(later));
+        public void endpointRestarted(EndpointIncarnation later) {
+            HeldEndpoint.this.switchIncarnation(entry().withIncarnation(later));
         }
 
         @Override
@@ -288,7 +288,7 @@
         }
 
         @Override
-        public EndpointEvents events() {
+        public EndpointListener listener() {
             return events;
         }
 
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/placing/HeldShards.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/placing/HeldShards.java
@@ -99,9 +99,9 @@
      * holder has had the shard says nothing: while a domain was cut off, the other may have gone on there. Nor does
      * what it holds now if the shard is not part of it, as when it has released it since the job was offered.
      */
-    boolean readyFor(JobId job, Set<FailureDomain> wanted) {
+    boolean hasOnlyAdoptableRuns(JobId job, Set<FailureDomain> wanted) {
         return shards.keySet().containsAll(wanted)
                 && wanted.stream().allMatch(wholeList)
-                && wanted.stream().allMatch(domain -> shards.get(domain).readyFor(job));
+                && wanted.stream().allMatch(domain -> shards.get(domain).hasOnlyAdoptableRuns(job));
     }
 }
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/placing/JobLifecycle.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/placing/JobLifecycle.java
@@ -172,7 +172,7 @@
         String queue = offer.queue().name();
         TaskStep step = offer.job().step();
         long expected = runTimes.expectedMillis(queue, step.estimateMillis());
-        double slowest = Math.max(1, runTimes.slowestOf(queue, step.count()));
+        double slowest = Math.max(1, runTimes.medianSlowestRatio(queue, step.count()));
         JobTimes times = JobTimes.of(offer, expected, timers.nowMillis());
         ShareId share =
                 poolShares.shareOf(offer.queue().service(), offer.queue().priority());
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/placing/LateStarts.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/placing/LateStarts.java
@@ -54,13 +54,13 @@
     }
 
     private void sendStop(TaskRun run, boolean fresh) {
-        if (!host.closed() && stoppedAtMillis.containsKey(run)) {
+        if (!host.isClosed() && stoppedAtMillis.containsKey(run)) {
             link.stop(run, fresh, answer -> stopAnswered(run, answer));
         }
     }
 
     private void stopAnswered(TaskRun run, OrderAnswer answer) {
-        if (host.closed() || !stoppedAtMillis.containsKey(run)) {
+        if (host.isClosed() || !stoppedAtMillis.containsKey(run)) {
             return;
         }
         switch (answer.result()) {
@@ -68,7 +68,7 @@
                 stoppedAtMillis.put(run, link.nowMillis());
                 scheduleList(1);
             }
-            case FENCED -> host.fenced();
+            case FENCED -> host.endpointFenced();
             case OTHER_ENDPOINT -> host.endpointGone();
             default -> link.timers().after(RunListPoller.FIRST_RETRY_MILLIS, () -> sendStop(run, true));
         }
@@ -83,8 +83,8 @@
 
     private void requestList() {
         listScheduled = false;
-        if (!host.closed() && !stoppedAtMillis.isEmpty()) {
-            poller.readAside(() -> {});
+        if (!host.isClosed() && !stoppedAtMillis.isEmpty()) {
+            poller.readOnNewConnection(() -> {});
         }
     }
 }
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/placing/ListedRuns.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/placing/ListedRuns.java
@@ -15,7 +15,7 @@
  */
 final class ListedRuns {
     private final EndpointLink link;
-    private final ReservedRoom room;
+    private final ReservedCapacity room;
     private final UnansweredStarts unanswered;
     private final RunListPoller poller;
     private final RecoveredRuns recovered;
@@ -24,7 +24,7 @@
 
     ListedRuns(
             EndpointLink link,
-            ReservedRoom room,
+            ReservedCapacity room,
             UnansweredStarts unanswered,
             RunListPoller poller,
             EndpointHost host) {
@@ -47,17 +47,17 @@
     }
 
     /** Returns whether all runs there are reserved, so that the free room is known. */
-    boolean allReserved() {
+    boolean areAllReserved() {
         return recovered.isEmpty() && lateStarts.isEmpty();
     }
 
     /** Returns whether an order to start a run may yet be carried out there. */
-    boolean mayStartLate() {
-        return unanswered.anyAt(link.incarnation().id(), link.nowMillis());
+    boolean mayStartUnansweredRun() {
+        return unanswered.hasAny(link.incarnation().id(), link.nowMillis());
     }
 
     /** Forgets the runs found on an incarnation that is over. */
-    void restarted() {
+    void endpointRestarted() {
         recovered.clear();
     }
 
@@ -71,8 +71,8 @@
     void processEnd(TaskEnd end) {
         recovered.remove(end.run());
         unanswered.recordListed(link.incarnation().id(), end.run());
-        if (!anyListRead && end.kind() == EndKind.DONE && room.of(end.run()).isEmpty()) {
-            recovered.doneBefore(end.run().task());
+        if (!anyListRead && end.kind() == EndKind.DONE && room.find(end.run()).isEmpty()) {
+            recovered.recordDone(end.run().task());
         }
     }
 
@@ -89,11 +89,11 @@
         if (firstList) {
             readAgainIfReserved();
             lateStarts.stop(ImmutableSet.copyOf(
-                    unreserved(unanswered.at(link.incarnation().id(), link.nowMillis()))));
+                    unreserved(unanswered.runsAt(link.incarnation().id(), link.nowMillis()))));
         } else {
             lateStarts.processList(running, sentAtMillis);
         }
-        if (mayStartLate()) {
+        if (mayStartUnansweredRun()) {
             running.forEach(run -> unanswered.recordListed(link.incarnation().id(), run));
         }
         recovered.processList(Sets.filter(unreserved(running), run -> !lateStarts.contains(run)), !anyListRead);
@@ -106,12 +106,12 @@
      */
     private void readAgainIfReserved() {
         if (!room.isEmpty()) {
-            link.timers().after(1, () -> poller.readAside(() -> {}));
+            link.timers().after(1, () -> poller.readOnNewConnection(() -> {}));
         }
     }
 
     private Set<TaskRun> unreserved(Set<TaskRun> runs) {
-        return Sets.filter(runs, run -> room.of(run).isEmpty());
+        return Sets.filter(runs, run -> room.find(run).isEmpty());
     }
 
     /** Returns the progress of each listed run, in percent. */
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/placing/OwnUse.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/placing/LocalUsage.java
@@ -4,7 +4,7 @@
  * The recent rate at which jobs of clients in this holder's own failure domains take processor time, as an
  * exponentially weighted mean.
  */
-final class OwnUse {
+final class LocalUsage {
     /** Five status periods: a burst of some seconds is followed, and a single wide job changes the mean little. */
     private static final double TIME_CONSTANT_MILLIS = 1_000;
 
@@ -18,7 +18,7 @@
     }
 
     /** Returns the processor time taken for own clients in a time span at the mean rate, in thousandths of a core. */
-    double within(long spanMillis, long nowMillis) {
+    double usedWithin(long spanMillis, long nowMillis) {
         return decayed(nowMillis) * spanMillis / TIME_CONSTANT_MILLIS;
     }
 
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/placing/OfferAdmission.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/placing/OfferAdmission.java
@@ -17,7 +17,7 @@
     private static final long RESERVE_MILLIS = 20;
 
     private final PendingShares pending;
-    private final OwnUse ownUse = new OwnUse();
+    private final LocalUsage ownUse = new LocalUsage();
 
     OfferAdmission(PendingShares pending) {
         this.pending = pending;
@@ -42,7 +42,7 @@
             return pending.waitingTasks() <= left;
         }
         double leftMilliCores = left * (double) offer.job().step().perTask().milliCores();
-        double reserve = ownUse.within(RESERVE_MILLIS, nowMillis);
+        double reserve = ownUse.usedWithin(RESERVE_MILLIS, nowMillis);
         return pending.waitingTasks() == 0 && left >= 0 && leftMilliCores >= reserve;
     }
 }
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/placing/PlacedShard.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/placing/PlacedShard.java
@@ -23,7 +23,7 @@
     private final PlacingSettings settings;
     private final EndpointOrders orders;
     private final Timers timers;
-    private final EndpointEvents events;
+    private final EndpointListener events;
     private final ProgressReports progress;
     private final ShareTally tally = new ShareTally();
     private final long openedAtMillis;
@@ -35,7 +35,7 @@
             PlacingSettings settings,
             EndpointOrders orders,
             Timers timers,
-            EndpointEvents events,
+            EndpointListener events,
             ProgressReports progress) {
         this.token = token;
         this.settings = settings;
@@ -88,8 +88,8 @@
     }
 
     /** Returns whether no run of the job can be on any of the endpoints but those that may be taken over. */
-    boolean readyFor(JobId job) {
-        return endpoints.values().stream().allMatch(endpoint -> endpoint.readyFor(job));
+    boolean hasOnlyAdoptableRuns(JobId job) {
+        return endpoints.values().stream().allMatch(endpoint -> endpoint.hasOnlyAdoptableRuns(job));
     }
 
     /** Returns whether no endpoint has answered although this node has asked them for long enough. */
@@ -98,7 +98,7 @@
             return false;
         }
         for (HeldEndpoint endpoint : endpoints.values()) {
-            if (endpoint.answered()) {
+            if (endpoint.hasAnswered()) {
                 return false;
             }
         }
@@ -113,8 +113,9 @@
         long now = timers.nowMillis();
         long free = 0;
         for (HeldEndpoint endpoint : endpoints.values()) {
-            free += endpoint.takes(Resources.NONE, now)
-                    ? Math.round(endpoint.free().milliCores() * endpoint.speed().classSpeed())
+            free += endpoint.accepts(Resources.NONE, now)
+                    ? Math.round(endpoint.freeCapacity().milliCores()
+                            * endpoint.speed().classSpeed())
                     : 0;
         }
         return free;
@@ -124,8 +125,8 @@
     long largestFreeMilliCores(long now) {
         long roomiest = 0;
         for (HeldEndpoint endpoint : endpoints.values()) {
-            long free = endpoint.free().milliCores();
-            if (free > roomiest && endpoint.takes(Resources.NONE, now)) {
+            long free = endpoint.freeCapacity().milliCores();
+            if (free > roomiest && endpoint.accepts(Resources.NONE, now)) {
                 roomiest = free;
             }
         }
@@ -134,7 +135,7 @@
 
     private static boolean forget(HeldEndpoint endpoint) {
         endpoint.retire();
-        if (endpoint.room().isEmpty()) {
+        if (endpoint.reservedCapacity().isEmpty()) {
             endpoint.close();
             return true;
         }
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/placing/Placer.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/placing/Placer.java
@@ -216,7 +216,7 @@
     /** What becomes of jobs by the ends of their runs. */
     private final class Results implements RunResults.Host {
         @Override
-        public boolean closed() {
+        public boolean isClosed() {
             return closed;
         }
 
@@ -241,17 +241,17 @@
         }
 
         @Override
-        public void capacityFound() {
+        public void capacityAdded() {
             jobs.planStart();
         }
 
         @Override
-        public void firstListed(HeldEndpoint endpoint) {
+        public void firstListRead(HeldEndpoint endpoint) {
             jobs.adoptFrom(endpoint);
         }
 
         @Override
-        public void fenced(FailureDomain shard) {
+        public void shardFenced(FailureDomain shard) {
             token(shard).ifPresent(token -> {
                 release(shard);
                 listener.fenced(shard, token);
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/placing/PoolCapacity.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/placing/PoolCapacity.java
@@ -23,7 +23,7 @@
             countedAtMillis = nowMillis;
             byService.clear();
             for (HeldEndpoint endpoint : endpoints) {
-                if (endpoint.takes(Resources.NONE, nowMillis) || endpoint.isInitializing()) {
+                if (endpoint.accepts(Resources.NONE, nowMillis) || endpoint.isInitializing()) {
                     byService.merge(
                             endpoint.entry().service(),
                             endpoint.entry().capacity().milliCores(),
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/placing/ProgressReports.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/placing/ProgressReports.java
@@ -12,12 +12,12 @@
     private int advances;
 
     /** Notes that a run was listed with more of its work done than before. */
-    void advanced() {
+    void recordAdvance() {
         advances++;
     }
 
     /** Returns whether a healthy run shows progress. */
-    boolean areMeaningful() {
+    boolean areReliable() {
         return advances >= ENOUGH_REPORTS;
     }
 }
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/placing/RecoveredRuns.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/placing/RecoveredRuns.java
@@ -28,7 +28,7 @@
     private final RunListPoller poller;
     private final EndpointHost host;
     private final Map<TaskRun, State> runs = new HashMap<>();
-    private final Set<TaskName> doneBefore = new HashSet<>();
+    private final Set<TaskName> recordDone = new HashSet<>();
 
     RecoveredRuns(EndpointLink link, RunListPoller poller, EndpointHost host) {
         this.link = link;
@@ -50,7 +50,7 @@
         runs.keySet().retainAll(running);
         for (TaskRun run : running) {
             if (firstList) {
-                runs.put(run, State.FREE);
+                runs.put(run, State.ADOPTABLE);
             } else if (!runs.containsKey(run)) {
                 stop(run);
             }
@@ -61,14 +61,14 @@
     }
 
     /** Notes a task that ended well before anybody here asked for it. */
-    void doneBefore(TaskName task) {
-        doneBefore.add(task);
+    void recordDone(TaskName task) {
+        recordDone.add(task);
     }
 
     /** Forgets everything: the incarnation on which it was found is over. */
     void clear() {
         runs.clear();
-        doneBefore.clear();
+        recordDone.clear();
     }
 
     /**
@@ -77,11 +77,11 @@
      * @param adopter takes a run on as its task's
      */
     void adopt(PlacedJob job, BiConsumer<PlacedTask, TaskRun> adopter) {
-        if (runs.isEmpty() && doneBefore.isEmpty()) {
+        if (runs.isEmpty() && recordDone.isEmpty()) {
             return;
         }
         for (PlacedTask task : job.tasks()) {
-            if (doneBefore.contains(task.name()) && task.isUnresolved()) {
+            if (recordDone.contains(task.name()) && task.isUnresolved()) {
                 job.finished(task);
             }
         }
@@ -99,7 +99,7 @@
     }
 
     /** Returns whether a run of the job is being stopped. */
-    boolean anyStopping(JobId job) {
+    boolean isStoppingRunOf(JobId job) {
         for (Map.Entry<TaskRun, State> each : runs.entrySet()) {
             if (each.getValue() == State.STOPPING && each.getKey().task().isOf(job)) {
                 return true;
@@ -112,7 +112,7 @@
     private ImmutableSet<TaskRun> freeOf(JobId job) {
         ImmutableSet.Builder<TaskRun> free = ImmutableSet.builder();
         for (Map.Entry<TaskRun, State> each : runs.entrySet()) {
-            if (each.getValue() == State.FREE && each.getKey().task().isOf(job)) {
+            if (each.getValue() == State.ADOPTABLE && each.getKey().task().isOf(job)) {
                 free.add(each.getKey());
             }
         }
@@ -120,9 +120,9 @@
     }
 
     private void stopUnclaimed() {
-        doneBefore.clear();
+        recordDone.clear();
         ImmutableSet.copyOf(runs.keySet()).stream()
-                .filter(run -> runs.get(run) == State.FREE)
+                .filter(run -> runs.get(run) == State.ADOPTABLE)
                 .forEach(this::stop);
     }
 
@@ -132,7 +132,7 @@
     }
 
     private void sendStop(TaskRun run, boolean fresh) {
-        if (!host.closed() && runs.containsKey(run)) {
+        if (!host.isClosed() && runs.containsKey(run)) {
             link.stop(run, fresh, answer -> stopAnswered(run, answer));
         }
     }
@@ -142,7 +142,7 @@
      * taken for over while it runs, it would be renewed with whatever is started here, for as long as that goes on.
      */
     private void stopAnswered(TaskRun run, OrderAnswer answer) {
-        if (host.closed() || !runs.containsKey(run)) {
+        if (host.isClosed() || !runs.containsKey(run)) {
             return;
         }
         switch (answer.result()) {
@@ -151,7 +151,7 @@
                 runs.remove(run);
                 poller.pollIfIdle();
             }
-            case FENCED -> host.fenced();
+            case FENCED -> host.endpointFenced();
             case OTHER_ENDPOINT -> host.endpointGone();
             default -> link.timers().after(RunListPoller.FIRST_RETRY_MILLIS, () -> sendStop(run, true));
         }
@@ -159,7 +159,7 @@
 
     /** Whether a run may be adopted. */
     private enum State {
-        FREE,
+        ADOPTABLE,
         STOPPING
     }
 }
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/placing/RecoveringJobs.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/placing/RecoveringJobs.java
@@ -93,7 +93,8 @@
         if (offer.earlierRuns().over()) {
             return Optional.of(RecoveryGround.LEASE_OVER);
         }
-        boolean ready = shards.readyFor(job.id(), offer.earlierRuns().shards());
+        boolean ready =
+                shards.hasOnlyAdoptableRuns(job.id(), offer.earlierRuns().shards());
         return ready ? Optional.of(RecoveryGround.LISTS_READ) : Optional.empty();
     }
 
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/placing/Reservation.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/placing/Reservation.java
@@ -23,25 +23,25 @@
 
     private final PlacedTask task;
     private final TaskRun run;
-    private final Resources room;
+    private final Resources resources;
     private final long startedAtMillis;
     private State state = State.STARTING;
     private long settledAtMillis = Long.MAX_VALUE;
-    private boolean seen;
+    private boolean wasSeen;
     private boolean listed;
-    private EndKind endIfAbsent = EndKind.LAPSED;
+    private EndKind endKindIfUnlisted = EndKind.LAPSED;
     private long carriedOutUntilMillis = Long.MIN_VALUE;
     private boolean adopted;
     private int percent = -1;
     private long progressedAtMillis;
-    private boolean advanced;
+    private boolean hasAdvanced;
     private boolean speedRecorded;
     private long slowestPercentMillis;
 
     Reservation(PlacedTask task, TaskRun run, Resources room, long startedAtMillis) {
         this.task = task;
         this.run = run;
-        this.room = room;
+        this.resources = room;
         this.startedAtMillis = startedAtMillis;
     }
 
@@ -66,8 +66,8 @@
         return run;
     }
 
-    Resources room() {
-        return room;
+    Resources resources() {
+        return resources;
     }
 
     long startedAtMillis() {
@@ -78,12 +78,12 @@
         return state == expected;
     }
 
-    boolean wanted() {
+    boolean shouldRun() {
         return state == State.STARTING || state == State.RUNNING;
     }
 
-    void running(long nowMillis) {
-        seen = true;
+    void markRunning(long nowMillis) {
+        wasSeen = true;
         if (state == State.STARTING) {
             state = State.RUNNING;
             settledAtMillis = nowMillis;
@@ -93,8 +93,8 @@
     /** Records that a list shows the run. */
     void markListed(long nowMillis) {
         listed = true;
-        endIfAbsent = EndKind.LAPSED;
-        running(nowMillis);
+        endKindIfUnlisted = EndKind.LAPSED;
+        markRunning(nowMillis);
     }
 
     /** Returns whether a list of the present incarnation has shown the run, so that it ends with that. */
@@ -108,14 +108,14 @@
      * @param kind the kind of its end if its start was answered and the run is not listed
      * @param untilMillis until when its lease may last if the endpoint cannot be reached, on the steady clock
      */
-    void mayHaveMovedOn(EndKind kind, long untilMillis) {
-        endIfAbsent = seen ? kind : EndKind.LAPSED;
+    void markUncertainAfterRestart(EndKind kind, long untilMillis) {
+        endKindIfUnlisted = wasSeen ? kind : EndKind.LAPSED;
         carriedOutUntilMillis = untilMillis;
     }
 
     /** Returns the kind of the run's end if it is not listed. */
-    EndKind endIfAbsent() {
-        return endIfAbsent;
+    EndKind endKindIfUnlisted() {
+        return endKindIfUnlisted;
     }
 
     /** Returns whether the run is certainly over although the endpoint cannot be reached. */
@@ -128,13 +128,13 @@
      *
      * @param asOfMillis when the list was asked for
      */
-    boolean advancedTo(int percentDone, long asOfMillis) {
+    boolean recordProgress(int percentDone, long asOfMillis) {
         boolean isFirst = percent < 0;
         if (percentDone <= percent) {
             return false;
         }
         if (!isFirst) {
-            advanced = true;
+            hasAdvanced = true;
             long perPercent = (asOfMillis - progressedAtMillis) / (percentDone - percent);
             slowestPercentMillis = Math.max(slowestPercentMillis, perPercent);
         }
@@ -153,8 +153,8 @@
     }
 
     /** Returns whether the progress of the run has increased between two lists. */
-    boolean advanced() {
-        return advanced;
+    boolean hasAdvanced() {
+        return hasAdvanced;
     }
 
     /** Returns the longest time for one percent of the run's work, in milliseconds; 0 while unknown. */
@@ -163,27 +163,27 @@
     }
 
     /** Returns for how long lists have shown no progress, in milliseconds. */
-    long withoutProgressMillis(long nowMillis) {
+    long millisWithoutProgress(long nowMillis) {
         return percent < 0 ? 0 : nowMillis - progressedAtMillis;
     }
 
     /** Returns whether the endpoint ever said that the run was there. */
-    boolean seen() {
-        return seen;
+    boolean wasSeen() {
+        return wasSeen;
     }
 
-    void stopping() {
+    void markStopping() {
         state = State.STOPPING;
         settledAtMillis = Long.MAX_VALUE;
     }
 
-    void stopped(long goneAtMillis) {
+    void markStopped(long goneAtMillis) {
         state = State.STOPPED;
         settledAtMillis = goneAtMillis;
     }
 
     /** Returns whether a call that was sent at this time and does not show the run proves that it is over. */
-    boolean overIfAbsentAt(long sentAtMillis) {
+    boolean isOverIfUnlistedAt(long sentAtMillis) {
         return settledAtMillis < sentAtMillis;
     }
 }
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/placing/ReservedRoom.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/placing/ReservedCapacity.java
@@ -10,7 +10,7 @@
 import org.tarragonarch.model.task.TaskRun;
 
 /** The room of one endpoint, as far as runs of this holder take it. */
-final class ReservedRoom {
+final class ReservedCapacity {
     private final ShareTally tally;
     private final Map<TaskName, Reservation> reservations = new HashMap<>();
     private Resources capacity;
@@ -22,7 +22,7 @@
      *
      * @param tally counts what runs take, by share
      */
-    ReservedRoom(Resources capacity, ShareTally tally) {
+    ReservedCapacity(Resources capacity, ShareTally tally) {
         this.capacity = capacity;
         this.tally = tally;
         this.free = capacity;
@@ -43,18 +43,18 @@
     }
 
     /** Returns the reservations as they are now; they may be released meanwhile. */
-    ImmutableList<Reservation> all() {
+    ImmutableList<Reservation> snapshot() {
         return ImmutableList.copyOf(reservations.values());
     }
 
     /** Returns the reservation of a run, if there is one. */
-    Optional<Reservation> of(TaskRun run) {
+    Optional<Reservation> find(TaskRun run) {
         return Optional.ofNullable(reservations.get(run.task()))
                 .filter(own -> own.run().equals(run));
     }
 
     /** Returns whether the room of any task is reserved under which an endpoint has crashed. */
-    boolean anySuspect() {
+    boolean hasSuspectTask() {
         for (Reservation reservation : reservations.values()) {
             if (reservation.task().isSuspect()) {
                 return true;
@@ -69,17 +69,17 @@
 
     void reserve(Reservation reservation) {
         reservations.put(reservation.run().task(), reservation);
-        used = used.plus(reservation.room());
+        used = used.plus(reservation.resources());
         PlacedJob job = reservation.task().job();
-        tally.reserved(job.share(), reservation.room().milliCores(), job.expectedRunMillis());
+        tally.reserved(job.share(), reservation.resources().milliCores(), job.expectedRunMillis());
         free = capacity.minus(used);
     }
 
     void release(Reservation reservation) {
         if (reservations.remove(reservation.run().task(), reservation)) {
-            used = used.minus(reservation.room());
+            used = used.minus(reservation.resources());
             PlacedJob job = reservation.task().job();
-            tally.released(job.share(), reservation.room().milliCores(), job.expectedRunMillis());
+            tally.released(job.share(), reservation.resources().milliCores(), job.expectedRunMillis());
             free = capacity.minus(used);
         }
     }
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/placing/RunEnds.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/placing/RunEnds.java
@@ -10,12 +10,12 @@
 /** Ends the reserved runs of one endpoint, including those that are certainly over although no list shows their end. */
 final class RunEnds {
     private final EndpointLink link;
-    private final ReservedRoom room;
+    private final ReservedCapacity room;
     private final HeldEndpoint endpoint;
-    private final EndpointEvents events;
+    private final EndpointListener events;
     private final List<PlacedTask> lapsedUnreachable = new ArrayList<>();
 
-    RunEnds(EndpointLink link, ReservedRoom room, HeldEndpoint endpoint, EndpointEvents events) {
+    RunEnds(EndpointLink link, ReservedCapacity room, HeldEndpoint endpoint, EndpointListener events) {
         this.link = link;
         this.room = room;
         this.endpoint = endpoint;
@@ -25,14 +25,14 @@
     /** Ends one run and releases its room. */
     void end(Reservation reservation, EndKind kind) {
         room.release(reservation);
-        events.ended(endpoint, reservation, kind);
+        events.runEnded(endpoint, reservation, kind);
     }
 
     /** Ends one run as the endpoint lists it. */
     void endAsListed(Reservation reservation, EndKind kind) {
         if (kind == EndKind.LAPSED) {
             room.release(reservation);
-            events.lapsedUnnoticed(endpoint, reservation);
+            events.runLapsedUnnoticed(endpoint, reservation);
         } else {
             end(reservation, kind);
         }
@@ -41,23 +41,23 @@
     /** Ends the runs that are certainly over because a list does not contain them; follows the progress of the rest. */
     void processList(Map<TaskRun, Integer> percentByRun, long sentAtMillis, StallDetector stalls) {
         lapsedUnreachable.clear();
-        for (Reservation reservation : room.all()) {
+        for (Reservation reservation : room.snapshot()) {
             Integer percent = percentByRun.get(reservation.run());
             if (percent != null) {
                 reservation.markListed(link.nowMillis());
-                stalls.followProgress(reservation, percent, sentAtMillis);
+                stalls.checkProgress(reservation, percent, sentAtMillis);
                 SpeedLearning.recordProgress(endpoint.speed(), reservation, percent, link.nowMillis());
-            } else if (reservation.overIfAbsentAt(sentAtMillis)) {
-                end(reservation, reservation.endIfAbsent());
+            } else if (reservation.isOverIfUnlistedAt(sentAtMillis)) {
+                end(reservation, reservation.endKindIfUnlisted());
             }
         }
     }
 
     /** Ends the runs of an unreachable endpoint once their lease has certainly expired, unless it answers before. */
-    void lapseWhile(BooleanSupplier isSilent) {
+    void endLapsedRuns(BooleanSupplier isSilent) {
         lapseIfOver(isSilent);
         if (!room.isEmpty()) {
-            long left = link.leaseOverAtMillis() - link.nowMillis();
+            long left = link.leaseExpiryMillis() - link.nowMillis();
             link.timers().after(left, () -> lapseIfOver(isSilent));
         }
     }
@@ -66,19 +66,19 @@
         if (!isSilent.getAsBoolean()) {
             return;
         }
-        for (Reservation reservation : room.all()) {
-            if (reservation.isLapsed(link.leaseOverAtMillis(), link.nowMillis())) {
-                if (reservation.seen() && reservation.endIfAbsent() == EndKind.LAPSED) {
+        for (Reservation reservation : room.snapshot()) {
+            if (reservation.isLapsed(link.leaseExpiryMillis(), link.nowMillis())) {
+                if (reservation.wasSeen() && reservation.endKindIfUnlisted() == EndKind.LAPSED) {
                     lapsedUnreachable.add(reservation.task());
                 }
-                end(reservation, reservation.endIfAbsent());
+                end(reservation, reservation.endKindIfUnlisted());
             }
         }
     }
 
     /** Ends all runs. */
     void endAll(EndKind kind) {
-        room.all().forEach(reservation -> end(reservation, kind));
+        room.snapshot().forEach(reservation -> end(reservation, kind));
     }
 
     /**
@@ -96,15 +96,15 @@
      * incarnation and is settled by its lists. If those cannot be read, the run is over once an order to the earlier
      * incarnation can no longer be carried out and the lease has expired.
      */
-    void restarted(boolean leftAsPlanned) {
+    void endpointRestarted(boolean leftAsPlanned) {
         long untilMillis = link.nowMillis()
                 + UnansweredStarts.CARRIED_OUT_WITHIN_MILLIS
                 + link.settings().certainLapse();
-        for (Reservation reservation : room.all()) {
+        for (Reservation reservation : room.snapshot()) {
             if (reservation.isListed()) {
                 end(reservation, endKind(leftAsPlanned));
             } else {
-                reservation.mayHaveMovedOn(endKind(leftAsPlanned), untilMillis);
+                reservation.markUncertainAfterRestart(endKind(leftAsPlanned), untilMillis);
             }
         }
         reportCrash(leftAsPlanned);
@@ -112,7 +112,7 @@
 
     private void reportCrash(boolean leftAsPlanned) {
         if (!leftAsPlanned) {
-            lapsedUnreachable.forEach(task -> events.crashed(endpoint, task));
+            lapsedUnreachable.forEach(task -> events.crashConfirmed(endpoint, task));
         }
         lapsedUnreachable.clear();
     }
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/placing/RunListPoller.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/placing/RunListPoller.java
@@ -25,8 +25,8 @@
     private final Host host;
     private long listedEnd;
     private long acknowledgedEnd;
-    private boolean read;
-    private boolean silent;
+    private boolean hasRead;
+    private boolean isSilent;
     private boolean underWay;
     private boolean idleAcknowledgementPlanned;
     private long retryMillis;
@@ -37,40 +37,40 @@
     }
 
     /** Returns whether it is known what runs there. */
-    boolean read() {
-        return read;
+    boolean hasRead() {
+        return hasRead;
     }
 
     /** Notes that it is known without a list what runs: nothing. */
     void markRead() {
-        read = true;
+        hasRead = true;
     }
 
     /** Returns whether the last call got no answer, so that nothing should be started. */
-    boolean silent() {
-        return silent;
+    boolean isSilent() {
+        return isSilent;
     }
 
     /** Resets the poller for a later incarnation, which numbers its ends from 1 and has not been read. */
-    void restart() {
+    void reset() {
         listedEnd = 0;
         acknowledgedEnd = 0;
-        read = false;
-        silent = false;
+        hasRead = false;
+        isSilent = false;
         underWay = false;
         retryMillis = 0;
     }
 
     /** Calls the endpoint unless a call is under way. */
     void pollIfIdle() {
-        if (!host.closed() && !underWay) {
+        if (!host.isClosed() && !underWay) {
             poll();
         }
     }
 
     /** Takes the endpoint for silent until a call is answered. */
-    void suspect() {
-        silent = true;
+    void markSilent() {
+        isSilent = true;
         pollIfIdle();
     }
 
@@ -82,10 +82,10 @@
      *
      * @param then what to do with what is known afterwards, also if there was no answer
      */
-    void readAside(Runnable then) {
+    void readOnNewConnection(Runnable then) {
         Call call = new Call(link.nowMillis(), link.incarnationNumber(), listedEnd);
         link.list(listedEnd, true, answer -> {
-            if (host.closed()) {
+            if (host.isClosed()) {
                 return;
             }
             if (answer.result() == OrderResult.DONE && isCurrent(call) && !isStale(answer)) {
@@ -99,16 +99,16 @@
     private void poll() {
         Call call = new Call(link.nowMillis(), link.incarnationNumber(), listedEnd);
         underWay = true;
-        if (read && !silent && host.needsPolling()) {
+        if (hasRead && !isSilent && host.needsPolling()) {
             link.renew(listedEnd, false, answer -> answered(answer, call));
         } else {
-            link.list(listedEnd, silent || !read, answer -> answered(answer, call));
+            link.list(listedEnd, isSilent || !hasRead, answer -> answered(answer, call));
         }
     }
 
     /** Processes an answer; one to a call that was sent to an earlier incarnation is dropped. */
     private void answered(HoldAnswer answer, Call call) {
-        if (host.closed() || !isCurrent(call)) {
+        if (host.isClosed() || !isCurrent(call)) {
             return;
         }
         underWay = false;
@@ -121,7 +121,7 @@
                     pollAgain();
                 }
             }
-            case FENCED -> host.fenced();
+            case FENCED -> host.endpointFenced();
             case OTHER_ENDPOINT -> host.endpointGone();
             default -> unanswered();
         }
@@ -139,19 +139,19 @@
     private void takeLists(HoldAnswer answer, Call call) {
         followStart(answer);
         if (isCurrent(call)) {
-            acknowledgedEnd = Math.max(acknowledgedEnd, call.acknowledging());
+            acknowledgedEnd = Math.max(acknowledgedEnd, call.acknowledgedEnd());
         }
-        link.clockListed(answer.clockMillis());
+        link.updateClock(answer.clockMillis());
         for (TaskEnd end : answer.ended()) {
             if (end.number() > listedEnd) {
                 listedEnd = end.number();
-                host.ended(end);
+                host.runEnded(end);
             }
         }
-        boolean firstList = !read;
-        boolean wasSilent = silent;
-        silent = false;
-        read = true;
+        boolean firstList = !hasRead;
+        boolean wasSilent = isSilent;
+        isSilent = false;
+        hasRead = true;
         retryMillis = 0;
         host.listsRead(answer.running(), call.sentAtMillis(), firstList, wasSilent);
     }
@@ -163,15 +163,15 @@
     private void followStart(HoldAnswer answer) {
         EndpointIncarnation answering = link.incarnation().startedAt(answer.startedMillis());
         if (answering.isLaterThan(link.incarnation())) {
-            host.restarted(answering);
+            host.endpointRestarted(answering);
         } else if (answering.hasStart() && !link.incarnation().hasStart()) {
-            link.startedAt(answer.startedMillis());
-            startLearned();
+            link.recordStart(answer.startedMillis());
+            resetEnds();
         }
     }
 
     /** Reads the ends from number 1 again, because an incarnation has told its start that had not told it before. */
-    void startLearned() {
+    void resetEnds() {
         listedEnd = 0;
         acknowledgedEnd = 0;
     }
@@ -186,7 +186,7 @@
         if (host.needsPolling()) {
             // What the lists led to may have sent the next call already.
             pollIfIdle();
-        } else if (!host.anyRecovered() && acknowledgedEnd < listedEnd && !idleAcknowledgementPlanned) {
+        } else if (!host.hasRecoveredRuns() && acknowledgedEnd < listedEnd && !idleAcknowledgementPlanned) {
             idleAcknowledgementPlanned = true;
             link.timers().after(IDLE_ACKNOWLEDGEMENT_MILLIS, this::acknowledgeIfIdle);
         }
@@ -200,8 +200,8 @@
     }
 
     private void unanswered() {
-        silent = true;
-        host.unanswered();
+        isSilent = true;
+        host.pollUnanswered();
         link.timers().after(retryMillis, this::pollIfIdle);
         retryMillis = Math.max(FIRST_RETRY_MILLIS, Math.min(LONGEST_RETRY_MILLIS, retryMillis * 2));
     }
@@ -211,9 +211,9 @@
      *
      * @param sentAtMillis when it was sent
      * @param incarnationNumber which incarnation it was meant for
-     * @param acknowledging the highest number of an end that need not be listed again
+     * @param acknowledgedEnd the highest number of an end that need not be listed again
      */
-    private record Call(long sentAtMillis, int incarnationNumber, long acknowledging) {}
+    private record Call(long sentAtMillis, int incarnationNumber, long acknowledgedEnd) {}
 
     /** What the lists are read for. */
     interface Host extends EndpointHost {
@@ -221,13 +221,13 @@
         boolean needsPolling();
 
         /** Returns whether a run of an earlier holder takes room there. */
-        boolean anyRecovered();
+        boolean hasRecoveredRuns();
 
         /** A run has ended. */
-        void ended(TaskEnd end);
+        void runEnded(TaskEnd end);
 
         /**
-         * The lists were read; {@link #ended} was called before for each new end.
+         * The lists were read; {@link #runEnded} was called before for each new end.
          *
          * @param sentAtMillis when the call was sent; a run that began later may be missing
          * @param firstList whether these are the first lists of this incarnation
@@ -236,9 +236,9 @@
         void listsRead(Iterable<RunProgress> running, long sentAtMillis, boolean firstList, boolean wasSilent);
 
         /** A later incarnation answers; its lists follow. */
-        void restarted(EndpointIncarnation later);
+        void endpointRestarted(EndpointIncarnation later);
 
         /** A call got no answer. */
-        void unanswered();
+        void pollUnanswered();
     }
 }
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/placing/RunOrders.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/placing/RunOrders.java
@@ -20,12 +20,12 @@
     private static final long UNHEALTHY_EJECTION_MILLIS = 250;
 
     private final EndpointLink link;
-    private final ReservedRoom room;
+    private final ReservedCapacity room;
     private final RunListPoller poller;
     private final UnansweredStarts unanswered;
     private final Host host;
 
-    RunOrders(EndpointLink link, ReservedRoom room, RunListPoller poller, UnansweredStarts unanswered, Host host) {
+    RunOrders(EndpointLink link, ReservedCapacity room, RunListPoller poller, UnansweredStarts unanswered, Host host) {
         this.link = link;
         this.room = room;
         this.poller = poller;
@@ -51,17 +51,17 @@
 
     /** Stops a run, which stays reserved until its end is certain. */
     void stop(Reservation reservation) {
-        if (reservation.wanted()) {
-            reservation.stopping();
+        if (reservation.shouldRun()) {
+            reservation.markStopping();
             sendStop(reservation, false);
         }
     }
 
     /** Sends all stops again, since the present incarnation does not know those sent to an earlier one. */
-    void stopAgainAfterRestart() {
-        for (Reservation reservation : room.all()) {
-            if (!reservation.wanted()) {
-                reservation.stopping();
+    void resendStopsAfterRestart() {
+        for (Reservation reservation : room.snapshot()) {
+            if (!reservation.shouldRun()) {
+                reservation.markStopping();
                 sendStop(reservation, true);
             }
         }
@@ -71,7 +71,7 @@
         if (answer.result() != OrderResult.UNKNOWN) {
             unanswered.recordAnswered(link.incarnation().id(), reservation.run());
         }
-        if (host.closed() || !room.contains(reservation)) {
+        if (host.isClosed() || !room.contains(reservation)) {
             return;
         }
         if (sentTo != link.incarnationNumber() && answer.result().isRefusal()) {
@@ -79,17 +79,17 @@
             return;
         }
         switch (answer.result()) {
-            case DONE -> reservation.running(link.nowMillis());
+            case DONE -> reservation.markRunning(link.nowMillis());
             case UNKNOWN -> startUnanswered(reservation);
-            case FENCED -> host.fenced();
+            case FENCED -> host.endpointFenced();
             case OTHER_ENDPOINT -> host.endpointGone();
             case OLD_RUN -> {
                 room.release(reservation);
-                host.events().refusedAsOld(host.endpoint(), reservation);
+                host.listener().startRefusedAsOld(host.endpoint(), reservation);
             }
             case UNREADABLE -> {
                 room.release(reservation);
-                host.events().unreadable(host.endpoint(), reservation);
+                host.listener().orderUnreadable(host.endpoint(), reservation);
             }
             default -> startRefused(reservation, answer.result());
         }
@@ -97,7 +97,7 @@
 
     private void startRefused(Reservation reservation, OrderResult result) {
         if (result == OrderResult.NOT_SENT) {
-            poller.suspect();
+            poller.markSilent();
         } else if (result != OrderResult.TOO_LATE) {
             host.eject(UNHEALTHY_EJECTION_MILLIS);
         }
@@ -107,7 +107,7 @@
     /** The order was not carried out, and will not be. */
     private void refused(Reservation reservation) {
         room.release(reservation);
-        host.events().refused(host.endpoint(), reservation);
+        host.listener().startRefused(host.endpoint(), reservation);
     }
 
     /**
@@ -120,16 +120,16 @@
      */
     private void startUnanswered(Reservation reservation) {
         if (reservation.is(Reservation.State.STARTING)) {
-            poller.readAside(() -> stopIfStarting(reservation));
+            poller.readOnNewConnection(() -> stopIfStarting(reservation));
             link.timers().after(FIRST_RESEND_MILLIS, () -> stopIfStarting(reservation));
         }
     }
 
     private void stopIfStarting(Reservation reservation) {
         if (isIn(Reservation.State.STARTING, reservation)) {
-            reservation.stopping();
+            reservation.markStopping();
             sendStop(reservation, true);
-            poller.suspect();
+            poller.markSilent();
         }
     }
 
@@ -148,7 +148,7 @@
     }
 
     private boolean isIn(Reservation.State state, Reservation reservation) {
-        return !host.closed() && room.contains(reservation) && reservation.is(state);
+        return !host.isClosed() && room.contains(reservation) && reservation.is(state);
     }
 
     private static long backedOff(long millis) {
@@ -161,7 +161,7 @@
         }
         switch (answer.result()) {
             case DONE, OLD_RUN -> stopTaken(reservation);
-            case FENCED -> host.fenced();
+            case FENCED -> host.endpointFenced();
             case OTHER_ENDPOINT -> host.endpointGone();
             default -> {
                 // It is sent again anyway.
@@ -176,18 +176,18 @@
     private void stopTaken(Reservation reservation) {
         long now = link.nowMillis();
         long stopMillis = link.settings().stopTime();
-        if (reservation.seen()) {
-            reservation.stopped(now + stopMillis);
+        if (reservation.wasSeen()) {
+            reservation.markStopped(now + stopMillis);
             link.timers().after(stopMillis + 1, poller::pollIfIdle);
         } else {
-            reservation.stopped(now);
+            reservation.markStopped(now);
             link.timers().after(1, () -> listUntilGone(reservation, FIRST_RESEND_MILLIS));
         }
     }
 
     private void listUntilGone(Reservation reservation, long againMillis) {
         if (isIn(Reservation.State.STOPPED, reservation)) {
-            poller.readAside(() -> {});
+            poller.readOnNewConnection(() -> {});
             link.timers().after(againMillis, () -> listUntilGone(reservation, backedOff(againMillis)));
         }
     }
@@ -198,7 +198,7 @@
         HeldEndpoint endpoint();
 
         /** Returns who is told what becomes of runs. */
-        EndpointEvents events();
+        EndpointListener listener();
 
         /** Starts nothing there for a while. */
         void eject(long millis);
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/placing/RunResults.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/placing/RunResults.java
@@ -8,7 +8,7 @@
 import org.tarragonarch.model.task.Verdict;
 
 /** Processes what endpoints say of runs: judges the endpoint, learns run times, and decides what its task does next. */
-final class RunResults implements EndpointEvents {
+final class RunResults implements EndpointListener {
     private final RunTimes runTimes;
     private final Timers timers;
     private final PlacerListener listener;
@@ -22,8 +22,8 @@
     }
 
     @Override
-    public void ended(HeldEndpoint endpoint, Reservation reservation, EndKind kind) {
-        if (host.closed()) {
+    public void runEnded(HeldEndpoint endpoint, Reservation reservation, EndKind kind) {
+        if (host.isClosed()) {
             return;
         }
         PlacedTask task = reservation.task();
@@ -70,43 +70,43 @@
      * that node was heard.
      */
     @Override
-    public void lapsedUnnoticed(HeldEndpoint endpoint, Reservation reservation) {
+    public void runLapsedUnnoticed(HeldEndpoint endpoint, Reservation reservation) {
         PlacedTask task = reservation.task();
-        boolean isOpen = !host.closed() && !task.job().over() && task.holds(reservation);
+        boolean isOpen = !host.isClosed() && !task.job().over() && task.holds(reservation);
         if (isOpen) {
             host.awaitOrigin(task);
         }
-        ended(endpoint, reservation, EndKind.LAPSED);
+        runEnded(endpoint, reservation, EndKind.LAPSED);
     }
 
     @Override
-    public void crashed(HeldEndpoint endpoint, PlacedTask task) {
+    public void crashConfirmed(HeldEndpoint endpoint, PlacedTask task) {
         task.crashed();
-        boolean isOpen = !host.closed() && !task.job().over() && !task.done();
+        boolean isOpen = !host.isClosed() && !task.job().over() && !task.done();
         if (isOpen && task.isCrashing()) {
             host.settle(task.job(), Verdict.FAILED);
         }
     }
 
     @Override
-    public void restarted(HeldEndpoint endpoint) {
+    public void endpointRestarted(HeldEndpoint endpoint) {
         EndpointEntry entry = endpoint.entry();
         listener.endpointRestarted(entry.domain(), entry.incarnation());
     }
 
     @Override
-    public void refused(HeldEndpoint endpoint, Reservation reservation) {
+    public void startRefused(HeldEndpoint endpoint, Reservation reservation) {
         requeueRefused(reservation);
     }
 
     @Override
-    public void refusedAsOld(HeldEndpoint endpoint, Reservation reservation) {
+    public void startRefusedAsOld(HeldEndpoint endpoint, Reservation reservation) {
         reservation.task().skipOldRuns();
         requeueRefused(reservation);
     }
 
     @Override
-    public void unreadable(HeldEndpoint endpoint, Reservation reservation) {
+    public void orderUnreadable(HeldEndpoint endpoint, Reservation reservation) {
         PlacedJob job = reservation.task().job();
         reservation.task().back();
         if (!job.over()) {
@@ -116,18 +116,18 @@
     }
 
     @Override
-    public void firstListed(HeldEndpoint endpoint) {
-        host.firstListed(endpoint);
+    public void firstListRead(HeldEndpoint endpoint) {
+        host.firstListRead(endpoint);
     }
 
     @Override
-    public void usable(HeldEndpoint endpoint) {
-        host.capacityFound();
+    public void endpointUsable(HeldEndpoint endpoint) {
+        host.capacityAdded();
     }
 
     @Override
-    public void fenced(HeldEndpoint endpoint) {
-        host.fenced(endpoint.entry().domain());
+    public void endpointFenced(HeldEndpoint endpoint) {
+        host.shardFenced(endpoint.entry().domain());
     }
 
     /**
@@ -168,7 +168,7 @@
     /** The placer whose runs these are. */
     interface Host {
         /** Returns whether every job was given back. */
-        boolean closed();
+        boolean isClosed();
 
         /** Ends a job with a verdict. */
         void settle(PlacedJob job, Verdict verdict);
@@ -183,12 +183,12 @@
         void capacityReleased(PlacedJob job);
 
         /** An endpoint can take tasks that it could not take before. */
-        void capacityFound();
+        void capacityAdded();
 
         /** An endpoint was read for the first time. */
-        void firstListed(HeldEndpoint endpoint);
+        void firstListRead(HeldEndpoint endpoint);
 
         /** The endpoints of a shard obey another holder. */
-        void fenced(FailureDomain shard);
+        void shardFenced(FailureDomain shard);
     }
 }
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/placing/RunTimeSpread.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/placing/RunTimeSpread.java
@@ -67,7 +67,7 @@
     }
 
     /** Returns the median of the largest ratio of true to expected run time among this many tasks. */
-    double slowestOf(int tasks) {
+    double medianSlowestRatio(int tasks) {
         int bounded = Math.min(MAX_TASKS, Math.max(1, tasks));
         if (slowestByTasks[bounded] == 0) {
             slowestByTasks[bounded] = quantile(Math.pow(1.0 / 2, 1.0 / bounded));
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/placing/RunTimes.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/placing/RunTimes.java
@@ -18,8 +18,8 @@
     }
 
     /** Returns the median of the largest ratio of true to expected run time among this many tasks. */
-    double slowestOf(String queue, int tasks) {
-        return times(queue).spread().slowestOf(tasks);
+    double medianSlowestRatio(String queue, int tasks) {
+        return times(queue).spread().medianSlowestRatio(tasks);
     }
 
     void record(String queue, long estimateMillis, long ranMillis) {
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/placing/SpeedLearning.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/placing/SpeedLearning.java
@@ -23,7 +23,7 @@
         PlacedJob job = reservation.task().job();
         long ran = nowMillis - reservation.startedAtMillis();
         boolean isLong = ran * speed.value() > EARLY_MULTIPLE * job.expectedRunMillis();
-        if (isLong && percent >= MIN_PERCENT && reservation.advanced() && isUsable(reservation)) {
+        if (isLong && percent >= MIN_PERCENT && reservation.hasAdvanced() && isUsable(reservation)) {
             reservation.markSpeedRecorded();
             speed.record(job.expectedRunMillis(), ran * WHOLE / percent);
         }
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/placing/StallDetector.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/placing/StallDetector.java
@@ -12,12 +12,12 @@
     /** A run that takes this many times its slowest percent so far for the next one is taken to stall. */
     private static final int PACE_MULTIPLE = 3;
 
-    private final ReservedRoom room;
+    private final ReservedCapacity room;
     private final EndpointHealth health;
     private final EndpointSpeed speed;
     private final ProgressReports progress;
 
-    StallDetector(ReservedRoom room, EndpointHealth health, EndpointSpeed speed, ProgressReports progress) {
+    StallDetector(ReservedCapacity room, EndpointHealth health, EndpointSpeed speed, ProgressReports progress) {
         this.room = room;
         this.health = health;
         this.speed = speed;
@@ -27,14 +27,14 @@
     /**
      * Stops runs that take far longer than expected, once for each task: if the second run is as long, so is the work.
      *
-     * <p>A run that has made progress is checked by {@link #followProgress} alone. Guards against stopping stragglers:
+     * <p>A run that has made progress is checked by {@link #checkProgress} alone. Guards against stopping stragglers:
      * a task that runs seven times as long as the others exceeds the limit of four times.
      */
     void restartOverdueRuns(long nowMillis) {
-        for (Reservation reservation : room.all()) {
+        for (Reservation reservation : room.snapshot()) {
             long limit = atSpeed(reservation.task().job().longestRunMillis());
-            boolean showsProgress = progress.areMeaningful() && reservation.advanced();
-            boolean isOverdue = reservation.wanted() && nowMillis - reservation.startedAtMillis() > limit;
+            boolean showsProgress = progress.areReliable() && reservation.hasAdvanced();
+            boolean isOverdue = reservation.shouldRun() && nowMillis - reservation.startedAtMillis() > limit;
             if (isOverdue && !showsProgress && reservation.task().restartOverdue()) {
                 health.recordStall(nowMillis);
             }
@@ -49,17 +49,17 @@
      *
      * @param asOfMillis when the list was asked for
      */
-    void followProgress(Reservation reservation, int percent, long asOfMillis) {
-        if (reservation.advancedTo(percent, asOfMillis)) {
-            progress.advanced();
+    void checkProgress(Reservation reservation, int percent, long asOfMillis) {
+        if (reservation.recordProgress(percent, asOfMillis)) {
+            progress.recordAdvance();
             return;
         }
         long limit = Math.max(
                 atSpeed(reservation.task().job().stallMillis()), PACE_MULTIPLE * reservation.slowestPercentMillis());
-        boolean isStalled = reservation.withoutProgressMillis(asOfMillis) >= limit;
+        boolean isStalled = reservation.millisWithoutProgress(asOfMillis) >= limit;
         if (isStalled
-                && reservation.wanted()
-                && progress.areMeaningful()
+                && reservation.shouldRun()
+                && progress.areReliable()
                 && reservation.task().restartStalled()) {
             health.recordStall(asOfMillis);
         }
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/placing/UnansweredStarts.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/placing/UnansweredStarts.java
@@ -36,7 +36,7 @@
                     .findFirst()
                     .ifPresent(this::remove);
         }
-        orders.put(order, new Sent(nowMillis, earlier == null ? 1 : earlier.times() + 1));
+        orders.put(order, new Sent(nowMillis, earlier == null ? 1 : earlier.unansweredSends() + 1));
         counts.add(endpoint);
     }
 
@@ -44,8 +44,8 @@
     void recordAnswered(EndpointId endpoint, TaskRun run) {
         Order order = new Order(endpoint, run);
         Sent sent = orders.get(order);
-        if (sent != null && sent.times() > 1) {
-            orders.put(order, new Sent(sent.atMillis(), sent.times() - 1));
+        if (sent != null && sent.unansweredSends() > 1) {
+            orders.put(order, new Sent(sent.atMillis(), sent.unansweredSends() - 1));
         } else {
             remove(order);
         }
@@ -55,7 +55,7 @@
     void recordListed(EndpointId endpoint, TaskRun run) {
         Order order = new Order(endpoint, run);
         Sent sent = orders.get(order);
-        if (sent != null && sent.times() == 1) {
+        if (sent != null && sent.unansweredSends() == 1) {
             remove(order);
         }
     }
@@ -69,13 +69,13 @@
     }
 
     /** Returns whether an order to the endpoint may yet be carried out. */
-    boolean anyAt(EndpointId endpoint, long nowMillis) {
+    boolean hasAny(EndpointId endpoint, long nowMillis) {
         expire(nowMillis);
         return counts.contains(endpoint);
     }
 
     /** Returns the runs whose orders to the endpoint may yet be carried out, the oldest first. */
-    ImmutableSet<TaskRun> at(EndpointId endpoint, long nowMillis) {
+    ImmutableSet<TaskRun> runsAt(EndpointId endpoint, long nowMillis) {
         expire(nowMillis);
         return orders.keySet().stream()
                 .filter(order -> order.endpoint().equals(endpoint))
@@ -107,7 +107,7 @@
      * The time and the number of unanswered sends of an order.
      *
      * @param atMillis when it was last sent, on the steady clock
-     * @param times the number of sends without an answer
+     * @param unansweredSends the number of sends without an answer
      */
-    private record Sent(long atMillis, int times) {}
+    private record Sent(long atMillis, int unansweredSends) {}
 }
--- a/tarragonarch-core/src/test/java/org/tarragonarch/core/cluster/CoordinatorTest.java
+++ b/tarragonarch-core/src/test/java/org/tarragonarch/core/cluster/CoordinatorTest.java
@@ -131,7 +131,7 @@
         test.listEndpoints(MANY_ENDPOINTS);
         test.endpoints.currentAsOf(test.timers.nowMillis());
         assertEquals(test.coordinator.endpointListNeed(), EndpointListNeed.OFTEN);
-        test.timers.pass(100);
+        test.timers.advance(100);
         test.coordinator.review(true);
         assertEquals(test.coordinator.heldShards(), 1);
         assertEquals(test.coordinator.endpointListNeed(), EndpointListNeed.NOW);
@@ -213,7 +213,7 @@
         CoordinatorTest test = new CoordinatorTest();
         test.listEndpoints(10);
         test.coordinator.review(true);
-        test.timers.pass(4_000);
+        test.timers.advance(4_000);
         test.coordinator.review(true);
         assertEquals(test.coordinator.heldShards(), 2);
         test.coordinator.drained(drained(7, HOBART, LAUNCESTON), "store");
--- a/tarragonarch-core/src/test/java/org/tarragonarch/core/cluster/CutOffHolderTest.java
+++ b/tarragonarch-core/src/test/java/org/tarragonarch/core/cluster/CutOffHolderTest.java
@@ -66,18 +66,18 @@
         FakeNode jobNode = addNode("c", 3, LAUNCESTON, 900, new PartlyCutOrders());
         QueueCatalog catalog = FakeCluster.catalog(1);
         holder.start(catalog);
-        cluster.timers.pass(5);
+        cluster.timers.advance(5);
         jobNode.start(catalog);
-        cluster.timers.pass(1_190);
+        cluster.timers.advance(1_190);
         successor.start(catalog);
-        cluster.timers.pass(1_110);
+        cluster.timers.advance(1_110);
         // The configuration's next version makes the job's node send its status between two of the holder's.
         jobNode.coordinator().configured(FakeCluster.catalog(2));
-        cluster.timers.pass(890);
+        cluster.timers.advance(890);
         assertEquals(holder.coordinator().heldShards(), 1);
         assertEquals(jobNode.coordinator().heldShards(), 1);
         cluster.submit(jobNode, JOB, 4);
-        cluster.timers.pass(200 + millis);
+        cluster.timers.advance(200 + millis);
         int cutOff = 0;
         while (hobart.get(cutOff).running() != 2) {
             cutOff++;
@@ -87,7 +87,7 @@
             cut(holder, other);
             cut(other, holder);
         }
-        cluster.timers.pass(5_000);
+        cluster.timers.advance(5_000);
     }
 
     private void cut(FakeNode from, FakeNode to) {
--- a/tarragonarch-core/src/test/java/org/tarragonarch/core/cluster/FakeCluster.java
+++ b/tarragonarch-core/src/test/java/org/tarragonarch/core/cluster/FakeCluster.java
@@ -60,7 +60,7 @@
 
     FakeEndpoint addEndpoint(String name, FailureDomain domain) {
         FakeEndpoint endpoint = new FakeEndpoint(timers, ledger, CAPACITY.milliCores());
-        endpoint.runsFor(RUN_MILLIS);
+        endpoint.setRunMillis(RUN_MILLIS);
         orders.add(EndpointId.of(name), endpoint);
         list(name, QUEUE.service(), domain);
         return endpoint;
--- a/tarragonarch-core/src/test/java/org/tarragonarch/core/cluster/NeighbourRoomTest.java
+++ b/tarragonarch-core/src/test/java/org/tarragonarch/core/cluster/NeighbourRoomTest.java
@@ -59,10 +59,10 @@
     public void testWithRoom_statusOverTwoPeriodsOld() {
         NeighbourRoomTest test = new NeighbourRoomTest();
         test.status(false, 100, LAUNCESTON);
-        test.timers.pass(400);
+        test.timers.advance(400);
         assertEquals(test.found(100), 1);
         assertEquals(test.found(101), 0);
-        test.timers.pass(1);
+        test.timers.advance(1);
         assertEquals(test.found(100), 0);
     }
 
@@ -75,7 +75,7 @@
         test.room.offered(HOLDER, 30);
         assertEquals(test.found(41), 0);
         assertEquals(test.found(40), 1);
-        test.timers.pass(200);
+        test.timers.advance(200);
         test.status(false, 100, LAUNCESTON);
         assertEquals(test.found(100), 1);
     }
@@ -88,7 +88,7 @@
         test.room.refused(HOLDER, 30);
         assertEquals(test.found(30), 0);
         assertEquals(test.found(29), 1);
-        test.timers.pass(200);
+        test.timers.advance(200);
         test.status(false, 100, LAUNCESTON);
         assertEquals(test.found(30), 1);
     }
--- a/tarragonarch-core/src/test/java/org/tarragonarch/core/cluster/SeparatePoolsFixture.java
+++ b/tarragonarch-core/src/test/java/org/tarragonarch/core/cluster/SeparatePoolsFixture.java
@@ -44,7 +44,7 @@
         launcestonHolder = addNode("c", 3, LAUNCESTON, 900, launcestonMachine);
         addNode("d", 4, HOBART, 800, machine());
         connections.nodes().forEach(node -> node.start(FakeCluster.catalog(1)));
-        timers.pass(1_000);
+        timers.advance(1_000);
     }
 
     private SuspendableNode machine() {
--- a/tarragonarch-core/src/test/java/org/tarragonarch/core/cluster/SeparatePoolsTest.java
+++ b/tarragonarch-core/src/test/java/org/tarragonarch/core/cluster/SeparatePoolsTest.java
@@ -44,13 +44,13 @@
         assertEquals(cluster.hobartHolder.coordinator().heldShards(), 1);
         assertEquals(cluster.launcestonHolder.coordinator().heldShards(), 1);
         JobService.Submission filler = cluster.submit(cluster.hobartHolder, FILLER, SeparatePoolsFixture.PLACES);
-        cluster.timers.pass(300);
+        cluster.timers.advance(300);
         assertEquals(cluster.hobartEndpoint.running(), SeparatePoolsFixture.PLACES);
         test.job = cluster.submit(throughHolder ? cluster.hobartHolder : cluster.hobartNode, JOB, 1);
-        cluster.timers.pass(100);
+        cluster.timers.advance(100);
         assertEquals(cluster.launcestonEndpoint.running(), 1);
         filler.clientLeft();
-        cluster.timers.pass(100);
+        cluster.timers.advance(100);
         assertEquals(cluster.hobartEndpoint.running(), 0);
         return test;
     }
@@ -61,9 +61,9 @@
     }
 
     private void sendAgain(FakeNode node) {
-        cluster.timers.pass(CLIENT_PAUSE_MILLIS);
+        cluster.timers.advance(CLIENT_PAUSE_MILLIS);
         cluster.submit(node, JOB, 1);
-        cluster.timers.pass(500);
+        cluster.timers.advance(500);
     }
 
     private void assertNeverTwoRuns() {
@@ -119,9 +119,9 @@
         SeparatePoolsTest test = placedInOtherDomain(false);
         FakeNode holder = test.cluster.launcestonHolder;
         test.cluster.connections.stall(holder.id(), test.cluster.hobartNode.id(), STALL_MILLIS);
-        test.cluster.timers.pass(SILENT_MILLIS);
+        test.cluster.timers.advance(SILENT_MILLIS);
         assertFalse(test.cluster.hobartNode.reaches(holder));
-        test.cluster.timers.pass(OFFERED_AGAIN_MILLIS);
+        test.cluster.timers.advance(OFFERED_AGAIN_MILLIS);
         assertEquals(test.cluster.hobartEndpoint.running(), 1);
         test.assertNeverTwoRuns();
     }
@@ -132,9 +132,9 @@
         SeparatePoolsTest test = placedInOtherDomain(false);
         FakeNode holder = test.cluster.launcestonHolder;
         test.cluster.connections.stall(holder.id(), test.cluster.hobartNode.id(), SILENT_FOR_GOOD_MILLIS);
-        test.cluster.timers.pass(SILENT_MILLIS);
+        test.cluster.timers.advance(SILENT_MILLIS);
         assertFalse(test.cluster.hobartNode.reaches(holder));
-        test.cluster.timers.pass(100);
+        test.cluster.timers.advance(100);
         assertEquals(test.cluster.launcestonEndpoint.running(), 0);
     }
 
@@ -147,9 +147,9 @@
         SeparatePoolsTest test = placedInOtherDomain(true);
         FakeNode holder = test.cluster.launcestonHolder;
         test.cluster.connections.stall(holder.id(), test.cluster.hobartHolder.id(), STALL_MILLIS);
-        test.cluster.timers.pass(SILENT_MILLIS);
+        test.cluster.timers.advance(SILENT_MILLIS);
         assertFalse(test.cluster.hobartHolder.reaches(holder));
-        test.cluster.timers.pass(OFFERED_AGAIN_MILLIS);
+        test.cluster.timers.advance(OFFERED_AGAIN_MILLIS);
         test.assertNeverTwoRuns();
     }
 
@@ -162,12 +162,12 @@
         SeparatePoolsTest test = new SeparatePoolsTest();
         SeparatePoolsFixture cluster = test.cluster;
         test.job = cluster.submit(cluster.hobartNode, JOB, 1);
-        cluster.timers.pass(100);
+        cluster.timers.advance(100);
         assertEquals(cluster.hobartEndpoint.running(), 1);
         cluster.connections.stall(cluster.hobartHolder.id(), cluster.hobartNode.id(), SILENT_FOR_GOOD_MILLIS);
-        cluster.timers.pass(SILENT_MILLIS);
+        cluster.timers.advance(SILENT_MILLIS);
         assertFalse(cluster.hobartNode.reaches(cluster.hobartHolder));
-        cluster.timers.pass(OFFERED_AGAIN_MILLIS);
+        cluster.timers.advance(OFFERED_AGAIN_MILLIS);
         test.assertNeverTwoRuns();
         assertEquals(cluster.hobartEndpoint.running() + cluster.launcestonEndpoint.running(), 1);
     }
@@ -186,11 +186,11 @@
             test.cluster.connections.refuse(other.id(), holder.id(), SUSPENDED_MILLIS);
         }
         test.cluster.launcestonMachine.suspend(SUSPENDED_MILLIS);
-        test.cluster.timers.pass(SUSPENDED_MILLIS - 10);
+        test.cluster.timers.advance(SUSPENDED_MILLIS - 10);
         assertFalse(test.cluster.hobartNode.reaches(holder));
         test.assertNeverTwoRuns();
         assertEquals(test.cluster.hobartEndpoint.running(), 1);
-        test.cluster.timers.pass(1_000);
+        test.cluster.timers.advance(1_000);
         test.assertNeverTwoRuns();
     }
 
@@ -198,12 +198,12 @@
     @Test
     public void testOffer_connectionBreaksUnderTheOffer() {
         cluster.submit(cluster.hobartHolder, FILLER, SeparatePoolsFixture.PLACES);
-        cluster.timers.pass(300);
+        cluster.timers.advance(300);
         cluster.submit(cluster.hobartNode, JOB, 1);
         // The holder of the own domain has returned the job, and the offer to the other is on its way.
-        cluster.timers.pass(2);
+        cluster.timers.advance(2);
         cluster.connections.breakConnection(cluster.hobartNode.id(), cluster.launcestonHolder.id());
-        cluster.timers.pass(2_000);
+        cluster.timers.advance(2_000);
         assertTrue(cluster.launcestonHolder.reaches(cluster.hobartNode));
         assertEquals(cluster.launcestonEndpoint.running(), 1);
     }
--- a/tarragonarch-core/src/test/java/org/tarragonarch/core/cluster/StatusSenderTest.java
+++ b/tarragonarch-core/src/test/java/org/tarragonarch/core/cluster/StatusSenderTest.java
@@ -43,7 +43,7 @@
         test.sender.sendNow(Heartbeats.Audience.ALL);
         test.sender.sendDue();
         assertEquals(test.sent, ImmutableList.of("status to all, 0 shards"));
-        test.timers.pass(PeerTable.DISTANT_SILENCE_MILLIS);
+        test.timers.advance(PeerTable.DISTANT_SILENCE_MILLIS);
         test.sender.sendDue();
         assertEquals(test.sent.size(), 2, test.sent.toString());
     }
--- a/tarragonarch-core/src/test/java/org/tarragonarch/core/follow/StoreOutageTest.java
+++ b/tarragonarch-core/src/test/java/org/tarragonarch/core/follow/StoreOutageTest.java
@@ -113,7 +113,7 @@
         }
 
         void passTo(long millis) {
-            timers.pass(millis - now());
+            timers.advance(millis - now());
         }
 
         /** Lets the store fail from a time to another, which it is then. */
--- a/tarragonarch-core/src/test/java/org/tarragonarch/core/follow/TableFollowerTest.java
+++ b/tarragonarch-core/src/test/java/org/tarragonarch/core/follow/TableFollowerTest.java
@@ -43,7 +43,7 @@
         script.addAll(List.of(replies));
         new TableFollower(new ScriptedStore(), StoreTable.OPERATOR, timers, new Notes(), FollowPace.waiting(1_000))
                 .start();
-        timers.pass(10_000);
+        timers.advance(10_000);
     }
 
     @Test
@@ -62,15 +62,15 @@
         TableFollower follower = new TableFollower(
                 test.new ScriptedStore(), StoreTable.ENDPOINTS, test.timers, test.new Notes(), FollowPace.every(3_600));
         follower.start();
-        test.timers.pass(1_000);
+        test.timers.advance(1_000);
         assertEquals(test.seen, ImmutableList.of("read", "replaced [a]"));
         follower.changePace(FollowPace.every(900));
-        test.timers.pass(10);
+        test.timers.advance(10);
         assertEquals(test.seen, ImmutableList.of("read", "replaced [a]", "follow 5", "changed [b]"));
         follower.changePace(FollowPace.every(3_600));
-        test.timers.pass(3_500);
+        test.timers.advance(3_500);
         assertEquals(test.seen.size(), 4);
-        test.timers.pass(200);
+        test.timers.advance(200);
         assertEquals(test.seen.size(), 6);
     }
 
@@ -83,13 +83,13 @@
         TableFollower follower = new TableFollower(
                 test.new ScriptedStore(), StoreTable.ENDPOINTS, test.timers, test.new Notes(), FollowPace.every(900));
         follower.start();
-        test.timers.pass(100);
+        test.timers.advance(100);
         follower.followNow();
-        test.timers.pass(10);
+        test.timers.advance(10);
         assertEquals(test.seen, ImmutableList.of("read", "replaced [a]", "follow 5", "changed [b]"));
-        test.timers.pass(880);
+        test.timers.advance(880);
         assertEquals(test.seen.size(), 4);
-        test.timers.pass(30);
+        test.timers.advance(30);
         assertEquals(test.seen.size(), 6);
     }
 
@@ -103,7 +103,7 @@
                 test.new ScriptedStore(), StoreTable.ENDPOINTS, test.timers, test.new Notes(), FollowPace.every(900));
         follower.start();
         follower.followNow();
-        test.timers.pass(100);
+        test.timers.advance(100);
         assertEquals(test.seen, ImmutableList.of("read", "replaced [a]"));
     }
 
--- a/tarragonarch-core/src/test/java/org/tarragonarch/core/placing/EndpointHealthTest.java
+++ b/tarragonarch-core/src/test/java/org/tarragonarch/core/placing/EndpointHealthTest.java
@@ -12,7 +12,7 @@
 
     /** Guards against an endpoint on which every second run stalls and that is never ejected. */
     @Test
-    public void testResting_halfOfTheRunsStandStill() {
+    public void testEject_halfOfTheRunsStall() {
         EndpointHealth health = new EndpointHealth();
         int runs = 0;
         while (!health.isEjected(0)) {
@@ -24,7 +24,7 @@
     }
 
     @Test
-    public void testResting_threeFailuresInARow() {
+    public void testEject_threeFailuresInARow() {
         EndpointHealth health = new EndpointHealth();
         health.recordFailure(0);
         health.recordFailure(0);
@@ -37,7 +37,7 @@
 
     /** Jobs that can never be done come by, one run in twenty: sound endpoints hardly ever rest for them. */
     @Test
-    public void testResting_hopelessJobsAmongOthers() {
+    public void testEject_occasionalFailures() {
         int rests = 0;
         for (int seed = 0; seed < 200; seed++) {
             SplittableRandom random = new SplittableRandom(seed);
--- a/tarragonarch-core/src/test/java/org/tarragonarch/core/placing/EndpointObservationsTest.java
+++ b/tarragonarch-core/src/test/java/org/tarragonarch/core/placing/EndpointObservationsTest.java
@@ -14,8 +14,8 @@
 
     /** Guards against an incarnation that is ejected, or taken to be slow, for what an earlier one did. */
     @Test
-    public void testReset_healthAndSpeedStartAnew() {
-        ReservedRoom room = new ReservedRoom(new Resources(16_000, 32_768, 0), new ShareTally());
+    public void testReset_clearsHealthAndSpeed() {
+        ReservedCapacity room = new ReservedCapacity(new Resources(16_000, 32_768, 0), new ShareTally());
         EndpointObservations observations = new EndpointObservations(room, new ProgressReports());
         observations.health().eject(NOW_MILLIS, 10_000);
         observations.speed().record(100, 500);
--- a/tarragonarch-core/src/test/java/org/tarragonarch/core/placing/FakeEndpoint.java
+++ b/tarragonarch-core/src/test/java/org/tarragonarch/core/placing/FakeEndpoint.java
@@ -63,11 +63,11 @@
     }
 
     /** Lets each task that starts from now on run for that long. */
-    public void runsFor(long millis) {
+    public void setRunMillis(long millis) {
         runMillis = millis;
     }
 
-    long clock() {
+    long clockMillis() {
         return timers.nowMillis() + clockOffset;
     }
 
@@ -106,7 +106,7 @@
     }
 
     /** Tells from now on when it started. */
-    void tellStart(long millis) {
+    void reportStart(long millis) {
         startedMillis = millis;
     }
 
@@ -196,7 +196,7 @@
             return OrderResult.FENCED;
         }
         token = order.token().value();
-        if (order.leaseUntilMillis() <= clock()) {
+        if (order.leaseUntilMillis() <= clockMillis()) {
             return OrderResult.TOO_LATE;
         }
         boolean old = order.run().run() <= overUpTo.getOrDefault(order.run().task(), 0);
@@ -204,12 +204,12 @@
     }
 
     private void extend(long until) {
-        leaseUntil = Math.max(leaseUntil, Math.min(until, clock() + LONGEST_LEASE_MILLIS));
-        after(leaseUntil - clock(), this::lapseIfOver);
+        leaseUntil = Math.max(leaseUntil, Math.min(until, clockMillis() + LONGEST_LEASE_MILLIS));
+        after(leaseUntil - clockMillis(), this::lapseIfOver);
     }
 
     private void lapseIfOver() {
-        if (clock() >= leaseUntil) {
+        if (clockMillis() >= leaseUntil) {
             ImmutableList.copyOf(running.keySet()).forEach(run -> end(run, EndKind.LAPSED));
         }
     }
@@ -236,13 +236,13 @@
     private HoldAnswer lists() {
         return new HoldAnswer(
                 OrderResult.DONE,
-                OptionalLong.of(clock()),
+                OptionalLong.of(clockMillis()),
                 running.keySet().stream().map(this::progress).collect(ImmutableList.toImmutableList()),
                 ImmutableList.copyOf(ends),
                 startedMillis);
     }
 
     private OrderAnswer answer(OrderResult result) {
-        return new OrderAnswer(result, OptionalLong.of(clock()));
+        return new OrderAnswer(result, OptionalLong.of(clockMillis()));
     }
 }
--- a/tarragonarch-core/src/test/java/org/tarragonarch/core/placing/FakeOrders.java
+++ b/tarragonarch-core/src/test/java/org/tarragonarch/core/placing/FakeOrders.java
@@ -20,25 +20,25 @@
 /** The way to a handful of endpoints, with faults on it. */
 public final class FakeOrders implements EndpointOrders {
     /** What becomes of an order on its way. */
-    enum Way {
+    enum Fault {
         /** It arrives, and so does its answer. */
-        CLEAR,
+        NONE,
         /** Nothing arrives. */
-        CUT,
+        LOST,
         /** It arrives, and its answer is lost. */
         ANSWER_LOST,
         /** It arrives three seconds later, and its answer is lost. */
-        LATE
+        DELAYED
     }
 
     private static final long WAY_MILLIS = 1;
     private static final long LATE_MILLIS = 3_000;
 
     final Map<EndpointId, FakeEndpoint> endpoints = new LinkedHashMap<>();
-    final Map<EndpointId, Way> ways = new HashMap<>();
-    Supplier<Way> startWay = () -> Way.CLEAR;
-    Supplier<Way> holdWay = () -> Way.CLEAR;
-    Supplier<Way> stopWay = () -> Way.CLEAR;
+    final Map<EndpointId, Fault> faults = new HashMap<>();
+    Supplier<Fault> startFault = () -> Fault.NONE;
+    Supplier<Fault> holdFault = () -> Fault.NONE;
+    Supplier<Fault> stopFault = () -> Fault.NONE;
     long listMillis = WAY_MILLIS;
     private final VirtualTimers timers;
     private final long milliCores;
@@ -63,12 +63,12 @@
         Once<HoldAnswer> once = new Once<>(reply);
         long patience = order.waitMillis() + delivery.answerWithinMillis();
         timers.after(patience, () -> once.give(HoldAnswer.failed(OrderResult.UNKNOWN)));
-        Way drawn = way(entry) == Way.CLEAR ? holdWay.get() : way(entry);
-        if (drawn == Way.CLEAR) {
+        Fault drawn = way(entry) == Fault.NONE ? holdFault.get() : way(entry);
+        if (drawn == Fault.NONE) {
             timers.after(
                     WAY_MILLIS,
                     () -> endpoints.get(entry.id()).hold(order, answer -> {
-                        if (way(entry) == Way.CLEAR) {
+                        if (way(entry) == Fault.NONE) {
                             timers.after(listMillis, () -> once.give(answer));
                         }
                     }));
@@ -77,7 +77,7 @@
 
     @Override
     public void start(EndpointEntry entry, StartOrder order, Delivery delivery, Consumer<OrderAnswer> reply) {
-        Way drawn = way(entry) == Way.CLEAR ? startWay.get() : way(entry);
+        Fault drawn = way(entry) == Fault.NONE ? startFault.get() : way(entry);
         FakeEndpoint endpoint = endpoints.get(entry.id());
         send(drawn, () -> endpoint.start(order, milliCores), endpoint, delivery, reply);
     }
@@ -85,13 +85,13 @@
     @Override
     public void stop(
             EndpointEntry entry, FencingToken token, TaskRun run, Delivery delivery, Consumer<OrderAnswer> reply) {
-        Way drawn = way(entry) == Way.CLEAR ? stopWay.get() : way(entry);
+        Fault drawn = way(entry) == Fault.NONE ? stopFault.get() : way(entry);
         FakeEndpoint endpoint = endpoints.get(entry.id());
         send(drawn, () -> endpoint.stop(token, run), endpoint, delivery, reply);
     }
 
-    private Way way(EndpointEntry entry) {
-        return ways.getOrDefault(entry.id(), Way.CLEAR);
+    private Fault way(EndpointEntry entry) {
+        return faults.getOrDefault(entry.id(), Fault.NONE);
     }
 
     /**
@@ -105,7 +105,7 @@
     }
 
     private void send(
-            Way way,
+            Fault way,
             Supplier<OrderAnswer> order,
             FakeEndpoint endpoint,
             Delivery delivery,
@@ -113,14 +113,14 @@
         Once<OrderAnswer> once = new Once<>(reply);
         timers.after(delivery.answerWithinMillis(), () -> once.give(OrderAnswer.of(OrderResult.UNKNOWN)));
         switch (way) {
-            case CLEAR ->
+            case NONE ->
                 timers.after(WAY_MILLIS, () -> {
                     OrderAnswer answer = order.get();
                     timers.after(WAY_MILLIS, () -> once.give(answer));
                 });
             case ANSWER_LOST -> timers.after(WAY_MILLIS, order::get);
-            case LATE -> timers.after(LATE_MILLIS, () -> carryOutLate(order, endpoint));
-            case CUT -> {
+            case DELAYED -> timers.after(LATE_MILLIS, () -> carryOutLate(order, endpoint));
+            case LOST -> {
                 // Nothing arrives.
             }
             default -> throw new AssertionError(way);
--- a/tarragonarch-core/src/test/java/org/tarragonarch/core/placing/JobLifecycleTest.java
+++ b/tarragonarch-core/src/test/java/org/tarragonarch/core/placing/JobLifecycleTest.java
@@ -59,7 +59,7 @@
         test.jobs.withdraw(PlacerFixture.ORIGIN, PlacerFixture.id(1));
         test.jobs.originLost(PlacerFixture.ORIGIN);
         test.jobs.returnAll();
-        test.timers.pass(2_000);
+        test.timers.advance(2_000);
         assertEquals(test.verdicts, ImmutableList.of());
     }
 
--- a/tarragonarch-core/src/test/java/org/tarragonarch/core/placing/LostAnswersTest.java
+++ b/tarragonarch-core/src/test/java/org/tarragonarch/core/placing/LostAnswersTest.java
@@ -37,14 +37,14 @@
     public void testStart_unanswered(String what, ImmutableSet<Integer> lists, int stops, int longestMillis) {
         PlacerFixture fixture = new PlacerFixture(1);
         Placer placer = fixture.placer(1);
-        fixture.timers.pass(20);
-        fixture.orders.startWay = lostAt(ImmutableSet.of(1));
-        fixture.orders.holdWay = lostAt(lists);
-        fixture.orders.stopWay = lostAt(stops == 2 ? ImmutableSet.of(1, 2) : ImmutableSet.of(stops));
+        fixture.timers.advance(20);
+        fixture.orders.startFault = lostAt(ImmutableSet.of(1));
+        fixture.orders.holdFault = lostAt(lists);
+        fixture.orders.stopFault = lostAt(stops == 2 ? ImmutableSet.of(1, 2) : ImmutableSet.of(stops));
         placer.offer(PlacerFixture.patientOffer(1, 1, 60));
         int waited = 0;
         while (fixture.ledger.starts() == 0 && waited < PATIENCE_MILLIS) {
-            fixture.timers.pass(1);
+            fixture.timers.advance(1);
             waited++;
         }
         assertTrue(waited <= longestMillis, what + " lost: " + waited + " ms");
@@ -57,16 +57,16 @@
         PlacerFixture fixture = new PlacerFixture(1);
         fixture.endpoint(1).runMillis = 300;
         Placer placer = fixture.placer(1);
-        fixture.timers.pass(20);
-        fixture.orders.startWay = () -> FakeOrders.Way.ANSWER_LOST;
+        fixture.timers.advance(20);
+        fixture.orders.startFault = () -> FakeOrders.Fault.ANSWER_LOST;
         placer.offer(PlacerFixture.patientOffer(1, 1, 300));
-        fixture.timers.pass(310);
+        fixture.timers.advance(310);
         assertEquals(fixture.verdicts, ImmutableList.of("origin-1 1 DONE"));
         assertEquals(fixture.ledger.starts(), 1);
     }
 
-    private static Supplier<FakeOrders.Way> lostAt(ImmutableSet<Integer> numbers) {
+    private static Supplier<FakeOrders.Fault> lostAt(ImmutableSet<Integer> numbers) {
         int[] number = {0};
-        return () -> numbers.contains(++number[0]) ? FakeOrders.Way.CUT : FakeOrders.Way.CLEAR;
+        return () -> numbers.contains(++number[0]) ? FakeOrders.Fault.LOST : FakeOrders.Fault.NONE;
     }
 }
--- a/tarragonarch-core/src/test/java/org/tarragonarch/core/placing/OfferAdmissionTest.java
+++ b/tarragonarch-core/src/test/java/org/tarragonarch/core/placing/OfferAdmissionTest.java
@@ -16,7 +16,7 @@
 
     private static OfferAdmissionTest opened() {
         OfferAdmissionTest test = new OfferAdmissionTest();
-        test.fixture.timers.pass(20);
+        test.fixture.timers.advance(20);
         return test;
     }
 
@@ -35,7 +35,7 @@
 
     private void offerAtOnce(int number, int tasks, boolean fromOwnDomain) {
         placer.offer(atOnce(number, tasks, fromOwnDomain));
-        fixture.timers.pass(5);
+        fixture.timers.advance(5);
     }
 
     /** Guards against a decline that operators see as a refusal, and against a job that is half started. */
@@ -54,7 +54,7 @@
         OfferAdmissionTest test = opened();
         test.offerAtOnce(1, 5, true);
         test.placer.offer(PlacerFixture.offer(1, 5));
-        test.fixture.timers.pass(400);
+        test.fixture.timers.advance(400);
         assertEquals(test.fixture.verdicts, ImmutableList.of("origin-1 1 NOT_AT_ONCE", "origin-1 1 DONE"));
     }
 
@@ -80,7 +80,7 @@
         test.placer.offer(PlacerFixture.offer(1, 3));
         test.placer.offer(PlacerFixture.offer(2, 2));
         test.placer.offer(PlacerFixture.offer(3, 2));
-        test.fixture.timers.pass(5);
+        test.fixture.timers.advance(5);
         test.offerAtOnce(4, 1, false);
         assertEquals(test.fixture.verdicts, ImmutableList.of("origin-1 4 NOT_AT_ONCE"));
     }
@@ -94,7 +94,7 @@
         OfferAdmissionTest test = opened();
         for (int i = 0; i < 20; i++) {
             test.placer.offer(PlacerFixture.offer(0x100 + i, 3));
-            test.fixture.timers.pass(70);
+            test.fixture.timers.advance(70);
         }
         test.fixture.verdicts.clear();
         test.offerAtOnce(1, 4, false);
@@ -113,7 +113,7 @@
         test.placer.withdraw(PlacerFixture.ORIGIN, PlacerFixture.id(1));
         test.placer.offer(atOnce(1, 4, true));
         assertEquals(test.fixture.verdicts, ImmutableList.of());
-        test.fixture.timers.pass(400);
+        test.fixture.timers.advance(400);
         assertEquals(test.fixture.verdicts, ImmutableList.of("origin-1 1 DONE"));
     }
 
@@ -124,7 +124,7 @@
         fixture.plan = SharePlan.of(ImmutableList.of(new ShareSettings(0, 1, 0, 0.5)));
         Placer holder = fixture.opened(1);
         holder.offer(atOnce(1, 3, true));
-        fixture.timers.pass(5);
+        fixture.timers.advance(5);
         assertEquals(fixture.verdicts, ImmutableList.of("origin-1 1 NOT_AT_ONCE"));
         assertEquals(fixture.ledger.starts(), 0);
     }
--- a/tarragonarch-core/src/test/java/org/tarragonarch/core/placing/PendingJobsTest.java
+++ b/tarragonarch-core/src/test/java/org/tarragonarch/core/placing/PendingJobsTest.java
@@ -62,7 +62,7 @@
         EndpointLink link = new EndpointLink(
                 entry, FencingToken.of(1, "10.0.0.1"), PlacingSettings.of(1_000, 50), fixture.orders, fixture.timers);
         return new HeldEndpoint(
-                link, new IgnoredEvents(), new ProgressReports(), new UnansweredStarts(), new ShareTally());
+                link, new NoOpEndpointListener(), new ProgressReports(), new UnansweredStarts(), new ShareTally());
     }
 
     private static void place(PlacedTask task, HeldEndpoint endpoint) {
--- a/tarragonarch-core/src/test/java/org/tarragonarch/core/placing/PlacerChaosTest.java
+++ b/tarragonarch-core/src/test/java/org/tarragonarch/core/placing/PlacerChaosTest.java
@@ -25,10 +25,10 @@
     }
 
     @Test(dataProvider = "seeds")
-    public void testNoTaskRunsTwice_randomTrouble(int seed) {
+    public void testNoTaskRunsTwice_randomFaults(int seed) {
         Random random = new Random(seed);
         PlacerFixture fixture = new PlacerFixture(4);
-        fixture.orders.startWay = () -> drawWay(random);
+        fixture.orders.startFault = () -> drawWay(random);
         long term = 1;
         Placer placer = fixture.placer(term);
         for (int step = 0; step < STEPS; step++) {
@@ -47,9 +47,9 @@
                             job, 1 + random.nextInt(4), 60, PlacerFixture.ORIGIN, fixture.ledger.starts() > 0));
             }
             fixture.endpoint(1 + random.nextInt(4)).runMillis = 20 + random.nextInt(600);
-            fixture.timers.pass(random.nextInt(60));
+            fixture.timers.advance(random.nextInt(60));
         }
-        fixture.timers.pass(6_000);
+        fixture.timers.advance(6_000);
         assertEquals(fixture.ledger.broken(), ImmutableList.of());
     }
 
@@ -58,9 +58,9 @@
     public void testNoTaskRunsTwice_stopsAndListsAreLost(int seed) {
         Random random = new Random(seed);
         PlacerFixture fixture = new PlacerFixture(4);
-        fixture.orders.startWay = () -> drawWay(random);
-        fixture.orders.stopWay = () -> drawWay(random);
-        fixture.orders.holdWay = () -> drawWay(random);
+        fixture.orders.startFault = () -> drawWay(random);
+        fixture.orders.stopFault = () -> drawWay(random);
+        fixture.orders.holdFault = () -> drawWay(random);
         Placer placer = fixture.placer(1);
         for (int step = 0; step < STEPS; step++) {
             if (random.nextInt(10) == 0) {
@@ -68,9 +68,9 @@
             }
             placer.offer(PlacerFixture.offer(1 + random.nextInt(15), 1 + random.nextInt(4)));
             fixture.endpoint(1 + random.nextInt(4)).runMillis = 20 + random.nextInt(600);
-            fixture.timers.pass(random.nextInt(60));
+            fixture.timers.advance(random.nextInt(60));
         }
-        fixture.timers.pass(6_000);
+        fixture.timers.advance(6_000);
         assertEquals(fixture.ledger.broken(), ImmutableList.of());
     }
 
@@ -79,7 +79,7 @@
     public void testNoTaskRunsTwice_endpointsRestart(int seed) {
         Random random = new Random(seed);
         PlacerFixture fixture = new PlacerFixture(4).tellingStarts();
-        fixture.orders.startWay = () -> drawWay(random);
+        fixture.orders.startFault = () -> drawWay(random);
         Placer placer = fixture.placer(1);
         for (int step = 0; step < STEPS; step++) {
             int number = 1 + random.nextInt(4);
@@ -95,26 +95,26 @@
                             1 + random.nextInt(15), 1 + random.nextInt(4), 60, PlacerFixture.ORIGIN, false));
             }
             fixture.endpoint(1 + random.nextInt(4)).runMillis = 20 + random.nextInt(600);
-            fixture.timers.pass(random.nextInt(60));
+            fixture.timers.advance(random.nextInt(60));
         }
-        fixture.timers.pass(20_000);
+        fixture.timers.advance(20_000);
         assertEquals(fixture.ledger.broken(), ImmutableList.of());
     }
 
-    private static FakeOrders.Way drawWay(Random random) {
+    private static FakeOrders.Fault drawWay(Random random) {
         return switch (random.nextInt(20)) {
-            case 0 -> FakeOrders.Way.LATE;
-            case 1 -> FakeOrders.Way.ANSWER_LOST;
-            case 2 -> FakeOrders.Way.CUT;
-            default -> FakeOrders.Way.CLEAR;
+            case 0 -> FakeOrders.Fault.DELAYED;
+            case 1 -> FakeOrders.Fault.ANSWER_LOST;
+            case 2 -> FakeOrders.Fault.LOST;
+            default -> FakeOrders.Fault.NONE;
         };
     }
 
-    private static FakeOrders.Way drawCut(Random random) {
+    private static FakeOrders.Fault drawCut(Random random) {
         return switch (random.nextInt(4)) {
-            case 0 -> FakeOrders.Way.CUT;
-            case 1 -> FakeOrders.Way.ANSWER_LOST;
-            default -> FakeOrders.Way.CLEAR;
+            case 0 -> FakeOrders.Fault.LOST;
+            case 1 -> FakeOrders.Fault.ANSWER_LOST;
+            default -> FakeOrders.Fault.NONE;
         };
     }
 }
--- a/tarragonarch-core/src/test/java/org/tarragonarch/core/placing/PlacerCrashTest.java
+++ b/tarragonarch-core/src/test/java/org/tarragonarch/core/placing/PlacerCrashTest.java
@@ -23,7 +23,7 @@
     private static Placer openedWithTask(PlacerFixture fixture) {
         Placer placer = opened(fixture);
         placer.offer(PlacerFixture.patientOffer(1, 1, RUN_MILLIS));
-        fixture.timers.pass(20);
+        fixture.timers.advance(20);
         return placer;
     }
 
@@ -38,12 +38,12 @@
 
     private static void crash(PlacerFixture fixture, int number) {
         fixture.endpoint(number).crash();
-        fixture.timers.pass(20);
+        fixture.timers.advance(20);
     }
 
     /** Guards against a task that takes down one endpoint after the other until its client leaves. */
     @Test
-    public void testCrash_taskIsGivenUpAfterTwo() {
+    public void testCrash_taskFailsAfterTwoCrashes() {
         PlacerFixture fixture = fixture(4);
         openedWithTask(fixture);
         crash(fixture, endpointThatRuns(fixture));
@@ -55,19 +55,19 @@
 
     /** Guards against a task that is given up because another, beside which it ran, crashes endpoints. */
     @Test
-    public void testCrash_tasksThatStoodBesideAreStartedApartAndCleared() {
+    public void testCrash_tasksOfOneEndpointRestartSeparately() {
         PlacerFixture fixture = fixture(4);
         Placer placer = opened(fixture);
         placer.offer(PlacerFixture.patientOffer(1, 1, RUN_MILLIS));
         placer.offer(PlacerFixture.patientOffer(2, 1, RUN_MILLIS));
-        fixture.timers.pass(20);
+        fixture.timers.advance(20);
         int shared = endpointThatRuns(fixture);
         assertEquals(fixture.endpoint(shared).running(), 2);
         crash(fixture, shared);
         int first = endpointThatRuns(fixture);
         assertEquals(fixture.endpoint(first).running(), 1);
         crash(fixture, first);
-        fixture.timers.pass(RUN_MILLIS);
+        fixture.timers.advance(RUN_MILLIS);
         assertEquals(fixture.verdicts.size(), 2);
         assertTrue(fixture.verdicts.get(0).endsWith("FAILED"), fixture.verdicts.toString());
         assertTrue(fixture.verdicts.get(1).endsWith("DONE"), fixture.verdicts.toString());
@@ -75,28 +75,28 @@
 
     /** Guards against other tasks that are put beside one which may crash its endpoint. */
     @Test
-    public void testCrash_othersStayAwayFromASuspect() {
+    public void testCrash_otherTasksAvoidASuspect() {
         PlacerFixture fixture = fixture(4);
         Placer placer = openedWithTask(fixture);
         crash(fixture, endpointThatRuns(fixture));
         int suspect = endpointThatRuns(fixture);
         placer.offer(PlacerFixture.patientOffer(2, 1, RUN_MILLIS));
-        fixture.timers.pass(20);
+        fixture.timers.advance(20);
         assertEquals(fixture.endpoint(suspect).running(), 1);
     }
 
     /** Guards against a crash that shows only as silence until the endpoint is back under another id. */
     @Test
-    public void testCrash_silentEndpointThatIsBackAsAnotherLifeCounts() {
+    public void testCrash_silentEndpointReturnsWithAnotherId() {
         PlacerFixture fixture = fixture(4);
         openedWithTask(fixture);
         int silent = endpointThatRuns(fixture);
-        fixture.way(silent, FakeOrders.Way.CUT);
+        fixture.way(silent, FakeOrders.Fault.LOST);
         fixture.endpoint(silent).crash();
-        fixture.timers.pass(LEASE_OVER_MILLIS);
+        fixture.timers.advance(LEASE_OVER_MILLIS);
         assertEquals(fixture.ledger.starts(), 2);
-        fixture.way(silent, FakeOrders.Way.CLEAR);
-        fixture.timers.pass(700);
+        fixture.way(silent, FakeOrders.Fault.NONE);
+        fixture.timers.advance(700);
         crash(fixture, endpointThatRuns(fixture));
         assertEquals(fixture.verdicts, ImmutableList.of("origin-1 1 FAILED"));
         assertEquals(fixture.ledger.starts(), 2);
@@ -104,7 +104,7 @@
 
     /** Guards against a task that is given up because the endpoints on which it ran were replaced as planned. */
     @Test
-    public void testCrash_endpointThatLeftAsPlannedDoesNotCount() {
+    public void testCrash_plannedReplacementDoesNotCount() {
         PlacerFixture fixture = fixture(4);
         Placer placer = openedWithTask(fixture);
         for (int replaced = 0; replaced < 2; replaced++) {
@@ -114,20 +114,20 @@
             placer.update(PlacerFixture.SHARD, fixture.entries);
             crash(fixture, number);
         }
-        fixture.timers.pass(RUN_MILLIS);
+        fixture.timers.advance(RUN_MILLIS);
         assertEquals(fixture.verdicts, ImmutableList.of("origin-1 1 DONE"));
     }
 
     /** Guards against a job shown as failed because its endpoints fell silent; after four lost runs it is given up. */
     @Test
-    public void testCrash_taskUnderWhichEndpointsVanishIsGivenUp() {
+    public void testCrash_taskIsGivenUpAfterFourLostRuns() {
         PlacerFixture fixture = fixture(6);
         openedWithTask(fixture);
         for (int vanished = 0; vanished < 4; vanished++) {
             int number = endpointThatRuns(fixture);
-            fixture.way(number, FakeOrders.Way.CUT);
+            fixture.way(number, FakeOrders.Fault.LOST);
             fixture.endpoint(number).crash();
-            fixture.timers.pass(LEASE_OVER_MILLIS);
+            fixture.timers.advance(LEASE_OVER_MILLIS);
         }
         assertEquals(fixture.verdicts, ImmutableList.of("origin-1 1 TOO_LATE"));
         assertEquals(fixture.ledger.starts(), 4);
--- a/tarragonarch-core/src/test/java/org/tarragonarch/core/placing/PlacerDrainTest.java
+++ b/tarragonarch-core/src/test/java/org/tarragonarch/core/placing/PlacerDrainTest.java
@@ -45,7 +45,7 @@
 
     private static void offerLong(PlacerFixture fixture, Placer placer, int job, int tasks) {
         placer.offer(PlacerFixture.firstOffer(job, tasks, LONG_MILLIS));
-        fixture.timers.pass(5);
+        fixture.timers.advance(5);
     }
 
     private static PlacerFixture runningLong(int endpoints) {
@@ -64,7 +64,7 @@
         PlacerFixture fixture = runningLong(1);
         Placer placer = openedWithJob(fixture, 2);
         drain(fixture, placer);
-        fixture.timers.pass(1_000);
+        fixture.timers.advance(1_000);
         assertEquals(fixture.verdicts, ImmutableList.of("origin-1 1 DONE"));
         assertEquals(fixture.ledger.starts(), 2);
     }
@@ -91,7 +91,7 @@
         drain(fixture, placer);
         assertEquals(fixture.verdicts.size(), 100);
         assertTrue(fixture.verdicts.stream().allMatch(verdict -> verdict.endsWith("DECLINED")));
-        fixture.timers.pass(1_000);
+        fixture.timers.advance(1_000);
         assertEquals(fixture.ledger.starts(), 2);
     }
 
@@ -102,7 +102,7 @@
         Placer placer = openedWithJob(fixture, 3);
         drain(fixture, placer);
         assertEquals(fixture.verdicts, ImmutableList.of());
-        fixture.timers.pass(200);
+        fixture.timers.advance(200);
         assertEquals(fixture.verdicts, ImmutableList.of("origin-1 1 EVICTED"));
         assertEquals(fixture.endpoint(1).running(), 0);
         assertEquals(fixture.ledger.starts(), 2);
@@ -115,7 +115,7 @@
         Placer placer = openedWithJob(fixture, 3);
         drain(fixture, placer);
         placer.offer(PlacerFixture.firstOffer(1, 3, LONG_MILLIS));
-        fixture.timers.pass(200);
+        fixture.timers.advance(200);
         assertEquals(fixture.verdicts, ImmutableList.of("origin-1 1 DECLINED"));
     }
 
@@ -126,7 +126,7 @@
         Placer placer = openedWithJob(fixture, 3);
         drain(fixture, placer);
         placer.withdraw(NodeId.of("origin-0"), PlacerFixture.id(1));
-        fixture.timers.pass(200);
+        fixture.timers.advance(200);
         assertEquals(fixture.verdicts, ImmutableList.of("origin-1 1 EVICTED"));
     }
 
@@ -138,7 +138,7 @@
         Placer placer = opened(fixture);
         offerLong(fixture, placer, 1, 1);
         drain(fixture, placer);
-        fixture.timers.pass(1_000);
+        fixture.timers.advance(1_000);
         assertEquals(fixture.verdicts, ImmutableList.of("origin-1 1 EVICTED"));
         assertEquals(fixture.ledger.starts(), 1);
     }
@@ -156,7 +156,7 @@
         fixture.verdicts.clear();
         next.offer(PlacerFixture.repeatedOffer(1, 2, LONG_MILLIS));
         next.offer(PlacerFixture.repeatedOffer(2, 1, LONG_MILLIS));
-        fixture.timers.pass(1_500);
+        fixture.timers.advance(1_500);
         assertEquals(
                 ImmutableList.sortedCopyOf(fixture.verdicts),
                 ImmutableList.of("origin-1 1 DONE", "origin-1 2 DECLINED"));
@@ -169,12 +169,12 @@
     public void testDrain_otherDomainOfThePoolTakesTheQueue() {
         PlacerFixture fixture = runningLong(2);
         Placer placer = fixture.pooled(1, 2);
-        fixture.timers.pass(20);
+        fixture.timers.advance(20);
         offerLong(fixture, placer, 1, 4);
         placer.offer(PlacerFixture.patientOffer(2, 2, LONG_MILLIS));
         placer.update(
                 PlacerFixture.SHARD, ImmutableList.of(fixture.entries.get(0).asDraining()));
-        fixture.timers.pass(2_000);
+        fixture.timers.advance(2_000);
         assertEquals(fixture.verdicts, ImmutableList.of("origin-1 1 DONE", "origin-1 2 DONE"));
         assertEquals(fixture.endpoint(1).started(), 2);
         assertEquals(fixture.endpoint(2).started(), 4);
@@ -188,7 +188,7 @@
         drain(fixture, placer);
         undrain(fixture, placer);
         placer.offer(PlacerFixture.offer(1, 2));
-        fixture.timers.pass(200);
+        fixture.timers.advance(200);
         assertEquals(fixture.verdicts, ImmutableList.of("origin-1 1 DONE"));
     }
 
@@ -199,10 +199,10 @@
         fixture.entries.set(0, PlacerFixture.cold(fixture.entries.get(0)));
         Placer placer = opened(fixture);
         placer.offer(PlacerFixture.offer(1, 2));
-        fixture.timers.pass(200);
+        fixture.timers.advance(200);
         assertEquals(fixture.endpoint(1).started(), 0);
         placer.offer(PlacerFixture.offer(2, 4));
-        fixture.timers.pass(200);
+        fixture.timers.advance(200);
         assertEquals(fixture.endpoint(1).started(), 2);
     }
 
@@ -213,11 +213,11 @@
         Placer placer = openedWithJob(fixture, 2);
         resize(fixture, placer, 8_000);
         placer.offer(PlacerFixture.patientOffer(2, 1, LONG_MILLIS));
-        fixture.timers.pass(400);
+        fixture.timers.advance(400);
         assertEquals(fixture.endpoint(1).running(), 2);
-        fixture.timers.pass(300);
+        fixture.timers.advance(300);
         assertEquals(fixture.endpoint(1).running(), 1);
-        fixture.timers.pass(1_000);
+        fixture.timers.advance(1_000);
         assertEquals(fixture.verdicts, ImmutableList.of("origin-1 1 DONE", "origin-1 2 DONE"));
     }
 
@@ -229,9 +229,9 @@
         placer.offer(PlacerFixture.patientOffer(2, 1, LONG_MILLIS));
         placer.withdraw(PlacerFixture.ORIGIN, PlacerFixture.id(1));
         resize(fixture, placer, 14_000);
-        fixture.timers.pass(10);
+        fixture.timers.advance(10);
         assertEquals(fixture.ledger.starts(), 2);
-        fixture.timers.pass(60);
+        fixture.timers.advance(60);
         assertEquals(fixture.ledger.starts(), 3);
         assertEquals(fixture.ledger.broken(), ImmutableList.of());
     }
@@ -244,7 +244,7 @@
         placer.offer(PlacerFixture.firstOffer(1, 1, LONG_MILLIS));
         resize(fixture, placer, 8_000);
         placer.offer(PlacerFixture.patientOffer(2, 1, LONG_MILLIS));
-        fixture.timers.pass(300);
+        fixture.timers.advance(300);
         assertEquals(fixture.endpoint(1).running(), 1);
     }
 
@@ -256,7 +256,7 @@
         placer.offer(PlacerFixture.patientOffer(2, 1, LONG_MILLIS));
         resize(fixture, placer, 6_000);
         assertEquals(fixture.verdicts, ImmutableList.of("origin-1 2 DECLINED"));
-        fixture.timers.pass(1_000);
+        fixture.timers.advance(1_000);
         assertEquals(fixture.verdicts, ImmutableList.of("origin-1 2 DECLINED", "origin-1 1 DONE"));
     }
 
@@ -268,10 +268,10 @@
         resize(fixture, placer, 8_000);
         offerLong(fixture, placer, 1, 1);
         placer.offer(PlacerFixture.patientOffer(2, 1, LONG_MILLIS));
-        fixture.timers.pass(20);
+        fixture.timers.advance(20);
         assertEquals(fixture.endpoint(1).running(), 1);
         resize(fixture, placer, 16_000);
-        fixture.timers.pass(5);
+        fixture.timers.advance(5);
         assertEquals(fixture.endpoint(1).running(), 2);
     }
 
@@ -287,7 +287,7 @@
         Placer next = fixture.placer(2);
         next.offer(PlacerFixture.repeatedOffer(1, 1, LONG_MILLIS));
         next.offer(PlacerFixture.patientOffer(2, 1, LONG_MILLIS));
-        fixture.timers.pass(300);
+        fixture.timers.advance(300);
         assertEquals(fixture.endpoint(1).running(), 1);
         assertEquals(next.freeMilliCores(PlacerFixture.SHARD), 1_000);
         assertEquals(fixture.entries.get(0).id(), EndpointId.of("w-1"));
--- a/tarragonarch-core/src/test/java/org/tarragonarch/core/placing/PlacerFixture.java
+++ b/tarragonarch-core/src/test/java/org/tarragonarch/core/placing/PlacerFixture.java
@@ -79,7 +79,7 @@
     /** Lets every endpoint tell when it started, in its entry and its lists. */
     PlacerFixture tellingStarts() {
         for (int number = 1; number <= entries.size(); number++) {
-            endpoint(number).tellStart(FIRST_START_MILLIS);
+            endpoint(number).reportStart(FIRST_START_MILLIS);
             enter(number, FIRST_START_MILLIS);
         }
         return this;
@@ -95,8 +95,8 @@
         return orders.endpoints.get(EndpointId.of("w-" + number));
     }
 
-    void way(int number, FakeOrders.Way way) {
-        orders.ways.put(EndpointId.of("w-" + number), way);
+    void way(int number, FakeOrders.Fault way) {
+        orders.faults.put(EndpointId.of("w-" + number), way);
     }
 
     /** Returns a placer that holds all endpoints as one shard. */
@@ -109,7 +109,7 @@
     /** Returns a placer that holds all endpoints as one shard and has read their lists. */
     Placer opened(long term) {
         Placer placer = placer(term);
-        timers.pass(20);
+        timers.advance(20);
         return placer;
     }
 
--- a/tarragonarch-core/src/test/java/org/tarragonarch/core/placing/PlacerHandOverTest.java
+++ b/tarragonarch-core/src/test/java/org/tarragonarch/core/placing/PlacerHandOverTest.java
@@ -20,9 +20,9 @@
     public void testOpen_twoShardsAreOnePool() {
         PlacerFixture fixture = new PlacerFixture(4);
         Placer placer = fixture.pooled(1, 2);
-        fixture.timers.pass(20);
+        fixture.timers.advance(20);
         placer.offer(PlacerFixture.offer(1, 5));
-        fixture.timers.pass(90);
+        fixture.timers.advance(90);
         assertEquals(fixture.verdicts, ImmutableList.of("origin-1 1 DONE"));
         assertEquals(fixture.ledger.broken(), ImmutableList.of());
     }
@@ -32,13 +32,13 @@
     public void testRelease_tasksOfTheShardStartElsewhereAfterTheirLease() {
         PlacerFixture fixture = PlacerFixture.running(2, 900);
         Placer placer = fixture.pooled(1, 2);
-        fixture.timers.pass(20);
+        fixture.timers.advance(20);
         placer.offer(PlacerFixture.firstOffer(1, 4, 900));
-        fixture.timers.pass(20);
+        fixture.timers.advance(20);
         placer.release(PlacerFixture.SECOND_SHARD);
-        fixture.timers.pass(1_000);
+        fixture.timers.advance(1_000);
         assertEquals(fixture.verdicts, ImmutableList.of());
-        fixture.timers.pass(1_900);
+        fixture.timers.advance(1_900);
         assertEquals(fixture.verdicts, ImmutableList.of("origin-1 1 DONE"));
         assertEquals(fixture.ledger.broken(), ImmutableList.of());
     }
@@ -48,62 +48,62 @@
     public void testRelease_lastShardGivesJobsBack() {
         PlacerFixture fixture = new PlacerFixture(2);
         Placer placer = fixture.pooled(1, 2);
-        fixture.timers.pass(20);
+        fixture.timers.advance(20);
         placer.offer(PlacerFixture.offer(1, 1));
         placer.release(PlacerFixture.SECOND_SHARD);
         placer.release(PlacerFixture.SHARD);
         assertEquals(fixture.verdicts, ImmutableList.of("origin-1 1 HOLD_LOST"));
-        fixture.timers.pass(3_000);
+        fixture.timers.advance(3_000);
         assertEquals(fixture.verdicts, ImmutableList.of("origin-1 1 HOLD_LOST"));
     }
 
     /** Guards against tasks that run twice on an endpoint that the holder could not reach since it claimed. */
     @Test
-    public void testOffer_earlierRunsOnAnEndpointThatWasOutOfReach() {
+    public void testOffer_earlierRunsOnAnUnreachableEndpoint() {
         PlacerFixture fixture = PlacerFixture.running(2, 900);
-        fixture.way(2, FakeOrders.Way.CUT);
+        fixture.way(2, FakeOrders.Fault.LOST);
         Placer holder = fixture.placer(2);
-        fixture.timers.pass(5_000);
-        fixture.way(2, FakeOrders.Way.CLEAR);
+        fixture.timers.advance(5_000);
+        fixture.way(2, FakeOrders.Fault.NONE);
         Placer earlier = fixture.onlyEndpoint(2, 1);
-        fixture.timers.pass(5);
+        fixture.timers.advance(5);
         earlier.offer(PlacerFixture.firstOffer(1, 1, 900));
-        fixture.timers.pass(5);
+        fixture.timers.advance(5);
         assertEquals(fixture.endpoint(2).running(), 1);
         holder.offer(PlacerFixture.repeatedOffer(1, 1, 900));
-        fixture.timers.pass(3_000);
+        fixture.timers.advance(3_000);
         assertTrue(fixture.verdicts.contains("origin-1 1 DONE"), fixture.verdicts.toString());
         assertEquals(fixture.ledger.broken(), ImmutableList.of());
     }
 
     /** Guards against tasks that run twice since the holder released the shard with the earlier runs. */
     @Test
-    public void testOffer_earlierRunsInAShardThatWasLetGo() {
+    public void testOffer_earlierRunsInAReleasedShard() {
         PlacerFixture fixture = PlacerFixture.running(2, 300);
         Placer inside = fixture.onlyEndpoint(1, 1);
-        fixture.timers.pass(10);
+        fixture.timers.advance(10);
         inside.offer(PlacerFixture.firstOffer(1, 1, 300));
         Placer outside = fixture.pooled(2, 2);
         outside.release(PlacerFixture.SHARD);
-        fixture.timers.pass(5);
+        fixture.timers.advance(5);
         outside.offer(PlacerFixture.repeatedOffer(1, 1, 300));
-        fixture.timers.pass(2_000);
+        fixture.timers.advance(2_000);
         assertTrue(fixture.verdicts.contains("origin-1 1 DONE"), fixture.verdicts.toString());
         assertEquals(fixture.ledger.broken(), ImmutableList.of());
     }
 
     /** The stop of a run that an earlier holder left gets no answer: it is sent again, and nothing starts before. */
     @Test
-    public void testClaim_stopOfAnEarlierRunIsLost() {
+    public void testClaim_stopOfAnEarlierRunIsLostTwice() {
         PlacerFixture fixture = PlacerFixture.running(1, 5_000);
         holderWithJob(fixture, 2);
-        fixture.timers.pass(50);
+        fixture.timers.advance(50);
         int[] stops = {0};
-        fixture.orders.stopWay = () -> stops[0]++ < 2 ? FakeOrders.Way.CUT : FakeOrders.Way.CLEAR;
+        fixture.orders.stopFault = () -> stops[0]++ < 2 ? FakeOrders.Fault.LOST : FakeOrders.Fault.NONE;
         Placer next = fixture.placer(2);
         fixture.endpoint(1).runMillis = 60;
         next.offer(PlacerFixture.offer(2, 2));
-        fixture.timers.pass(400);
+        fixture.timers.advance(400);
         assertTrue(fixture.verdicts.contains("origin-1 2 DONE"), fixture.verdicts.toString());
         assertEquals(fixture.ledger.broken(), ImmutableList.of());
         assertEquals(stops[0], 4);
@@ -111,13 +111,13 @@
 
     /** Guards against runs that the next holder stops and starts anew instead of adopting them. */
     @Test
-    public void testClaim_runsAreTakenOver() {
+    public void testClaim_runsAreAdopted() {
         PlacerFixture fixture = PlacerFixture.running(2, 900);
         holderWithJob(fixture, 4);
-        fixture.timers.pass(500);
+        fixture.timers.advance(500);
         Placer next = fixture.placer(2);
         next.offer(PlacerFixture.repeatedOffer(1, 4, 900));
-        fixture.timers.pass(450);
+        fixture.timers.advance(450);
         assertTrue(fixture.verdicts.contains("origin-1 1 DONE"), fixture.verdicts.toString());
         assertEquals(fixture.ledger.starts(), 4);
         assertEquals(fixture.ledger.broken(), ImmutableList.of());
@@ -125,17 +125,17 @@
 
     /** Part of the job has ended by then: what is not known to have ended is started again, and only that. */
     @Test
-    public void testClaim_runsThatEndedMeanwhileAreNotStartedAgain() {
+    public void testClaim_endedRunsAreNotStartedAgain() {
         PlacerFixture fixture = new PlacerFixture(2);
         fixture.endpoint(1).runMillis = 500;
         fixture.endpoint(2).runMillis = 900;
         Placer before = holderWithJob(fixture, 4);
-        fixture.timers.pass(400);
+        fixture.timers.advance(400);
         before.close();
-        fixture.timers.pass(150);
+        fixture.timers.advance(150);
         Placer next = fixture.placer(2);
         next.offer(PlacerFixture.repeatedOffer(1, 4, 900));
-        fixture.timers.pass(400);
+        fixture.timers.advance(400);
         assertTrue(fixture.verdicts.contains("origin-1 1 DONE"), fixture.verdicts.toString());
         assertEquals(fixture.ledger.starts(), 4);
         assertEquals(fixture.ledger.broken(), ImmutableList.of());
@@ -143,31 +143,31 @@
 
     /** Nobody asks for the job any more: its runs are stopped soon, and their room goes to others. */
     @Test
-    public void testClaim_runsThatNobodyAsksFor() {
+    public void testClaim_unclaimedRunsAreStopped() {
         PlacerFixture fixture = PlacerFixture.running(1, 5_000);
         holderWithJob(fixture, 2);
-        fixture.timers.pass(50);
+        fixture.timers.advance(50);
         Placer next = fixture.placer(2);
         fixture.endpoint(1).runMillis = 60;
         next.offer(PlacerFixture.offer(2, 2));
-        fixture.timers.pass(250);
+        fixture.timers.advance(250);
         assertTrue(fixture.verdicts.contains("origin-1 2 DONE"), fixture.verdicts.toString());
         assertEquals(fixture.ledger.broken(), ImmutableList.of());
     }
 
     /** Guards against tasks that run twice since the endpoint with the earlier runs is not listed yet. */
     @Test
-    public void testOffer_earlierRunsOnAnEndpointThatIsNotListed() {
+    public void testOffer_earlierRunsOnAnUnlistedEndpoint() {
         PlacerFixture fixture = PlacerFixture.running(2, 400);
         Placer inside = fixture.onlyEndpoint(1, 1);
-        fixture.timers.pass(10);
+        fixture.timers.advance(10);
         inside.offer(PlacerFixture.firstOffer(1, 1, 400));
-        fixture.timers.pass(5);
+        fixture.timers.advance(5);
         fixture.listsWhole = false;
         Placer outside = fixture.onlyEndpoint(2, 2);
-        fixture.timers.pass(5);
+        fixture.timers.advance(5);
         outside.offer(PlacerFixture.repeatedOffer(1, 1, 400));
-        fixture.timers.pass(2_500);
+        fixture.timers.advance(2_500);
         assertTrue(fixture.verdicts.contains("origin-1 1 DONE"), fixture.verdicts.toString());
         assertEquals(fixture.ledger.broken(), ImmutableList.of());
     }
@@ -179,11 +179,11 @@
         fixture.endpoint(1).runMillis = 900;
         fixture.endpoint(2).runMillis = 900;
         holderWithJob(fixture, 4);
-        fixture.timers.pass(500);
-        fixture.way(3, FakeOrders.Way.CUT);
+        fixture.timers.advance(500);
+        fixture.way(3, FakeOrders.Fault.LOST);
         Placer next = fixture.placer(2);
         next.offer(PlacerFixture.repeatedOffer(1, 4, 900));
-        fixture.timers.pass(450);
+        fixture.timers.advance(450);
         assertTrue(fixture.verdicts.contains("origin-1 1 DONE"), fixture.verdicts.toString());
         assertEquals(fixture.ledger.starts(), 4);
         assertEquals(fixture.ledger.broken(), ImmutableList.of());
@@ -196,11 +196,11 @@
         fixture.endpoint(1).runMillis = 900;
         fixture.endpoint(2).runMillis = 5_000;
         holderWithJob(fixture, 4);
-        fixture.timers.pass(500);
-        fixture.way(2, FakeOrders.Way.CUT);
+        fixture.timers.advance(500);
+        fixture.way(2, FakeOrders.Fault.LOST);
         Placer next = fixture.placer(2);
         next.offer(PlacerFixture.repeatedOffer(1, 4, 900));
-        fixture.timers.pass(2_100);
+        fixture.timers.advance(2_100);
         assertTrue(fixture.verdicts.contains("origin-1 1 DONE"), fixture.verdicts.toString());
         assertEquals(fixture.ledger.starts(), 6);
         assertEquals(fixture.ledger.broken(), ImmutableList.of());
@@ -213,7 +213,7 @@
         Placer placer = fixture.opened(1);
         placer.offer(PlacerFixture.offer(1, 2));
         placer.offer(PlacerFixture.offer(2, 2));
-        fixture.timers.pass(5);
+        fixture.timers.advance(5);
         placer.release(PlacerFixture.SHARD);
         assertTrue(fixture.verdicts.contains("origin-1 1 HOLD_LOST"), fixture.verdicts.toString());
         assertTrue(fixture.verdicts.contains("origin-1 2 RETURNED"), fixture.verdicts.toString());
@@ -221,12 +221,12 @@
 
     /** A job whose earlier runs are not traced yet is given back as one that may run. */
     @Test
-    public void testRelease_jobWithEarlierRunsMayRun() {
+    public void testRelease_jobWithUnresolvedRunsIsNotReturned() {
         PlacerFixture fixture = new PlacerFixture(1);
-        fixture.way(1, FakeOrders.Way.CUT);
+        fixture.way(1, FakeOrders.Fault.LOST);
         Placer placer = fixture.placer(1);
         placer.offer(PlacerFixture.repeatedOffer(1, 1, 60));
-        fixture.timers.pass(20);
+        fixture.timers.advance(20);
         placer.release(PlacerFixture.SHARD);
         assertEquals(fixture.verdicts, ImmutableList.of("origin-1 1 HOLD_LOST"));
     }
@@ -236,17 +236,17 @@
     public void testAdopt_onePollAtATime() {
         PlacerFixture fixture = PlacerFixture.running(1, 900);
         Placer before = holderWithJob(fixture, 1);
-        fixture.timers.pass(50);
+        fixture.timers.advance(50);
         before.close();
         Placer next = fixture.placer(2);
         next.offer(PlacerFixture.repeatedOffer(1, 1, 900));
-        fixture.timers.pass(50);
+        fixture.timers.advance(50);
         int[] polls = {0};
-        fixture.orders.holdWay = () -> {
+        fixture.orders.holdFault = () -> {
             polls[0]++;
-            return FakeOrders.Way.CLEAR;
+            return FakeOrders.Fault.NONE;
         };
-        fixture.timers.pass(500);
+        fixture.timers.advance(500);
         assertTrue(polls[0] <= 5, polls[0] + " polls that wait 100 ms each");
     }
 }
--- a/tarragonarch-core/src/test/java/org/tarragonarch/core/placing/PlacerRestartTest.java
+++ b/tarragonarch-core/src/test/java/org/tarragonarch/core/placing/PlacerRestartTest.java
@@ -21,7 +21,7 @@
 
     private static Placer opened(PlacerFixture fixture) {
         Placer placer = fixture.placer(1);
-        fixture.timers.pass(20);
+        fixture.timers.advance(20);
         return placer;
     }
 
@@ -31,16 +31,16 @@
 
     /** Guards against ends that are dropped because the new incarnation numbers them from 1 again. */
     @Test
-    public void testRestart_endsBelowTheKnownNumberAreSeen() {
+    public void testRestart_endsBelowTheKnownNumberAreProcessed() {
         PlacerFixture fixture = fixture(1, 60);
         Placer placer = opened(fixture);
         for (int job = 1; job <= 3; job++) {
             placer.offer(PlacerFixture.offer(job, 2));
-            fixture.timers.pass(100);
+            fixture.timers.advance(100);
         }
         fixture.endpoint(1).restart();
         placer.offer(PlacerFixture.offer(4, 2));
-        fixture.timers.pass(100);
+        fixture.timers.advance(100);
         assertEquals(fixture.verdicts.get(3), "origin-1 4 DONE");
         assertEquals(fixture.ledger.starts(), 8);
         assertUnbroken(fixture);
@@ -48,41 +48,41 @@
 
     /** Guards against a restart that is noticed only as the store tells of it, which may be silent. */
     @Test
-    public void testRestart_seenByTheListAlone() {
+    public void testRestart_detectedFromListsAlone() {
         PlacerFixture fixture = fixture(2, LONG_RUN_MILLIS);
         Placer placer = opened(fixture);
         placer.offer(PlacerFixture.patientOffer(1, 1, LONG_RUN_MILLIS));
-        fixture.timers.pass(20);
+        fixture.timers.advance(20);
         int first = fixture.endpoint(1).running() > 0 ? 1 : 2;
         fixture.endpoint(first).restart();
-        fixture.timers.pass(20);
+        fixture.timers.advance(20);
         assertEquals(fixture.badEnds, ImmutableList.of(EndKind.CRASHED));
         assertEquals(fixture.restarted, ImmutableList.of("w-" + first + "@" + SECOND_START_MILLIS));
         assertEquals(fixture.endpoint(1).running() + fixture.endpoint(2).running(), 1);
-        fixture.timers.pass(LONG_RUN_MILLIS);
+        fixture.timers.advance(LONG_RUN_MILLIS);
         assertEquals(fixture.verdicts, ImmutableList.of("origin-1 1 DONE"));
         assertUnbroken(fixture);
     }
 
     /** Guards against a list of the earlier incarnation that arrives after the store has told of the new one. */
     @Test
-    public void testRestart_listOfTheEarlierIncarnationComesLate() {
+    public void testRestart_listOfTheEarlierIncarnationArrivesLate() {
         PlacerFixture fixture = fixture(2, LONG_RUN_MILLIS);
         Placer placer = opened(fixture);
         placer.offer(PlacerFixture.patientOffer(1, 1, LONG_RUN_MILLIS));
-        fixture.timers.pass(5);
+        fixture.timers.advance(5);
         int first = fixture.endpoint(1).running() > 0 ? 1 : 2;
         fixture.orders.listMillis = 30;
-        fixture.timers.pass(99);
+        fixture.timers.advance(99);
         fixture.orders.listMillis = 1;
         fixture.endpoint(first).restart();
         fixture.enter(first, SECOND_START_MILLIS);
         placer.update(PlacerFixture.SHARD, fixture.entries);
-        fixture.timers.pass(300);
+        fixture.timers.advance(300);
         assertEquals(fixture.restarted, ImmutableList.of("w-" + first + "@" + SECOND_START_MILLIS));
         assertEquals(fixture.badEnds, ImmutableList.of(EndKind.CRASHED));
         assertEquals(fixture.ledger.starts(), 2);
-        fixture.timers.pass(LONG_RUN_MILLIS);
+        fixture.timers.advance(LONG_RUN_MILLIS);
         assertEquals(fixture.verdicts, ImmutableList.of("origin-1 1 DONE"));
         assertUnbroken(fixture);
     }
@@ -93,15 +93,15 @@
         PlacerFixture fixture = fixture(1, LONG_RUN_MILLIS);
         Placer placer = opened(fixture);
         placer.offer(PlacerFixture.patientOffer(1, 1, LONG_RUN_MILLIS));
-        fixture.timers.pass(20);
+        fixture.timers.advance(20);
         fixture.endpoint(1).restart();
-        fixture.timers.pass(20);
+        fixture.timers.advance(20);
         assertEquals(fixture.endpoint(1).running(), 1);
         placer.update(PlacerFixture.SHARD, fixture.entries);
-        fixture.timers.pass(20);
+        fixture.timers.advance(20);
         fixture.enter(1, SECOND_START_MILLIS);
         placer.update(PlacerFixture.SHARD, fixture.entries);
-        fixture.timers.pass(LONG_RUN_MILLIS);
+        fixture.timers.advance(LONG_RUN_MILLIS);
         assertEquals(fixture.restarted.size(), 1);
         assertEquals(fixture.badEnds, ImmutableList.of(EndKind.CRASHED));
         assertEquals(fixture.verdicts, ImmutableList.of("origin-1 1 DONE"));
@@ -114,27 +114,27 @@
         PlacerFixture fixture = fixture(1, LONG_RUN_MILLIS);
         Placer placer = opened(fixture);
         placer.offer(PlacerFixture.patientOffer(1, 1, LONG_RUN_MILLIS));
-        fixture.timers.pass(20);
+        fixture.timers.advance(20);
         fixture.endpoint(1).restart();
-        fixture.timers.pass(20);
+        fixture.timers.advance(20);
         placer.update(
                 PlacerFixture.SHARD,
                 fixture.entries.stream().map(EndpointEntry::asDraining).toList());
         placer.offer(PlacerFixture.offer(2, 1));
-        fixture.timers.pass(20);
+        fixture.timers.advance(20);
         assertEquals(fixture.endpoint(1).running(), 1);
     }
 
     /** Guards against a run that is started twice because the order reached the new incarnation unnoticed. */
     @Test
-    public void testRestart_runOrderedBeforeDiscoveryGoesOn() {
+    public void testRestart_runOrderedBeforeDetectionContinues() {
         PlacerFixture fixture = fixture(2, 300);
         Placer placer = opened(fixture);
         fixture.endpoint(1).restart();
         fixture.endpoint(2).restart();
-        fixture.orders.startWay = () -> FakeOrders.Way.ANSWER_LOST;
+        fixture.orders.startFault = () -> FakeOrders.Fault.ANSWER_LOST;
         placer.offer(PlacerFixture.patientOffer(1, 2, 300));
-        fixture.timers.pass(500);
+        fixture.timers.advance(500);
         assertEquals(fixture.verdicts, ImmutableList.of("origin-1 1 DONE"));
         assertEquals(fixture.ledger.starts(), 2);
         assertUnbroken(fixture);
@@ -145,7 +145,7 @@
         PlacerFixture fixture = fixture(2, 5_000);
         Placer placer = opened(fixture);
         int[] starts = {0};
-        fixture.orders.startWay = () -> starts[0]++ == 0 ? FakeOrders.Way.LATE : FakeOrders.Way.CLEAR;
+        fixture.orders.startFault = () -> starts[0]++ == 0 ? FakeOrders.Fault.DELAYED : FakeOrders.Fault.NONE;
         placer.offer(PlacerFixture.patientOffer(1, 1, 5_000));
         return fixture;
     }
@@ -157,10 +157,10 @@
     @Test
     public void testRestart_betweenOrderAndAnswer() {
         PlacerFixture fixture = withLateStart();
-        fixture.timers.pass(10);
+        fixture.timers.advance(10);
         fixture.endpoint(1).restart();
         fixture.endpoint(2).restart();
-        fixture.timers.pass(9_000);
+        fixture.timers.advance(9_000);
         assertEquals(fixture.verdicts, ImmutableList.of("origin-1 1 DONE"));
         assertEquals(fixture.ledger.starts(), 1);
         assertUnbroken(fixture);
@@ -170,50 +170,50 @@
     @Test
     public void testRestart_afterTheUnansweredOrderWasSettled() {
         PlacerFixture fixture = withLateStart();
-        fixture.timers.pass(1_000);
+        fixture.timers.advance(1_000);
         assertEquals(fixture.ledger.starts(), 1);
         fixture.endpoint(1).restart();
         fixture.endpoint(2).restart();
-        fixture.timers.pass(15_000);
+        fixture.timers.advance(15_000);
         assertUnbroken(fixture);
         assertEquals(fixture.verdicts, ImmutableList.of("origin-1 1 DONE"));
     }
 
     /** Guards against a late order that an endpoint carries out which had fallen off the list before it came back. */
     @Test
-    public void testRestart_unlistedMeanwhile() {
+    public void testRestart_endpointUnlistedBeforeRestart() {
         PlacerFixture fixture = fixture(1, 5_000);
         Placer placer = opened(fixture);
-        fixture.orders.startWay = () -> FakeOrders.Way.LATE;
+        fixture.orders.startFault = () -> FakeOrders.Fault.DELAYED;
         placer.offer(PlacerFixture.offer(1, 1));
-        fixture.timers.pass(10);
-        fixture.way(1, FakeOrders.Way.CUT);
-        fixture.timers.pass(1_500);
+        fixture.timers.advance(10);
+        fixture.way(1, FakeOrders.Fault.LOST);
+        fixture.timers.advance(1_500);
         placer.update(PlacerFixture.SHARD, ImmutableList.of());
         fixture.endpoint(1).restart();
-        fixture.way(1, FakeOrders.Way.CLEAR);
+        fixture.way(1, FakeOrders.Fault.NONE);
         fixture.enter(1, SECOND_START_MILLIS);
         placer.update(PlacerFixture.SHARD, fixture.entries);
-        fixture.timers.pass(4_000);
+        fixture.timers.advance(4_000);
         assertEquals(fixture.ledger.starts(), 0);
     }
 
     /** Guards against runs of an earlier holder that are waited for although their endpoint has restarted. */
     @Test
-    public void testRestart_inAHandOver() {
+    public void testRestart_duringHandOver() {
         PlacerFixture fixture = fixture(2, 900);
         Placer before = opened(fixture);
         before.offer(PlacerFixture.offer(1, 4, 900, PlacerFixture.ORIGIN, false));
-        fixture.timers.pass(300);
+        fixture.timers.advance(300);
         before.close();
         fixture.verdicts.clear();
         Placer next = fixture.placer(2);
-        fixture.timers.pass(10);
+        fixture.timers.advance(10);
         fixture.endpoint(1).restart();
         fixture.enter(1, SECOND_START_MILLIS);
         next.update(PlacerFixture.SHARD, fixture.entries);
         next.offer(PlacerFixture.offer(1, 4, 900, PlacerFixture.ORIGIN, true));
-        fixture.timers.pass(1_000);
+        fixture.timers.advance(1_000);
         assertEquals(fixture.verdicts, ImmutableList.of("origin-1 1 DONE"));
         assertEquals(fixture.ledger.starts(), 6);
         assertUnbroken(fixture);
@@ -221,38 +221,38 @@
 
     /** Guards against an ejection that outlives the incarnation whose runs had failed. */
     @Test
-    public void testRestart_healthStartsAnew() {
+    public void testRestart_clearsHealth() {
         PlacerFixture fixture = fixture(1, 20);
         fixture.endpoint(1).outcome = EndKind.FAILED;
         Placer placer = opened(fixture);
         placer.offer(PlacerFixture.offer(1, 2));
-        fixture.timers.pass(200);
+        fixture.timers.advance(200);
         fixture.endpoint(1).outcome = EndKind.DONE;
         fixture.endpoint(1).restart();
         fixture.enter(1, SECOND_START_MILLIS);
         placer.update(PlacerFixture.SHARD, fixture.entries);
-        fixture.timers.pass(10);
+        fixture.timers.advance(10);
         placer.offer(PlacerFixture.offer(2, 2));
-        fixture.timers.pass(50);
+        fixture.timers.advance(50);
         assertTrue(fixture.verdicts.contains("origin-1 2 DONE"), fixture.verdicts.toString());
     }
 
     /** Guards against ends that are dropped where endpoints begin to tell their start, and the store tells it first. */
     @Test
-    public void testRestart_firstStartIsToldByTheEntry() {
+    public void testRestart_startTimeFirstKnownFromEntry() {
         PlacerFixture fixture = new PlacerFixture(1);
         Placer placer = opened(fixture);
         for (int job = 1; job <= 3; job++) {
             placer.offer(PlacerFixture.offer(job, 2));
-            fixture.timers.pass(100);
+            fixture.timers.advance(100);
         }
-        fixture.timers.pass(1_000);
+        fixture.timers.advance(1_000);
         fixture.endpoint(1).restart();
-        fixture.endpoint(1).tellStart(PlacerFixture.FIRST_START_MILLIS);
+        fixture.endpoint(1).reportStart(PlacerFixture.FIRST_START_MILLIS);
         fixture.enter(1, PlacerFixture.FIRST_START_MILLIS);
         placer.update(PlacerFixture.SHARD, fixture.entries);
         placer.offer(PlacerFixture.offer(4, 2));
-        fixture.timers.pass(100);
+        fixture.timers.advance(100);
         assertEquals(fixture.verdicts.get(3), "origin-1 4 DONE");
         assertEquals(fixture.badEnds, ImmutableList.of());
         assertUnbroken(fixture);
--- a/tarragonarch-core/src/test/java/org/tarragonarch/core/placing/PlacerSpeedTest.java
+++ b/tarragonarch-core/src/test/java/org/tarragonarch/core/placing/PlacerSpeedTest.java
@@ -32,7 +32,7 @@
         for (long passed = 0; passed < millis; passed += 15) {
             lastJob++;
             placer.offer(PlacerFixture.offer(lastJob, tasks));
-            fixture.timers.pass(15);
+            fixture.timers.advance(15);
             if (passed % 195 == 0) {
                 placer.review();
             }
@@ -66,10 +66,10 @@
      * was late.
      */
     @Test
-    public void testOffer_partOfTheEndpointsTurnsFiveTimesSlower() {
+    public void testOffer_someEndpointsBecomeFiveTimesSlower() {
         PlacerFixture fixture = new PlacerFixture(ENDPOINTS);
         Placer placer = fixture.placer(1);
-        fixture.timers.pass(20);
+        fixture.timers.advance(20);
         send(fixture, placer, 1_500);
         runMillis(fixture, 1, 3, 5 * NOMINAL_MILLIS);
         send(fixture, placer, 1_500);
@@ -84,7 +84,7 @@
     public void testOffer_bimodalPool() {
         PlacerFixture fixture = new PlacerFixture(ENDPOINTS);
         Placer placer = fixture.placer(1);
-        fixture.timers.pass(20);
+        fixture.timers.advance(20);
         runMillis(fixture, 1, 10, 180);
         sendToAll(fixture, placer, 2_000);
         send(fixture, placer, 300);
@@ -97,7 +97,7 @@
     public void testOffer_threeSpeeds() {
         PlacerFixture fixture = new PlacerFixture(ENDPOINTS);
         Placer placer = fixture.placer(1);
-        fixture.timers.pass(20);
+        fixture.timers.advance(20);
         runMillis(fixture, 1, 7, 100);
         runMillis(fixture, 14, 20, 38);
         sendToAll(fixture, placer, 2_000);
@@ -111,7 +111,7 @@
     public void testOffer_oneDomainSlower() {
         PlacerFixture fixture = new PlacerFixture(ENDPOINTS);
         Placer placer = fixture.pooled(1, 11);
-        fixture.timers.pass(20);
+        fixture.timers.advance(20);
         send(fixture, placer, 1_000);
         runMillis(fixture, 1, 10, 150);
         send(fixture, placer, 2_000);
@@ -124,10 +124,10 @@
      * the least runs would be preferred; the queue's expected run time takes the change in.
      */
     @Test
-    public void testOffer_allSlowerAlike() {
+    public void testOffer_allEndpointsEquallySlower() {
         PlacerFixture fixture = new PlacerFixture(4);
         Placer placer = fixture.placer(1);
-        fixture.timers.pass(20);
+        fixture.timers.advance(20);
         send(fixture, placer, 1_000);
         runMillis(fixture, 1, 4, 2 * NOMINAL_MILLIS);
         send(fixture, placer, 6_000);
@@ -139,7 +139,7 @@
      * endpoint with room, as it is without any estimate.
      */
     @Test
-    public void testChoose_alikeEndpointsFullestFirst() {
+    public void testChoose_similarSpeedsFullestFirst() {
         for (int trial = 0; trial < 200; trial++) {
             PlacerFixture fixture = new PlacerFixture(6);
             List<HeldEndpoint> endpoints = new ArrayList<>();
@@ -148,7 +148,7 @@
                 endpoint.open();
                 endpoints.add(endpoint);
             }
-            fixture.timers.pass(20);
+            fixture.timers.advance(20);
             for (HeldEndpoint endpoint : endpoints) {
                 double speed = 0.87 + 0.28 * random.nextDouble();
                 for (int run = 0; run < 100; run++) {
@@ -168,7 +168,10 @@
     private static EndpointId fullest(List<HeldEndpoint> endpoints) {
         HeldEndpoint fullest = endpoints.get(0);
         for (HeldEndpoint endpoint : endpoints) {
-            fullest = endpoint.free().milliCores() < fullest.free().milliCores() ? endpoint : fullest;
+            fullest = endpoint.freeCapacity().milliCores()
+                            < fullest.freeCapacity().milliCores()
+                    ? endpoint
+                    : fullest;
         }
         return fullest.entry().id();
     }
--- a/tarragonarch-core/src/test/java/org/tarragonarch/core/placing/PlacerTest.java
+++ b/tarragonarch-core/src/test/java/org/tarragonarch/core/placing/PlacerTest.java
@@ -14,9 +14,9 @@
     public void testOffer_room() {
         PlacerFixture fixture = new PlacerFixture(2);
         Placer placer = fixture.placer(1);
-        fixture.timers.pass(20);
+        fixture.timers.advance(20);
         placer.offer(PlacerFixture.offer(1, 4));
-        fixture.timers.pass(100);
+        fixture.timers.advance(100);
         assertEquals(fixture.verdicts, ImmutableList.of("origin-1 1 DONE"));
         assertEquals(fixture.ledger.starts(), 4);
         assertEquals(fixture.ledger.broken(), ImmutableList.of());
@@ -26,9 +26,9 @@
     public void testOffer_moreTasksThanRoomGoInWaves() {
         PlacerFixture fixture = new PlacerFixture(1);
         Placer placer = fixture.placer(1);
-        fixture.timers.pass(20);
+        fixture.timers.advance(20);
         placer.offer(PlacerFixture.offer(1, 3));
-        fixture.timers.pass(200);
+        fixture.timers.advance(200);
         assertEquals(fixture.verdicts, ImmutableList.of("origin-1 1 DONE"));
         assertEquals(fixture.ledger.broken(), ImmutableList.of());
     }
@@ -38,7 +38,7 @@
     public void testOffer_hopelessIsDeclinedAtOnce() {
         PlacerFixture fixture = new PlacerFixture(1);
         Placer placer = fixture.placer(1);
-        fixture.timers.pass(20);
+        fixture.timers.advance(20);
         for (int job = 1; job <= 10; job++) {
             placer.offer(PlacerFixture.offer(job, 2));
         }
@@ -48,7 +48,7 @@
         assertTrue(declined >= 6, fixture.verdicts.toString());
         assertEquals(fixture.estimates.size(), declined);
         assertEquals(fixture.estimates.get(0).places(), 2);
-        fixture.timers.pass(1_000);
+        fixture.timers.advance(1_000);
         assertEquals(fixture.verdicts.size(), 10);
         assertEquals(fixture.ledger.starts(), (10 - declined) * 2);
     }
@@ -58,13 +58,13 @@
     public void testOffer_orderCarriedOutLate() {
         PlacerFixture fixture = new PlacerFixture(2);
         Placer placer = fixture.placer(1);
-        fixture.timers.pass(20);
+        fixture.timers.advance(20);
         int[] sent = {0};
-        fixture.orders.startWay = () -> sent[0]++ == 0 ? FakeOrders.Way.LATE : FakeOrders.Way.CLEAR;
+        fixture.orders.startFault = () -> sent[0]++ == 0 ? FakeOrders.Fault.DELAYED : FakeOrders.Fault.NONE;
         fixture.endpoint(1).runMillis = 4_000;
         fixture.endpoint(2).runMillis = 4_000;
         placer.offer(PlacerFixture.offer(1, 1, 900, PlacerFixture.ORIGIN, false));
-        fixture.timers.pass(6_000);
+        fixture.timers.advance(6_000);
         assertEquals(fixture.verdicts, ImmutableList.of("origin-1 1 DONE"));
         assertEquals(fixture.ledger.starts(), 1);
         assertEquals(fixture.ledger.broken(), ImmutableList.of());
@@ -77,12 +77,12 @@
         fixture.endpoint(1).runMillis = 2_000;
         fixture.endpoint(2).runMillis = 500;
         Placer placer = fixture.placer(1);
-        fixture.timers.pass(20);
+        fixture.timers.advance(20);
         placer.offer(PlacerFixture.offer(1, 1, 2_000, PlacerFixture.ORIGIN, false));
-        fixture.timers.pass(100);
+        fixture.timers.advance(100);
         int first = fixture.endpoint(1).running() > 0 ? 1 : 2;
-        fixture.way(first, FakeOrders.Way.CUT);
-        fixture.timers.pass(2_500);
+        fixture.way(first, FakeOrders.Fault.LOST);
+        fixture.timers.advance(2_500);
         assertEquals(fixture.ledger.broken(), ImmutableList.of());
         assertEquals(fixture.verdicts, ImmutableList.of("origin-1 1 DONE"));
     }
@@ -93,12 +93,12 @@
         PlacerFixture fixture = new PlacerFixture(1);
         fixture.endpoint(1).runMillis = 900;
         Placer before = fixture.placer(1);
-        fixture.timers.pass(20);
+        fixture.timers.advance(20);
         before.offer(PlacerFixture.offer(1, 2, 900, PlacerFixture.ORIGIN, false));
-        fixture.timers.pass(50);
+        fixture.timers.advance(50);
         Placer next = fixture.placer(2);
         next.offer(PlacerFixture.offer(1, 2, 900, PlacerFixture.ORIGIN, true));
-        fixture.timers.pass(3_000);
+        fixture.timers.advance(3_000);
         assertEquals(fixture.fenced, 1);
         assertEquals(fixture.ledger.broken(), ImmutableList.of());
         assertTrue(fixture.verdicts.contains("origin-1 1 DONE"), fixture.verdicts.toString());
@@ -109,12 +109,12 @@
     public void testOffer_againWhileItsRunsAreStopped() {
         PlacerFixture fixture = new PlacerFixture(2);
         Placer placer = fixture.placer(1);
-        fixture.timers.pass(20);
+        fixture.timers.advance(20);
         placer.offer(PlacerFixture.offer(1, 2));
-        fixture.timers.pass(10);
+        fixture.timers.advance(10);
         placer.withdraw(PlacerFixture.ORIGIN, PlacerFixture.id(1));
         placer.offer(PlacerFixture.offer(1, 2, 60, NodeId.of("origin-2"), false));
-        fixture.timers.pass(500);
+        fixture.timers.advance(500);
         assertEquals(fixture.verdicts, ImmutableList.of("origin-2 1 DONE"));
         assertEquals(fixture.ledger.broken(), ImmutableList.of());
     }
@@ -126,10 +126,10 @@
         fixture.endpoint(1).outcome = EndKind.FAILED;
         fixture.endpoint(1).runMillis = 5;
         Placer placer = fixture.placer(1);
-        fixture.timers.pass(20);
+        fixture.timers.advance(20);
         for (int job = 1; job <= 9; job++) {
             placer.offer(PlacerFixture.offer(job, 1));
-            fixture.timers.pass(150);
+            fixture.timers.advance(150);
         }
         long done = fixture.verdicts.stream()
                 .filter(verdict -> verdict.endsWith("DONE"))
@@ -145,9 +145,9 @@
         fixture.endpoint(1).outcome = EndKind.FAILED;
         fixture.endpoint(2).outcome = EndKind.FAILED;
         Placer placer = fixture.placer(1);
-        fixture.timers.pass(20);
+        fixture.timers.advance(20);
         placer.offer(PlacerFixture.offer(1, 1));
-        fixture.timers.pass(3_000);
+        fixture.timers.advance(3_000);
         assertEquals(fixture.verdicts, ImmutableList.of("origin-1 1 FAILED"));
         assertEquals(fixture.ledger.starts(), 3);
         assertEquals(fixture.badEnds, ImmutableList.of(EndKind.FAILED, EndKind.FAILED, EndKind.FAILED));
@@ -159,11 +159,11 @@
         PlacerFixture fixture = new PlacerFixture(1);
         fixture.endpoint(1).runMillis = 900;
         Placer placer = fixture.placer(1);
-        fixture.timers.pass(20);
+        fixture.timers.advance(20);
         placer.offer(PlacerFixture.offer(1, 2, 900, PlacerFixture.ORIGIN, false));
-        fixture.timers.pass(20);
+        fixture.timers.advance(20);
         placer.originLost(PlacerFixture.ORIGIN);
-        fixture.timers.pass(100);
+        fixture.timers.advance(100);
         assertEquals(fixture.endpoint(1).running(), 0);
         assertEquals(fixture.verdicts, ImmutableList.of());
     }
@@ -174,22 +174,22 @@
         PlacerFixture fixture = new PlacerFixture(2);
         Placer placer = fixture.placer(1);
         placer.offer(PlacerFixture.offer(1, 2));
-        fixture.timers.pass(200);
+        fixture.timers.advance(200);
         assertEquals(fixture.verdicts, ImmutableList.of("origin-1 1 DONE"));
     }
 
     @Test
     public void testOutOfReach() {
         PlacerFixture fixture = new PlacerFixture(2);
-        fixture.way(1, FakeOrders.Way.CUT);
-        fixture.way(2, FakeOrders.Way.CUT);
+        fixture.way(1, FakeOrders.Fault.LOST);
+        fixture.way(2, FakeOrders.Fault.LOST);
         Placer placer = fixture.placer(1);
-        fixture.timers.pass(500);
+        fixture.timers.advance(500);
         assertEquals(placer.isUnreachable(PlacerFixture.SHARD), false);
-        fixture.timers.pass(200);
+        fixture.timers.advance(200);
         assertEquals(placer.isUnreachable(PlacerFixture.SHARD), true);
-        fixture.way(2, FakeOrders.Way.CLEAR);
-        fixture.timers.pass(1_500);
+        fixture.way(2, FakeOrders.Fault.NONE);
+        fixture.timers.advance(1_500);
         assertEquals(placer.isUnreachable(PlacerFixture.SHARD), false);
     }
 
@@ -199,13 +199,13 @@
         PlacerFixture fixture = new PlacerFixture(1);
         fixture.endpoint(1).runMillis = 300;
         Placer placer = fixture.placer(1);
-        fixture.timers.pass(20);
+        fixture.timers.advance(20);
         placer.offer(PlacerFixture.offer(1, 2, 300, PlacerFixture.ORIGIN, false));
         placer.offer(PlacerFixture.offer(2, 2, 100, PlacerFixture.ORIGIN, false));
-        fixture.timers.pass(290);
+        fixture.timers.advance(290);
         placer.offer(PlacerFixture.offer(3, 2, 150, PlacerFixture.ORIGIN, false));
         fixture.endpoint(1).runMillis = 100;
-        fixture.timers.pass(1_000);
+        fixture.timers.advance(1_000);
         ImmutableList<String> inTimeFirst = ImmutableList.of("origin-1 1 DONE", "origin-1 3 DONE", "origin-1 2 DONE");
         assertEquals(fixture.verdicts, inTimeFirst);
     }
@@ -217,14 +217,14 @@
         fixture.endpoint(1).runMillis = 100_000;
         fixture.endpoint(2).runMillis = 100_000;
         Placer placer = fixture.placer(1);
-        fixture.timers.pass(20);
+        fixture.timers.advance(20);
         placer.offer(PlacerFixture.offer(1, 1));
-        fixture.timers.pass(20);
+        fixture.timers.advance(20);
         fixture.endpoint(1).runMillis = 60;
         fixture.endpoint(2).runMillis = 60;
-        fixture.timers.pass(350);
+        fixture.timers.advance(350);
         placer.review();
-        fixture.timers.pass(200);
+        fixture.timers.advance(200);
         assertEquals(fixture.verdicts, ImmutableList.of("origin-1 1 DONE"));
         assertEquals(fixture.ledger.broken(), ImmutableList.of());
     }
@@ -235,14 +235,14 @@
         PlacerFixture fixture = new PlacerFixture(4);
         fixture.orders.endpoints.values().forEach(endpoint -> endpoint.runMillis = 900);
         Placer placer = fixture.placer(1);
-        fixture.timers.pass(20);
+        fixture.timers.advance(20);
         for (int job = 1; job <= 3; job++) {
             placer.offer(PlacerFixture.offer(job, 2, 900, PlacerFixture.ORIGIN, false));
-            fixture.timers.pass(1_000);
+            fixture.timers.advance(1_000);
         }
         fixture.endpoint(1).stalls = true;
         placer.offer(PlacerFixture.offer(9, 2, 900, PlacerFixture.ORIGIN, false));
-        fixture.timers.pass(1_400);
+        fixture.timers.advance(1_400);
         assertEquals(fixture.verdicts.get(3), "origin-1 9 DONE");
         assertEquals(fixture.ledger.starts(), 10);
         assertEquals(fixture.ledger.broken(), ImmutableList.of());
@@ -255,10 +255,10 @@
         fixture.endpoint(1).runMillis = 900;
         fixture.endpoint(1).reportsNoProgress = true;
         Placer placer = fixture.placer(1);
-        fixture.timers.pass(20);
+        fixture.timers.advance(20);
         for (int job = 1; job <= 5; job++) {
             placer.offer(PlacerFixture.offer(job, 2, 900, PlacerFixture.ORIGIN, false));
-            fixture.timers.pass(1_000);
+            fixture.timers.advance(1_000);
         }
         assertEquals(fixture.ledger.starts(), 10);
         assertEquals(fixture.verdicts.size(), 5);
@@ -272,7 +272,7 @@
         placer.offer(PlacerFixture.offer(1, 1, 60, PlacerFixture.ORIGIN, true));
         placer.offer(PlacerFixture.offer(2, 1, 60, PlacerFixture.ORIGIN, true));
         placer.withdraw(PlacerFixture.ORIGIN, PlacerFixture.id(1));
-        fixture.timers.pass(500);
+        fixture.timers.advance(500);
         assertEquals(fixture.verdicts, ImmutableList.of("origin-1 2 DONE"));
         assertEquals(fixture.ledger.starts(), 1);
     }
@@ -282,17 +282,17 @@
     public void testWithdraw_whileItsFirstRunsAreStopped() {
         PlacerFixture fixture = new PlacerFixture(2);
         Placer placer = fixture.placer(1);
-        fixture.timers.pass(20);
+        fixture.timers.advance(20);
         placer.offer(PlacerFixture.offer(1, 1));
         placer.offer(PlacerFixture.offer(2, 1));
-        fixture.timers.pass(10);
+        fixture.timers.advance(10);
         placer.withdraw(PlacerFixture.ORIGIN, PlacerFixture.id(1));
         placer.withdraw(PlacerFixture.ORIGIN, PlacerFixture.id(2));
         placer.offer(PlacerFixture.offer(1, 1));
         placer.withdraw(PlacerFixture.ORIGIN, PlacerFixture.id(1));
         placer.offer(PlacerFixture.offer(2, 1, 60, NodeId.of("origin-2"), false));
         placer.originLost(NodeId.of("origin-2"));
-        fixture.timers.pass(500);
+        fixture.timers.advance(500);
         assertEquals(fixture.verdicts, ImmutableList.of());
         assertEquals(fixture.ledger.starts(), 2);
     }
@@ -302,11 +302,11 @@
     public void testOffer_lookIsLost() {
         PlacerFixture fixture = new PlacerFixture(1);
         Placer placer = fixture.placer(1);
-        fixture.timers.pass(20);
+        fixture.timers.advance(20);
         int[] looks = {0};
-        fixture.orders.holdWay = () -> looks[0]++ == 0 ? FakeOrders.Way.CUT : FakeOrders.Way.CLEAR;
+        fixture.orders.holdFault = () -> looks[0]++ == 0 ? FakeOrders.Fault.LOST : FakeOrders.Fault.NONE;
         placer.offer(PlacerFixture.offer(1, 1));
-        fixture.timers.pass(155);
+        fixture.timers.advance(155);
         assertEquals(fixture.verdicts, ImmutableList.of("origin-1 1 DONE"));
         assertEquals(fixture.ledger.broken(), ImmutableList.of());
     }
@@ -316,13 +316,13 @@
     public void testOffer_startIsLate() {
         PlacerFixture fixture = new PlacerFixture(2);
         Placer placer = fixture.placer(1);
-        fixture.timers.pass(20);
+        fixture.timers.advance(20);
         int[] sent = {0};
-        fixture.orders.startWay = () -> sent[0]++ == 0 ? FakeOrders.Way.LATE : FakeOrders.Way.CLEAR;
+        fixture.orders.startFault = () -> sent[0]++ == 0 ? FakeOrders.Fault.DELAYED : FakeOrders.Fault.NONE;
         placer.offer(PlacerFixture.offer(1, 1));
-        fixture.timers.pass(150);
+        fixture.timers.advance(150);
         assertEquals(fixture.verdicts, ImmutableList.of("origin-1 1 DONE"));
-        fixture.timers.pass(5_000);
+        fixture.timers.advance(5_000);
         assertEquals(fixture.ledger.starts(), 1);
         assertEquals(fixture.ledger.broken(), ImmutableList.of());
     }
@@ -334,10 +334,10 @@
         fixture.endpoint(1).runMillis = 200;
         fixture.endpoint(2).runMillis = 200;
         Placer placer = fixture.placer(1);
-        fixture.timers.pass(20);
-        fixture.orders.startWay = () -> FakeOrders.Way.ANSWER_LOST;
+        fixture.timers.advance(20);
+        fixture.orders.startFault = () -> FakeOrders.Fault.ANSWER_LOST;
         placer.offer(PlacerFixture.offer(1, 2, 200, PlacerFixture.ORIGIN, false));
-        fixture.timers.pass(250);
+        fixture.timers.advance(250);
         assertEquals(fixture.verdicts, ImmutableList.of("origin-1 1 DONE"));
         assertEquals(fixture.ledger.starts(), 2);
         assertEquals(fixture.badEnds, ImmutableList.of());
@@ -349,9 +349,9 @@
         PlacerFixture fixture = new PlacerFixture(1);
         fixture.endpoint(1).runMillis = 500;
         Placer placer = fixture.placer(1);
-        fixture.timers.pass(20);
+        fixture.timers.advance(20);
         placer.offer(PlacerFixture.offer(1, 3));
-        fixture.timers.pass(1_200);
+        fixture.timers.advance(1_200);
         assertEquals(fixture.verdicts, ImmutableList.of("origin-1 1 DONE"));
     }
 
@@ -360,9 +360,9 @@
     public void testOffer_lateWithRoomFree() {
         PlacerFixture fixture = new PlacerFixture(2);
         Placer placer = fixture.placer(1);
-        fixture.timers.pass(20);
+        fixture.timers.advance(20);
         placer.offer(PlacerFixture.offer(1, 2).later(500));
-        fixture.timers.pass(100);
+        fixture.timers.advance(100);
         assertEquals(fixture.verdicts, ImmutableList.of("origin-1 1 DONE"));
     }
 
@@ -374,7 +374,7 @@
         placer.offer(PlacerFixture.offer(1, 2).later(500));
         placer.offer(PlacerFixture.offer(2, 2).later(500));
         placer.offer(PlacerFixture.offer(3, 2).later(500));
-        fixture.timers.pass(200);
+        fixture.timers.advance(200);
         assertEquals(fixture.verdicts, ImmutableList.of("origin-1 3 DECLINED", "origin-1 1 DONE", "origin-1 2 DONE"));
     }
 
@@ -383,7 +383,7 @@
     public void testOffer_lateWhileOthersWait() {
         PlacerFixture fixture = new PlacerFixture(1);
         Placer placer = fixture.placer(1);
-        fixture.timers.pass(20);
+        fixture.timers.advance(20);
         placer.offer(PlacerFixture.offer(1, 2));
         placer.offer(PlacerFixture.offer(2, 2).later(500));
         assertEquals(fixture.verdicts, ImmutableList.of("origin-1 2 DECLINED"));
--- a/tarragonarch-core/src/test/java/org/tarragonarch/core/placing/RunTimeSpreadTest.java
+++ b/tarragonarch-core/src/test/java/org/tarragonarch/core/placing/RunTimeSpreadTest.java
@@ -32,7 +32,7 @@
         runs(spread, 3_000, 0.03, 7);
         assertEquals(spread.quantile(0.5), 1.0, 0.05);
         assertTrue(spread.quantile(0.99) > 5, "99th percentile " + spread.quantile(0.99));
-        assertTrue(spread.slowestOf(40) > 5, "slowest of 40 " + spread.slowestOf(40));
+        assertTrue(spread.medianSlowestRatio(40) > 5, "slowest of 40 " + spread.medianSlowestRatio(40));
     }
 
     /** Guards against a tail that is remembered for ever: one is forgotten within two windows of runs. */
@@ -46,7 +46,7 @@
 
     /** Guards against ratios outside of what the histogram holds. */
     @Test
-    public void testRan_ratiosOutOfRange() {
+    public void testRecord_ratiosOutOfRange() {
         RunTimeSpread spread = new RunTimeSpread();
         for (int run = 0; run < 100; run++) {
             spread.record(1, run % 2 == 0 ? 0 : Long.MAX_VALUE);
--- a/tarragonarch-core/src/test/java/org/tarragonarch/core/placing/RunTimesTest.java
+++ b/tarragonarch-core/src/test/java/org/tarragonarch/core/placing/RunTimesTest.java
@@ -30,7 +30,7 @@
 
     /** Guards against jobs refused by estimates that scatter by 40%: 30 ms in a queue of 60 ms means 43 ms. */
     @Test
-    public void testExpected_scatteredEstimatesLeanToTheMean() {
+    public void testExpected_scatteredEstimatesShrinkToTheMean() {
         RunTimes times = new RunTimes();
         Random random = new Random(2);
         for (int run = 0; run < RUNS; run++) {
@@ -44,7 +44,7 @@
 
     /** Estimates that say nothing are not believed at all. */
     @Test
-    public void testExpected_estimatesThatSayNothing() {
+    public void testExpected_uninformativeEstimates() {
         RunTimes times = new RunTimes();
         Random random = new Random(3);
         for (int run = 0; run < RUNS; run++) {
--- a/tarragonarch-core/src/test/java/org/tarragonarch/core/placing/ShareLoad.java
+++ b/tarragonarch-core/src/test/java/org/tarragonarch/core/placing/ShareLoad.java
@@ -36,7 +36,7 @@
                 .values()
                 .forEach(each -> each.runMillisOf = run -> kind(run).runMillis());
         placer = fixture.placer(1);
-        fixture.timers.pass(SETTLING_MILLIS);
+        fixture.timers.advance(SETTLING_MILLIS);
         startMillis = fixture.timers.nowMillis();
     }
 
@@ -71,7 +71,7 @@
 
     void play(long millis) {
         for (long at = SAMPLE_MILLIS; at < millis; at += SAMPLE_MILLIS) {
-            fixture.timers.pass(SAMPLE_MILLIS);
+            fixture.timers.advance(SAMPLE_MILLIS);
             sample();
             if (at % REVIEW_MILLIS == 0) {
                 placer.review();
--- a/tarragonarch-core/src/test/java/org/tarragonarch/core/placing/SharesUnderLoadTest.java
+++ b/tarragonarch-core/src/test/java/org/tarragonarch/core/placing/SharesUnderLoadTest.java
@@ -135,12 +135,12 @@
         fixture.plan = WEIGHTED;
         fixture.orders.endpoints.values().forEach(each -> each.runMillis = 900);
         Placer before = fixture.placer(1);
-        fixture.timers.pass(20);
+        fixture.timers.advance(20);
         before.offer(PlacerFixture.offer(1, 3, 900, PlacerFixture.ORIGIN, false));
-        fixture.timers.pass(50);
+        fixture.timers.advance(50);
         Placer next = fixture.placer(2);
         next.offer(PlacerFixture.offer(1, 3, 900, PlacerFixture.ORIGIN, true));
-        fixture.timers.pass(50);
+        fixture.timers.advance(50);
         assertEquals(next.shareUses(PlacerFixture.SHARD).get(0).milliCores(), 3 * PlacerFixture.TASK_MILLI_CORES);
     }
 }
--- a/tarragonarch-core/src/test/java/org/tarragonarch/core/placing/StallDetectorTest.java
+++ b/tarragonarch-core/src/test/java/org/tarragonarch/core/placing/StallDetectorTest.java
@@ -14,17 +14,17 @@
     private static Placer reporting(PlacerFixture fixture) {
         fixture.orders.endpoints.values().forEach(endpoint -> endpoint.runMillis = 900);
         Placer placer = fixture.placer(1);
-        fixture.timers.pass(20);
+        fixture.timers.advance(20);
         for (int job = 1; job <= HEALTHY_JOBS; job++) {
             placer.offer(PlacerFixture.offer(job, 2, 900, PlacerFixture.ORIGIN, false));
-            fixture.timers.pass(1_000);
+            fixture.timers.advance(1_000);
         }
         return placer;
     }
 
     private static void passReviewed(PlacerFixture fixture, Placer placer, long millis) {
         for (long passed = 0; passed < millis; passed += 100) {
-            fixture.timers.pass(100);
+            fixture.timers.advance(100);
             placer.review();
         }
     }
@@ -34,7 +34,7 @@
      * endpoint listed its progress all the time, and had to run all its length again elsewhere.
      */
     @Test
-    public void testReview_stragglerThatProgressesGoesOn() {
+    public void testReview_stragglerWithProgressContinues() {
         PlacerFixture fixture = new PlacerFixture(2);
         Placer placer = reporting(fixture);
         int startedBefore = fixture.ledger.starts();
@@ -60,13 +60,13 @@
 
     /** Guards against a run that is slow, at 300 ms a percent, and taken to stall because others need 10 ms. */
     @Test
-    public void testFollowProgress_slowRunIsNotStalled() {
+    public void testCheckProgress_slowRunIsNotStalled() {
         assertEquals(percentsUntilStopped(300, 20), 20);
     }
 
     /** Guards against a run that stalls halfway and is left alone since it has shown progress before. */
     @Test
-    public void testFollowProgress_runThatStopsProgressingIsStalled() {
+    public void testCheckProgress_runThatStopsProgressingIsStalled() {
         assertEquals(percentsUntilStopped(300, 3), 3);
     }
 
@@ -75,23 +75,23 @@
         PlacerFixture fixture = new PlacerFixture(1);
         ProgressReports progress = new ProgressReports();
         for (int report = 0; report < 20; report++) {
-            progress.advanced();
+            progress.recordAdvance();
         }
         HeldEndpoint endpoint = PendingJobsTest.endpoint(fixture);
         PlacedTask task = PendingJobsTest.job(1, 1).tasks().get(0);
         Reservation reservation =
                 new Reservation(task, task.takeRun(), task.job().need(), 0);
-        ReservedRoom room = new ReservedRoom(fixture.entries.get(0).capacity(), new ShareTally());
+        ReservedCapacity room = new ReservedCapacity(fixture.entries.get(0).capacity(), new ShareTally());
         room.reserve(reservation);
         task.placed(endpoint, reservation);
         StallDetector detector = new StallDetector(room, new EndpointHealth(), new EndpointSpeed(), progress);
-        detector.followProgress(reservation, 0, 60);
+        detector.checkProgress(reservation, 0, 60);
         int percent = 0;
-        for (long now = 100; now <= 20 * millisPerPercent && reservation.wanted(); now += 100) {
+        for (long now = 100; now <= 20 * millisPerPercent && reservation.shouldRun(); now += 100) {
             percent = (int) Math.min(last, now / millisPerPercent);
-            detector.followProgress(reservation, percent, now);
+            detector.checkProgress(reservation, percent, now);
         }
-        assertEquals(reservation.wanted(), last == 20);
+        assertEquals(reservation.shouldRun(), last == 20);
         return percent;
     }
 }
--- a/tarragonarch-core/src/test/java/org/tarragonarch/core/placing/VirtualTimers.java
+++ b/tarragonarch-core/src/test/java/org/tarragonarch/core/placing/VirtualTimers.java
@@ -24,7 +24,7 @@
     }
 
     /** Moves time on, making every call that falls due. */
-    public void pass(long millis) {
+    public void advance(long millis) {
         long until = now + millis;
         while (!calls.isEmpty() && calls.peek().at() <= until) {
             Call next = calls.poll();
--- a/tarragonarch-core/src/test/java/org/tarragonarch/core/routing/DomainBalanceTest.java
+++ b/tarragonarch-core/src/test/java/org/tarragonarch/core/routing/DomainBalanceTest.java
@@ -113,11 +113,11 @@
         Holder own = test.holders.add("a", "hobart", 1);
         test.holders.addNeighbour("b", "launceston", ROOMY);
         test.submit(JOB);
-        test.timers.pass(600);
+        test.timers.advance(600);
         test.holders.holders.clear();
         test.holders.neighboursWithRoom.clear();
         test.notAtOnce(own.node().value());
-        test.timers.pass(500);
+        test.timers.advance(500);
         assertEquals(test.replies, ImmutableList.of("REFUSED 1000"));
     }
 
@@ -133,9 +133,9 @@
         test.notAtOnce("a");
         test.holders.holders.remove(lost);
         test.router.nodeLost(NodeId.of("b"));
-        test.timers.pass(1_000);
+        test.timers.advance(1_000);
         assertEquals(test.holders.asked, ImmutableList.of("offer a at once", "offer b at once"));
-        test.timers.pass(100);
+        test.timers.advance(100);
         assertEquals(test.holders.asked, ImmutableList.of("offer a at once", "offer b at once", "offer a"));
     }
 
@@ -144,7 +144,7 @@
     public void testHoldersChanged_lateJobSkipsTheRounds() {
         DomainBalanceTest test = new DomainBalanceTest();
         test.submit(JOB);
-        test.timers.pass(97);
+        test.timers.advance(97);
         test.holders.add("a", "hobart", 1);
         test.holders.addNeighbour("b", "launceston", ROOMY);
         test.router.holdersChanged();
@@ -207,7 +207,7 @@
         test.holders.addNeighbour("b", "launceston", ROOMY);
         test.submit(JOB);
         test.notAtOnce("a");
-        test.timers.pass(2_000);
+        test.timers.advance(2_000);
         test.holders.asked.clear();
         test.submit(JOB);
         assertEquals(test.holders.asked, ImmutableList.of("offer b"));
--- a/tarragonarch-core/src/test/java/org/tarragonarch/core/routing/JobRouterTest.java
+++ b/tarragonarch-core/src/test/java/org/tarragonarch/core/routing/JobRouterTest.java
@@ -121,7 +121,7 @@
         test.holders.add("a", "hobart", 1);
         test.submit(4_000);
         test.settled("a", Verdict.DECLINED, 300);
-        test.timers.pass(501);
+        test.timers.advance(501);
         assertEquals(test.replies, ImmutableList.of("REFUSED 300"));
     }
 
@@ -151,7 +151,7 @@
         test.holders.add("c", "hobart", 2);
         test.settled("a", Verdict.HOLD_LOST, 0);
         assertEquals(test.holders.asked, ImmutableList.of("offer a"));
-        test.timers.pass(1_100);
+        test.timers.advance(1_100);
         assertEquals(test.holders.asked, ImmutableList.of("offer a", "offer c"));
     }
 
@@ -166,7 +166,7 @@
         test.holders.highestTerms.put(FailureDomain.of("hobart"), 3L);
         test.router.nodeLost(NodeId.of("a"));
         assertEquals(test.holders.asked, ImmutableList.of("offer a"));
-        test.timers.pass(1_100);
+        test.timers.advance(1_100);
         assertEquals(test.holders.asked, ImmutableList.of("offer a", "offer b"));
     }
 
@@ -179,9 +179,9 @@
         test.holders.holders.remove(lost);
         test.holders.add("b", "launceston", 1);
         test.router.nodeLost(NodeId.of("a"));
-        test.timers.pass(1_000);
+        test.timers.advance(1_000);
         assertEquals(test.holders.asked, ImmutableList.of("offer a"));
-        test.timers.pass(100);
+        test.timers.advance(100);
         assertEquals(test.holders.asked, ImmutableList.of("offer a", "offer b"));
     }
 
@@ -195,7 +195,7 @@
         test.settled("a", Verdict.DECLINED, 300);
         test.holders.holders.remove(lost);
         test.router.nodeLost(NodeId.of("b"));
-        test.timers.pass(1_100);
+        test.timers.advance(1_100);
         assertEquals(test.holders.asked, ImmutableList.of("offer a", "offer b", "offer a"));
         test.settled("a", Verdict.DECLINED, 300);
         assertEquals(test.replies, ImmutableList.of("GIVEN_UP"));
@@ -232,10 +232,10 @@
         JobRouterTest test = fresh();
         Holder leaving = test.holders.add("a", "hobart", 1);
         test.submit(4_000);
-        test.timers.pass(1_000);
+        test.timers.advance(1_000);
         test.settled("a", Verdict.RETURNED, 0);
         test.holders.holders.remove(leaving);
-        test.timers.pass(510);
+        test.timers.advance(510);
         assertEquals(test.replies, ImmutableList.of("REFUSED 1000"));
     }
 
@@ -256,7 +256,7 @@
         test.submit(800);
         test.holders.holders.remove(lost);
         test.router.nodeLost(NodeId.of("a"));
-        test.timers.pass(1_000);
+        test.timers.advance(1_000);
         assertEquals(test.replies, ImmutableList.of("GIVEN_UP"));
     }
 
@@ -265,7 +265,7 @@
     public void testSubmit_noHolder() {
         JobRouterTest test = fresh();
         test.submit(4_000);
-        test.timers.pass(600);
+        test.timers.advance(600);
         assertEquals(test.replies, ImmutableList.of("REFUSED 1000"));
     }
 
--- a/tarragonarch-core/src/test/java/org/tarragonarch/core/shard/ListAtHandOverTest.java
+++ b/tarragonarch-core/src/test/java/org/tarragonarch/core/shard/ListAtHandOverTest.java
@@ -65,7 +65,7 @@
 
     private FakeEndpoint register(EndpointId id, Resources capacity, long runMillis) {
         FakeEndpoint endpoint = new FakeEndpoint(timers, ledger, capacity.milliCores());
-        endpoint.runsFor(runMillis);
+        endpoint.setRunMillis(runMillis);
         orders.add(id, endpoint);
         Address address = new Address("10.0.1.1", 80);
         store.put(id, new EndpointEntry(id, ListReadingNode.SERVICE, address, HOBART, false, capacity, false));
@@ -89,12 +89,12 @@
     private void firstClaims() {
         first.readListAfter(0);
         second.readListAfter(200);
-        timers.pass(10);
+        timers.advance(10);
         first.review();
         second.heard(first.status());
         second.review();
         assertTrue(first.holdsShard());
-        timers.pass(10 + READ_FOR_MILLIS);
+        timers.advance(10 + READ_FOR_MILLIS);
     }
 
     /** Lets the first node die, and the second claim at once and be offered the job. */
@@ -118,16 +118,16 @@
     public void testOffer_endpointJoinedAfterTheListWasRead() {
         register(LISTED, LARGE, 900);
         firstClaims();
-        timers.pass(2_900);
+        timers.advance(2_900);
         FakeEndpoint joined = register(UNLISTED, SMALL, 900);
-        timers.pass(700);
+        timers.advance(700);
         Offer offer = offer(1, 900, 0, EarlierRuns.NONE);
         first.offer(offer);
-        timers.pass(80);
+        timers.advance(80);
         assertEquals(joined.running(), 1);
         // The second node has read the list 0.8 s ago, and reads it again in 0.1 s.
         secondTakesOver(offer, 80);
-        timers.pass(5_000);
+        timers.advance(5_000);
         assertEachTaskRanOnceAtATime();
         assertEquals(second.verdicts().size(), 1);
     }
@@ -138,17 +138,17 @@
         register(LISTED, LARGE, 5_000);
         FakeEndpoint dropped = register(UNLISTED, SMALL, 5_000);
         firstClaims();
-        timers.pass(800);
+        timers.advance(800);
         Offer offer = offer(2, 5_000, 0, EarlierRuns.NONE);
         first.offer(offer);
-        timers.pass(50);
+        timers.advance(50);
         assertEquals(dropped.running(), 1);
         store.remove(UNLISTED);
         // The second node reads the list without the entry at 1.1 s; at 3.2 s it has not changed for 2.1 s.
-        timers.pass(2_330);
+        timers.advance(2_330);
         assertEquals(dropped.running(), 1);
         secondTakesOver(offer, 2_380);
-        timers.pass(7_000);
+        timers.advance(7_000);
         assertEachTaskRanOnceAtATime();
         assertEquals(second.verdicts().size(), 1);
     }
@@ -159,21 +159,21 @@
         register(LISTED, LARGE, 6_000);
         FakeEndpoint dropped = register(UNLISTED, SMALL, 6_000);
         firstClaims();
-        timers.pass(800);
+        timers.advance(800);
         Offer offer = offer(2, 2_000, 0, EarlierRuns.NONE);
         first.offer(offer);
-        timers.pass(50);
+        timers.advance(50);
         assertEquals(dropped.running(), 1);
         store.remove(UNLISTED);
-        timers.pass(1_000);
+        timers.advance(1_000);
         second = new ListReadingNode("b", store, orders, timers);
         second.readListAfter(0);
-        timers.pass(10);
+        timers.advance(10);
         second.heard(first.status());
-        timers.pass(2_900);
+        timers.advance(2_900);
         assertEquals(dropped.running(), 1);
         secondTakesOver(offer, 3_960);
-        timers.pass(7_000);
+        timers.advance(7_000);
         assertEachTaskRanOnceAtATime();
     }
 }
