--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/placing/CapacityCount.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/placing/CapacityCount.java
@@ -4,22 +4,22 @@
 import org.tarragonarch.model.task.Resources;
 
 /**
- * The capacity of the usable endpoints for tasks of one job's size; a place is room for one task.
+ * The capacity of the usable endpoints for tasks of one job's size; a slot is the capacity for one such task.
  *
- * @param slots the number of places
- * @param weightedSlots the sum over the places of their endpoint's speed: the work done per unit of time
- * @param freeSlots the number of free places
- * @param initializingSlots the number of places on endpoints that are being opened; included in {@code places} and
- *     {@code weightedPlaces}, not in {@code freePlaces}
+ * @param slots the number of slots
+ * @param weightedSlots the sum over the slots of their endpoint's speed: the work done per unit of time
+ * @param freeSlots the number of free slots
+ * @param initializingSlots the number of slots on endpoints that are being opened; included in {@code slots} and
+ *     {@code weightedSlots}, not in {@code freeSlots}
  * @param milliCores the processor time of the endpoints, in thousandths of a core
  */
 record CapacityCount(long slots, double weightedSlots, long freeSlots, long initializingSlots, long milliCores) {
     static CapacityCount of(Iterable<HeldEndpoint> endpoints, PlacedJob job, long now) {
         long perTask = Math.max(1, job.need().milliCores());
-        long places = 0;
-        double weightedPlaces = 0;
-        long freePlaces = 0;
-        long initializingPlaces = 0;
+        long slots = 0;
+        double weightedSlots = 0;
+        long freeSlots = 0;
+        long initializingSlots = 0;
         long milliCores = 0;
         for (HeldEndpoint endpoint : endpoints) {
             boolean usable = endpoint.accepts(Resources.NONE, now);
@@ -28,24 +28,24 @@
                 continue;
             }
             long capacity = endpoint.entry().capacity().milliCores();
-            long whole = capacity / perTask;
+            long slotsOfEndpoint = capacity / perTask;
             milliCores += capacity;
-            places += whole;
-            weightedPlaces += whole * endpoint.speed().classSpeed();
-            initializingPlaces += usable ? 0 : whole;
-            freePlaces += usable && job.need().fitsInto(endpoint.freeCapacity())
+            slots += slotsOfEndpoint;
+            weightedSlots += slotsOfEndpoint * endpoint.speed().classSpeed();
+            initializingSlots += usable ? 0 : slotsOfEndpoint;
+            freeSlots += usable && job.need().fitsInto(endpoint.freeCapacity())
                     ? endpoint.freeCapacity().milliCores() / perTask
                     : 0;
         }
-        return new CapacityCount(places, weightedPlaces, freePlaces, initializingPlaces, milliCores);
+        return new CapacityCount(slots, weightedSlots, freeSlots, initializingSlots, milliCores);
     }
 
-    /** Returns the mean speed of the places; 1 without any. */
+    /** Returns the mean speed of the slots, or 1 if there are none. */
     double meanSpeed() {
         return slots == 0 ? 1 : weightedSlots / slots;
     }
 
-    /** Converts the count. */
+    /** Returns the slots in the form that admission by shares uses. */
     PoolPlaces toPoolSlots() {
         return new PoolPlaces(milliCores, slots, freeSlots);
     }
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/placing/EndpointChoice.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/placing/EndpointChoice.java
@@ -4,15 +4,15 @@
 import org.tarragonarch.model.task.Resources;
 
 /**
- * Chooses the endpoint for a task: of those that take it, a warm one, of these one of the fastest class, and of these
- * the one that has the least room.
+ * Chooses the endpoint for a task: of the endpoints that accept it, a warm one before a cold one, then one of the
+ * fastest speed class, then the one with the least free capacity.
  *
  * <p>Taking the fastest first leaves the most time for a task that turns out to be long. Keeping fast endpoints free
- * for tasks that need them lowers the total worth of the jobs served at moderate load and makes no difference under
- * full load, where all endpoints are in use.
+ * for tasks that need them lowers the total value of the jobs served at moderate load and makes no difference at full
+ * load, where all endpoints are in use.
  *
- * <p>Filling the fullest first keeps whole endpoints free for the largest tasks, which would otherwise wait while every
- * endpoint is half empty.
+ * <p>Filling the fullest endpoint first keeps whole endpoints free for the largest tasks, which would otherwise wait
+ * while every endpoint is half empty.
  */
 final class EndpointChoice {
     private EndpointChoice() {}
@@ -62,8 +62,8 @@
     }
 
     /**
-     * Returns how much other work is at risk if the task is started there: a task under which an endpoint has crashed
-     * is best alone, next best beside others of its kind.
+     * Returns how much other work is put at risk if the task is started on the endpoint, from 0 (none) to 2. A suspect
+     * task, under which an endpoint has crashed, is best placed alone, and next best beside other suspect tasks.
      */
     private static int exposure(HeldEndpoint endpoint, PlacedTask task) {
         if (endpoint.reservedCapacity().isEmpty()) {
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/placing/EndpointClock.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/placing/EndpointClock.java
@@ -3,28 +3,31 @@
 import java.util.OptionalLong;
 
 /**
- * An endpoint's clock as its last answer showed it.
+ * An estimate of an endpoint's clock, taken from its last answer.
  *
- * <p>Taken as of the moment the answer came, so it runs behind the true one by the way of the answer; a lease computed
- * from it is too short by that rather than too long.
+ * <p>The clock value of an answer is taken as of the arrival of the answer, so the estimate lags behind the true clock
+ * by the transit time of the answer. A lease computed from it is therefore too short rather than too long.
  */
 final class EndpointClock {
     private long clockMillis;
     private long takenAtMillis;
-    private boolean isKnown;
+    private boolean known;
 
+    /** Records the clock value of an answer; an empty value leaves the estimate as it is. */
     void update(OptionalLong answer, long nowMillis) {
         if (answer.isPresent()) {
             clockMillis = answer.getAsLong();
             takenAtMillis = nowMillis;
-            isKnown = true;
+            known = true;
         }
     }
 
+    /** Returns whether any answer contained a clock value. */
     boolean isKnown() {
-        return isKnown;
+        return known;
     }
 
+    /** Returns the endpoint's clock, in milliseconds, at a time on the steady clock of this node. */
     long at(long nowMillis) {
         return clockMillis + (nowMillis - takenAtMillis);
     }
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/placing/EndpointHealth.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/placing/EndpointHealth.java
@@ -1,23 +1,23 @@
 package org.tarragonarch.core.placing;
 
 /**
- * Detects an unhealthy endpoint by how its runs end, and ejects it for a while.
+ * Detects an unhealthy endpoint by the outcomes of its runs, and ejects it temporarily.
  *
- * <p>Guards against an endpoint that fails or stalls what it starts: it looks idle, so it would draw most of the load.
- * Each end adds to or takes from the log-likelihood ratio of an endpoint that spoils half of its runs to a healthy one.
- * At the threshold the endpoint is ejected, for longer each time, and then gets one run as a trial.
+ * <p>Guards against an endpoint that fails or stalls its runs: it looks idle, so it would attract most of the load.
+ * Each outcome changes the log-likelihood ratio of an endpoint that fails half of its runs to a healthy one. When the
+ * ratio reaches the threshold, the endpoint is ejected, for longer each time, and then gets a single run as a trial.
  */
 final class EndpointHealth {
     /** The log-likelihood ratio at which an endpoint is ejected. */
     private static final double EJECTION_THRESHOLD = 6.8;
 
-    /** What a failed run adds to the ratio; jobs that can never be done fail on healthy endpoints too. */
+    /** The amount that a failed run adds to the ratio; jobs that can never succeed also fail on healthy endpoints. */
     private static final double FAILURE_WEIGHT = 2.3;
 
-    /** What a stalled run adds to the ratio; on healthy endpoints hardly any run stalls. */
+    /** The amount that a stalled run adds to the ratio; runs rarely stall on healthy endpoints. */
     private static final double STALL_WEIGHT = 6.2;
 
-    /** What a successful run takes from the ratio. */
+    /** The amount that a successful run subtracts from the ratio. */
     private static final double SUCCESS_WEIGHT = 0.64;
 
     private static final long FIRST_EJECTION_MILLIS = 1_000;
@@ -47,7 +47,7 @@
         add(STALL_WEIGHT, nowMillis);
     }
 
-    /** Ejects the endpoint for a while, whatever its runs say. */
+    /** Ejects the endpoint for at least the given time, regardless of the outcomes of its runs. */
     void eject(long nowMillis, long millis) {
         ejectedUntilMillis = Math.max(ejectedUntilMillis, nowMillis + millis);
     }
@@ -56,7 +56,7 @@
         return nowMillis < ejectedUntilMillis;
     }
 
-    /** Returns whether the endpoint was ejected and may get a single run to show that it is healthy again. */
+    /** Returns whether the endpoint was ejected and is limited to a single run until one succeeds. */
     boolean isOnTrial() {
         return onTrial;
     }
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/placing/EndpointHost.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/placing/EndpointHost.java
@@ -1,13 +1,13 @@
 package org.tarragonarch.core.placing;
 
-/** What every part that calls an endpoint asks of it, and tells it. */
+/** The endpoint as seen by the classes that send calls to it. */
 interface EndpointHost {
-    /** Returns whether the endpoint gets no calls any more. */
+    /** Returns whether no more calls are to be sent to the endpoint. */
     boolean isClosed();
 
-    /** The endpoint obeys another holder. */
+    /** Called when the endpoint refuses this holder's token because it has seen a higher one. */
     void endpointFenced();
 
-    /** An endpoint with another id answers at this address. */
+    /** Called when an endpoint with another id answers at this address. */
     void endpointGone();
 }
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/placing/EndpointLink.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/placing/EndpointLink.java
@@ -15,9 +15,9 @@
 import org.tarragonarch.model.task.Timers;
 
 /**
- * The calls to one endpoint under one token, and what they say of its clock and of the lease of all that runs there.
+ * Sends calls to one endpoint under one token, and tracks the endpoint's clock and the lease of all its runs.
  *
- * <p>Every answer is read for the endpoint's clock before it is passed on.
+ * <p>The clock value of an answer to an order is recorded before the answer is passed on.
  */
 final class EndpointLink {
     private final FencingToken token;
@@ -47,30 +47,30 @@
     }
 
     /**
-     * Returns the number of the present incarnation, from 0; a call sent under another number was for an earlier one.
+     * Returns the number of the current incarnation, from 0. A call sent under another number was for an earlier one.
      */
     int incarnationNumber() {
         return incarnationNumber;
     }
 
-    /** Records a later entry of the same incarnation. */
+    /** Replaces the entry by a newer one of the same incarnation. */
     void update(EndpointEntry later) {
         entry = later.incarnation().hasStart() ? later : later.withIncarnation(entry.incarnation());
     }
 
-    /** Records when the incarnation started that is called already. */
+    /** Records the start time of the current incarnation, in milliseconds. */
     void recordStart(long millis) {
         entry = entry.withIncarnation(entry.incarnation().startedAt(millis));
     }
 
-    /** Records that a later incarnation takes the calls from now on; its clock is not known. */
+    /** Switches to a later incarnation, whose clock is not known yet. */
     void switchIncarnation(EndpointEntry later) {
         entry = later;
         incarnationNumber++;
         clock = new EndpointClock();
     }
 
-    /** Records the clock in a list of the present incarnation; empty if the list has none. */
+    /** Records the clock value of an answer with lists from the current incarnation; empty if the answer has none. */
     void updateClock(OptionalLong clockMillis) {
         clock.update(clockMillis, timers.nowMillis());
     }
@@ -87,12 +87,12 @@
         return timers.nowMillis();
     }
 
-    /** Returns when everything that a call has extended so far has certainly lapsed, in milliseconds. */
+    /** Returns when every lease extended so far has certainly expired, in milliseconds on the steady clock. */
     long leaseExpiryMillis() {
         return leaseExpiryMillis;
     }
 
-    /** Starts a run, and extends the lease of all that runs. */
+    /** Sends an order to start a run, which also extends the lease of all runs on the endpoint. */
     void start(TaskRun run, String specification, Consumer<OrderAnswer> reply) {
         StartOrder order = new StartOrder(token, run, specification, extendLease());
         int sentTo = incarnationNumber;
@@ -105,9 +105,9 @@
     }
 
     /**
-     * Stops a run. An answer to a stop that was sent to an earlier incarnation is dropped: it binds that one alone.
+     * Sends an order to stop a run. An answer from an earlier incarnation is dropped: it binds only that incarnation.
      *
-     * @param fresh whether to use a new connection, because those that are open may have gone silent
+     * @param fresh whether to use a new connection, because the open ones may be dead
      */
     void stop(TaskRun run, boolean fresh, Consumer<OrderAnswer> reply) {
         int sentTo = incarnationNumber;
@@ -120,15 +120,22 @@
     }
 
     /**
-     * Reads the lists without extending the lease; the answer comes at once.
+     * Reads the lists without extending the lease; the endpoint answers immediately.
      *
      * @param acknowledgedEnd the highest number of an end that need not be listed again
+     * @param fresh whether to use a new connection, because the open ones may be dead
      */
     void list(long acknowledgedEnd, boolean fresh, Consumer<HoldAnswer> reply) {
         hold(new HoldOrder(token, acknowledgedEnd, OptionalLong.empty(), 0), fresh, reply);
     }
 
-    /** Extends the lease of all that runs, and reads the lists as soon as there is an end or the wait is over. */
+    /**
+     * Extends the lease of all runs, and reads the lists; the endpoint answers at the next end of a run or after the
+     * hold wait.
+     *
+     * @param acknowledgedEnd the highest number of an end that need not be listed again
+     * @param fresh whether to use a new connection, because the open ones may be dead
+     */
     void renew(long acknowledgedEnd, boolean fresh, Consumer<HoldAnswer> reply) {
         OptionalLong until = OptionalLong.of(extendLease());
         hold(new HoldOrder(token, acknowledgedEnd, until, settings.holdWait()), fresh, reply);
@@ -142,7 +149,7 @@
         return new Delivery(settings.answerTime(), fresh);
     }
 
-    /** Returns when a lease that is extended now ends, on the endpoint's clock. */
+    /** Extends the lease from now and returns its expiry, in milliseconds on the endpoint's clock. */
     private long extendLease() {
         long now = timers.nowMillis();
         leaseExpiryMillis = Math.max(leaseExpiryMillis, now + settings.certainLapse());
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/placing/EndpointListener.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/placing/EndpointListener.java
@@ -2,35 +2,35 @@
 
 import org.tarragonarch.model.task.EndKind;
 
-/** What a held endpoint tells the placer. */
+/** Receives the events of a held endpoint. */
 interface EndpointListener {
-    /** A run ended; its room is free. */
+    /** Called when a run has ended and its capacity is released. */
     void runEnded(HeldEndpoint endpoint, Reservation reservation, EndKind kind);
 
-    /** The endpoint lists that the lease of a run lapsed, which this holder had not noticed; its room is free. */
+    /** Called when the endpoint lists a run as lapsed that this holder has not ended; its capacity is released. */
     void runLapsedUnnoticed(HeldEndpoint endpoint, Reservation reservation);
 
-    /** An endpoint whose silence had ended a run of the task has turned out to have crashed. */
+    /** Called when an endpoint whose silence ended a run of the task is found to have crashed. */
     void crashConfirmed(HeldEndpoint endpoint, PlacedTask task);
 
-    /** The endpoint has restarted under its id; the ends of its runs follow. */
+    /** Called when the endpoint has restarted under the same id, before its runs are ended. */
     void endpointRestarted(HeldEndpoint endpoint);
 
-    /** A run was refused or never left; its room is free, and the task may start anywhere. */
+    /** Called when a start was refused or not sent; its capacity is released, and the task may start anywhere. */
     void startRefused(HeldEndpoint endpoint, Reservation reservation);
 
-    /** A run was refused because a later one was there before; the task needs a higher number. */
+    /** Called when a start was refused because the endpoint knows a later run; the task needs a higher run number. */
     void startRefusedAsOld(HeldEndpoint endpoint, Reservation reservation);
 
-    /** No endpoint can read the order. */
+    /** Called when a start order was refused as unreadable; no endpoint can read it. */
     void orderUnreadable(HeldEndpoint endpoint, Reservation reservation);
 
-    /** The endpoint was read for the first time: what earlier holders left there is known. */
+    /** Called when the lists were read for the first time, so that the runs left by earlier holders are known. */
     void firstListRead(HeldEndpoint endpoint);
 
-    /** The endpoint can take tasks that it could not take before. */
+    /** Called when the endpoint may accept tasks that it did not accept before. */
     void endpointUsable(HeldEndpoint endpoint);
 
-    /** The endpoint obeys a higher token. */
+    /** Called when the endpoint refuses this holder's token because it has seen a higher one. */
     void endpointFenced(HeldEndpoint endpoint);
 }
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/placing/EndpointObservations.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/placing/EndpointObservations.java
@@ -2,25 +2,25 @@
 
 import org.tarragonarch.core.speed.EndpointSpeed;
 
-/** The health, speed and stalled runs of the present incarnation of one endpoint, as observed by this holder. */
+/** The health, speed and stalled runs of the current incarnation of one endpoint, as observed by this holder. */
 final class EndpointObservations {
-    private final ReservedCapacity room;
+    private final ReservedCapacity reserved;
     private final ProgressReports progress;
     private EndpointHealth health;
     private EndpointSpeed speed;
     private StallDetector stalls;
 
-    EndpointObservations(ReservedCapacity room, ProgressReports progress) {
-        this.room = room;
+    EndpointObservations(ReservedCapacity reserved, ProgressReports progress) {
+        this.reserved = reserved;
         this.progress = progress;
         reset();
     }
 
-    /** Forgets everything, because a later incarnation has followed. */
+    /** Discards all observations when a later incarnation replaces the observed one. */
     void reset() {
         health = new EndpointHealth();
         speed = new EndpointSpeed();
-        stalls = new StallDetector(room, health, speed, progress);
+        stalls = new StallDetector(reserved, health, speed, progress);
     }
 
     EndpointHealth health() {
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/placing/HeldEndpoint.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/placing/HeldEndpoint.java
@@ -13,16 +13,16 @@
 import org.tarragonarch.model.task.TaskRun;
 
 /**
- * One endpoint under this node's token: what runs there, what room is left, and the lease of all that runs.
+ * One endpoint under this node's token: its runs, its free capacity, and the lease of its runs.
  *
- * <p>The endpoint arbitrates: it obeys no token lower than the highest it has seen, and lists all that runs. So the
- * first call under a new token shuts out every earlier holder and shows what they left behind, which is adopted by its
- * jobs or stopped before anything is started. From then on room is counted here, and is given back only when the
- * endpoint listed the end, or when the lease of the run has certainly run out.
+ * <p>The endpoint is the arbiter: it rejects every token lower than the highest it has seen, and lists all its runs.
+ * The first call under a new token therefore fences every earlier holder and shows the runs they left, which are
+ * adopted by their jobs or stopped before anything is started. From then on this class reserves the capacity of each
+ * run, and releases it only when the endpoint has listed the run's end or the run's lease has certainly expired.
  */
 final class HeldEndpoint {
     private final EndpointLink link;
-    private final EndpointListener events;
+    private final EndpointListener listener;
     private final ReservedCapacity reservedCapacity;
     private final RunEnds ends;
     private final ListedRuns listedRuns;
@@ -33,43 +33,43 @@
     private boolean retired;
 
     /**
-     * Creates an endpoint that was not called yet.
+     * Creates an endpoint without calling it.
      *
-     * @param unanswered the orders that the shard's endpoints left without an answer
-     * @param tally what the shard's endpoints have in use, by share
+     * @param unanswered the start orders that the shard's endpoints have not answered
+     * @param tally counts the capacity in use on the shard's endpoints by share
      */
     HeldEndpoint(
             EndpointLink link,
-            EndpointListener events,
+            EndpointListener listener,
             ProgressReports progress,
             UnansweredStarts unanswered,
             ShareTally tally) {
         this.link = link;
-        this.events = events;
+        this.listener = listener;
         this.reservedCapacity = new ReservedCapacity(link.entry().capacity(), tally);
         Host host = new Host();
-        this.ends = new RunEnds(link, reservedCapacity, this, events);
+        this.ends = new RunEnds(link, reservedCapacity, this, listener);
         this.poller = new RunListPoller(link, host);
         this.listedRuns = new ListedRuns(link, reservedCapacity, unanswered, poller, host);
         this.orders = new RunOrders(link, reservedCapacity, poller, unanswered, host);
         this.observations = new EndpointObservations(reservedCapacity, progress);
     }
 
-    /** Reads the lists for the first time. */
+    /** Starts to read the lists. */
     void open() {
         poller.pollIfIdle();
     }
 
-    /** Gives no more orders; what runs is left to its lease. */
+    /** Sends no more calls; runs continue until their lease expires. */
     void close() {
         closed = true;
     }
 
     /**
-     * Gives no more orders, and takes what runs for over when its lease has certainly run out.
+     * Sends no more calls, and ends the runs as lapsed when their lease has certainly expired.
      *
-     * <p>Guards against a task that runs twice: its endpoint may have another holder now, who knows nothing of it, and
-     * until the lease is over or that holder has stopped it, it goes on.
+     * <p>Guards against a task that runs twice: the endpoint may have a new holder that does not know the task, and the
+     * run continues until its lease expires or that holder stops it.
      */
     void abandon() {
         closed = true;
@@ -82,10 +82,10 @@
     }
 
     /**
-     * Records an entry that was read later.
+     * Applies a newly read entry of the endpoint.
      *
-     * <p>An entry of an earlier incarnation than the lists tell of is dropped, but for whether the endpoint may get
-     * anything new: that is also decided by who drains its failure domain.
+     * <p>Of an entry that is of an earlier incarnation than the lists, only the draining state is used, because that
+     * also depends on the drain of the failure domain.
      */
     void update(EndpointEntry later) {
         if (entry().incarnation().isLaterThan(later.incarnation())) {
@@ -105,17 +105,17 @@
         retired = false;
     }
 
-    /** Returns whether the endpoint is over and the entry is of a later incarnation. */
+    /** Returns whether the endpoint is closed and the entry is of a later incarnation. */
     boolean isSucceededBy(EndpointEntry later) {
         return closed && later.incarnation().isLaterThan(entry().incarnation());
     }
 
-    /** The platform no longer lists the endpoint: what runs there may end, and nothing is started. */
+    /** Starts nothing more because the platform no longer lists the endpoint; its runs may end normally. */
     void retire() {
         retired = true;
     }
 
-    /** Returns how fast this incarnation of the endpoint is. */
+    /** Returns the speed estimate of the current incarnation. */
     EndpointSpeed speed() {
         return observations.speed();
     }
@@ -128,17 +128,17 @@
         return reservedCapacity.free();
     }
 
-    /** Returns whether everything that runs there is known. */
+    /** Returns whether all runs on the endpoint are known and reserved, so that its free capacity is known. */
     boolean knowsAllRuns() {
         return poller.hasRead() && listedRuns.areAllReserved();
     }
 
-    /** Returns whether no run of the job can be here but those that may be adopted. */
+    /** Returns whether every run of the job that may be on this endpoint can be adopted. */
     boolean hasOnlyAdoptableRuns(JobId job) {
         return poller.hasRead() && !listedRuns.recovered().isStoppingRunOf(job);
     }
 
-    /** Lets a job adopt what an earlier holder started of it here. */
+    /** Adopts the runs of a job that an earlier holder started on this endpoint. */
     void adopt(PlacedJob job) {
         listedRuns.recovered().adopt(job, this::adopt);
         if (!reservedCapacity.isEmpty()) {
@@ -151,19 +151,19 @@
         orders.reserve(Reservation.adopted(task, run, task.job().need(), link.nowMillis()));
     }
 
-    /** Returns whether a task runs here under which an endpoint has crashed. */
+    /** Returns whether a suspect task, under which an endpoint has crashed, runs on this endpoint. */
     boolean hasSuspectTask() {
         return reservedCapacity.hasSuspectTask();
     }
 
-    /** Returns whether the endpoint has ever answered. */
+    /** Returns whether the lists of the endpoint were ever read. */
     boolean hasAnswered() {
         return listedRuns.anyListRead();
     }
 
     /**
-     * Returns whether the endpoint will most likely take tasks within moments, because its first answer is due or what
-     * an earlier holder left there is being stopped.
+     * Returns whether the endpoint will probably accept tasks soon, because its first answer is pending or runs of an
+     * earlier holder are being stopped.
      */
     boolean isInitializing() {
         return !closed && !retired && !entry().draining() && !poller.isSilent() && !knowsAllRuns();
@@ -180,7 +180,7 @@
                 && !(observations.health().isOnTrial() && !reservedCapacity.isEmpty());
     }
 
-    /** Returns whether the endpoint, were it idle, could be given a task of the service that needs so much. */
+    /** Returns whether the endpoint, if it were idle, could run a task of the service with the given needs. */
     boolean canHost(String service, Resources need) {
         return !retired
                 && !entry().draining()
@@ -188,17 +188,17 @@
                 && need.fitsInto(entry().capacity());
     }
 
-    /** Starts a run; the endpoint must take it. */
+    /** Starts a run; the endpoint must accept it, see {@link #accepts}. */
     void start(PlacedTask task, TaskRun run, Resources need) {
         orders.start(task, run, need);
     }
 
-    /** Stops a run, which stays reserved until its end is certain. */
+    /** Stops a run; its capacity remains reserved until its end is certain. */
     void stop(Reservation reservation) {
         orders.stop(reservation);
     }
 
-    /** Stops runs that take far longer than expected; see {@link StallDetector}. */
+    /** Stops runs that take far longer than expected, to restart their tasks; see {@link StallDetector}. */
     void restartOverdueRuns() {
         observations.stalls().restartOverdueRuns(link.nowMillis());
     }
@@ -219,12 +219,12 @@
         poller.reset();
         listedRuns.endpointRestarted();
         observations.reset();
-        events.endpointRestarted(this);
+        listener.endpointRestarted(this);
         ends.endpointRestarted(leftAsPlanned);
         orders.resendStopsAfterRestart();
     }
 
-    /** What this endpoint does for its parts. */
+    /** Connects the parts of this endpoint with each other. */
     private final class Host implements RunListPoller.Host, RunOrders.Host {
         @Override
         public boolean isClosed() {
@@ -253,10 +253,10 @@
             ends.processList(percentByRun, sentAtMillis, observations.stalls());
             listedRuns.processList(percentByRun.keySet(), sentAtMillis, firstList);
             if (firstList) {
-                events.firstListRead(HeldEndpoint.this);
+                listener.firstListRead(HeldEndpoint.this);
             }
             if (wasSilent || firstList || listedRuns.recovered().isEmpty()) {
-                events.endpointUsable(HeldEndpoint.this);
+                listener.endpointUsable(HeldEndpoint.this);
             }
         }
 
@@ -267,7 +267,7 @@
 
         @Override
         public void endpointFenced() {
-            events.endpointFenced(HeldEndpoint.this);
+            listener.endpointFenced(HeldEndpoint.this);
         }
 
         @Override
@@ -289,7 +289,7 @@
 
         @Override
         public EndpointListener listener() {
-            return events;
+            return listener;
         }
 
         @Override
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/placing/HeldShards.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/placing/HeldShards.java
@@ -17,18 +17,18 @@
 import org.tarragonarch.model.task.FencingToken;
 import org.tarragonarch.model.task.JobId;
 
-/** The shards that this node holds, and all their endpoints as one pool. */
+/** The shards that this node holds; their endpoints form one pool. */
 final class HeldShards {
     private final Map<FailureDomain, PlacedShard> shards = new LinkedHashMap<>();
-    private final Predicate<FailureDomain> wholeList;
+    private final Predicate<FailureDomain> hasCompleteList;
 
     /**
-     * Creates a node's shards, none yet.
+     * Creates a pool without shards.
      *
-     * @param wholeList tells whether a shard's list of endpoints can be taken for whole
+     * @param hasCompleteList returns whether the list of endpoints of a shard is known to be complete
      */
-    HeldShards(Predicate<FailureDomain> wholeList) {
-        this.wholeList = wholeList;
+    HeldShards(Predicate<FailureDomain> hasCompleteList) {
+        this.hasCompleteList = hasCompleteList;
     }
 
     void add(FailureDomain domain, PlacedShard shard) {
@@ -51,12 +51,12 @@
         return Iterables.concat(Iterables.transform(shards.values(), PlacedShard::endpoints));
     }
 
-    /** Returns what runs take, by share, of each shard. */
+    /** Returns for each shard the capacity in use by share. */
     Iterable<ShareTally> tallies() {
         return Iterables.transform(shards.values(), PlacedShard::tally);
     }
 
-    /** Keeps the mean speed of each service's endpoints at 1. */
+    /** Normalizes the speeds of each service's endpoints to a mean of 1. */
     void normalizeSpeeds() {
         ListMultimap<String, EndpointSpeed> byService = ArrayListMultimap.create();
         endpoints().forEach(endpoint -> byService.put(endpoint.entry().service(), endpoint.speed()));
@@ -72,7 +72,7 @@
         shards.clear();
     }
 
-    /** Returns whether any endpoint, were it idle, could be given a task of the job. */
+    /** Returns whether any endpoint, if it were idle, could run a task of the job. */
     boolean canHost(PlacedJob job) {
         for (HeldEndpoint endpoint : endpoints()) {
             if (endpoint.canHost(job.queue().service(), job.need())) {
@@ -82,26 +82,30 @@
         return false;
     }
 
-    /** Returns the most processor time that is free on one endpoint that takes tasks, in thousandths of a core. */
+    /** Returns the largest free processor time of any endpoint that accepts tasks, in thousandths of a core. */
     long largestFreeMilliCores(long nowMillis) {
-        long roomiest = 0;
+        long largest = 0;
         for (PlacedShard shard : shards.values()) {
-            roomiest = Math.max(roomiest, shard.largestFreeMilliCores(nowMillis));
+            largest = Math.max(largest, shard.largestFreeMilliCores(nowMillis));
         }
-        return roomiest;
+        return largest;
     }
 
     /**
-     * Returns whether no run of the job can be on endpoints of these shards but those that it has adopted.
+     * Returns whether the job has no run on the endpoints of the given shards except those that it can adopt or has
+     * adopted.
      *
-     * <p>Guards against a task that runs twice after its shard changed hands: the lost holder's runs show on the
-     * endpoints' lists, and are over when each list was read under this holder's token and cleared. How long this
-     * holder has had the shard says nothing: while a domain was cut off, the other may have gone on there. Nor does
-     * what it holds now if the shard is not part of it, as when it has released it since the job was offered.
+     * <p>Guards against a task that runs twice after its shard changed holders. The runs of the lost holder appear in
+     * the lists of the endpoints, so every list must be read under this holder's token, and the runs that cannot be
+     * adopted must have ended. The time since this holder claimed the shard proves nothing, because an earlier holder
+     * may have continued in a domain that was cut off. All the given shards must be held: one may have been released
+     * since the job was offered, and its endpoints may still have runs.
+     *
+     * @param wanted the shards on which the earlier holder may have started runs of the job
      */
     boolean hasOnlyAdoptableRuns(JobId job, Set<FailureDomain> wanted) {
         return shards.keySet().containsAll(wanted)
-                && wanted.stream().allMatch(wholeList)
+                && wanted.stream().allMatch(hasCompleteList)
                 && wanted.stream().allMatch(domain -> shards.get(domain).hasOnlyAdoptableRuns(job));
     }
 }
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/placing/LateStarts.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/placing/LateStarts.java
@@ -7,10 +7,12 @@
 import org.tarragonarch.model.task.TaskRun;
 
 /**
- * The runs that were ordered from an earlier incarnation of an endpoint and that the present one must not run.
+ * The runs whose start orders an earlier incarnation of an endpoint left unanswered, and which the current incarnation
+ * must not run.
  *
- * <p>Each is stopped, which the incarnation remembers. Until all stops are answered and a later list shows none of the
- * runs, nothing else is started there, because any of them may take room.
+ * <p>A stop is sent for each, which makes the incarnation refuse a start that arrives later. Nothing else is started on
+ * the endpoint until all stops are answered and a later list contains none of the runs, because any of them may use
+ * capacity.
  */
 final class LateStarts {
     private static final long UNANSWERED = Long.MAX_VALUE;
@@ -27,7 +29,7 @@
         this.host = host;
     }
 
-    /** Stops the runs on an incarnation whose lists were read for the first time; replaces those of the one before. */
+    /** Stops the given runs on a new incarnation, in place of the runs of the previous one. */
     void stop(Set<TaskRun> runs) {
         stoppedAtMillis.clear();
         runs.forEach(run -> stoppedAtMillis.put(run, UNANSWERED));
@@ -42,7 +44,7 @@
         return stoppedAtMillis.containsKey(run);
     }
 
-    /** Processes a list: a run that is missing in it and whose stop was answered before it was requested is over. */
+    /** Processes a list: a run is over if the list lacks it and was requested after the answer to its stop. */
     void processList(Set<TaskRun> running, long sentAtMillis) {
         if (stoppedAtMillis.isEmpty()) {
             return;
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/placing/ListedRuns.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/placing/ListedRuns.java
@@ -10,12 +10,12 @@
 import org.tarragonarch.model.task.TaskRun;
 
 /**
- * Classifies the runs in an endpoint's lists: reserved here, left by an earlier holder, or ordered from an earlier
- * incarnation.
+ * Classifies the runs in an endpoint's lists: reserved by this holder, left by an earlier holder, or ordered from an
+ * earlier incarnation.
  */
 final class ListedRuns {
     private final EndpointLink link;
-    private final ReservedCapacity room;
+    private final ReservedCapacity reserved;
     private final UnansweredStarts unanswered;
     private final RunListPoller poller;
     private final RecoveredRuns recovered;
@@ -24,44 +24,44 @@
 
     ListedRuns(
             EndpointLink link,
-            ReservedCapacity room,
+            ReservedCapacity reserved,
             UnansweredStarts unanswered,
             RunListPoller poller,
             EndpointHost host) {
         this.link = link;
-        this.room = room;
+        this.reserved = reserved;
         this.unanswered = unanswered;
         this.poller = poller;
         this.recovered = new RecoveredRuns(link, poller, host);
         this.lateStarts = new LateStarts(link, poller, host);
     }
 
-    /** Returns the runs that an earlier holder left there. */
+    /** Returns the runs that an earlier holder left on the endpoint. */
     RecoveredRuns recovered() {
         return recovered;
     }
 
-    /** Returns whether any list of any incarnation was read. */
+    /** Returns whether a list of any incarnation was ever read. */
     boolean anyListRead() {
         return anyListRead;
     }
 
-    /** Returns whether all runs there are reserved, so that the free room is known. */
+    /** Returns whether all runs on the endpoint are reserved, so that its free capacity is known. */
     boolean areAllReserved() {
         return recovered.isEmpty() && lateStarts.isEmpty();
     }
 
-    /** Returns whether an order to start a run may yet be carried out there. */
+    /** Returns whether the endpoint may still carry out a start order that it has not answered. */
     boolean mayStartUnansweredRun() {
         return unanswered.hasAny(link.incarnation().id(), link.nowMillis());
     }
 
-    /** Forgets the runs found on an incarnation that is over. */
+    /** Discards the recovered runs of the previous incarnation. */
     void endpointRestarted() {
         recovered.clear();
     }
 
-    /** Notes that another endpoint answers, so that nothing runs. */
+    /** Records that an endpoint with another id answers, so that nothing runs. */
     void endpointGone() {
         recovered.clear();
         poller.markRead();
@@ -71,7 +71,9 @@
     void processEnd(TaskEnd end) {
         recovered.remove(end.run());
         unanswered.recordListed(link.incarnation().id(), end.run());
-        if (!anyListRead && end.kind() == EndKind.DONE && room.find(end.run()).isEmpty()) {
+        if (!anyListRead
+                && end.kind() == EndKind.DONE
+                && reserved.find(end.run()).isEmpty()) {
             recovered.recordDone(end.run().task());
         }
     }
@@ -79,8 +81,8 @@
     /**
      * Processes a list of runs.
      *
-     * <p>Only runs in the very first list may be adopted. After that call the endpoint obeys no earlier holder, and
-     * what runs on a later incarnation was ordered from here.
+     * <p>Only runs in the very first list may be adopted. After that call the endpoint rejects every earlier holder,
+     * and the runs of a later incarnation were ordered by this holder.
      *
      * @param sentAtMillis when the list was requested, on the steady clock
      * @param firstList whether the list is the first of its incarnation
@@ -101,17 +103,17 @@
     }
 
     /**
-     * Reads the lists again after the first of an incarnation if anything is reserved. The first list may have been
-     * requested before a start was answered, so a run that is missing in it is not proved to be over.
+     * Reads the lists once more after the first list of an incarnation if anything is reserved. The first list may have
+     * been requested before a start was answered, so it does not prove that a run missing from it is over.
      */
     private void readAgainIfReserved() {
-        if (!room.isEmpty()) {
+        if (!reserved.isEmpty()) {
             link.timers().after(1, () -> poller.readOnNewConnection(() -> {}));
         }
     }
 
     private Set<TaskRun> unreserved(Set<TaskRun> runs) {
-        return Sets.filter(runs, run -> room.find(run).isEmpty());
+        return Sets.filter(runs, run -> reserved.find(run).isEmpty());
     }
 
     /** Returns the progress of each listed run, in percent. */
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/placing/PlacedShard.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/placing/PlacedShard.java
@@ -16,14 +16,14 @@
 
 /** The endpoints of one failure domain under this node's token. */
 final class PlacedShard {
-    /** How long endpoints may be silent before a node takes them to be unreachable: three polls. */
-    private static final long REACH_MILLIS = 600;
+    /** The time without any answer after which a shard is considered unreachable: three polls. */
+    private static final long UNREACHABLE_AFTER_MILLIS = 600;
 
     private final FencingToken token;
     private final PlacingSettings settings;
     private final EndpointOrders orders;
     private final Timers timers;
-    private final EndpointListener events;
+    private final EndpointListener listener;
     private final ProgressReports progress;
     private final ShareTally tally = new ShareTally();
     private final long openedAtMillis;
@@ -35,13 +35,13 @@
             PlacingSettings settings,
             EndpointOrders orders,
             Timers timers,
-            EndpointListener events,
+            EndpointListener listener,
             ProgressReports progress) {
         this.token = token;
         this.settings = settings;
         this.orders = orders;
         this.timers = timers;
-        this.events = events;
+        this.listener = listener;
         this.progress = progress;
         this.openedAtMillis = timers.nowMillis();
     }
@@ -50,7 +50,7 @@
         return token;
     }
 
-    /** Returns what runs on the endpoints take, by share. */
+    /** Returns the capacity in use on the endpoints by share. */
     ShareTally tally() {
         return tally;
     }
@@ -59,7 +59,7 @@
         return endpoints.values();
     }
 
-    /** Updates the endpoints of the domain. */
+    /** Applies a new list of the endpoints of the domain: opens, updates and retires endpoints. */
     void update(Collection<EndpointEntry> listed) {
         Set<EndpointId> ids = new HashSet<>();
         for (EndpointEntry entry : listed) {
@@ -67,34 +67,34 @@
             HeldEndpoint known = endpoints.get(entry.id());
             if (known == null || known.isSucceededBy(entry)) {
                 EndpointLink link = new EndpointLink(entry, token, settings, orders, timers);
-                HeldEndpoint added = new HeldEndpoint(link, events, progress, unanswered, tally);
+                HeldEndpoint added = new HeldEndpoint(link, listener, progress, unanswered, tally);
                 endpoints.put(entry.id(), added);
                 added.open();
             } else {
                 known.update(entry);
             }
         }
-        endpoints.entrySet().removeIf(known -> !ids.contains(known.getKey()) && forget(known.getValue()));
+        endpoints.entrySet().removeIf(known -> !ids.contains(known.getKey()) && retire(known.getValue()));
     }
 
-    /** Gives no more orders; what runs is left to the next holder, or to its lease. */
+    /** Sends no more calls; runs are left to the next holder, or end when their lease expires. */
     void close() {
         endpoints.values().forEach(HeldEndpoint::close);
     }
 
-    /** Gives no more orders, and takes what runs for over when its lease has certainly run out. */
+    /** Sends no more calls, and ends the runs as lapsed when their lease has certainly expired. */
     void abandon() {
         endpoints.values().forEach(HeldEndpoint::abandon);
     }
 
-    /** Returns whether no run of the job can be on any of the endpoints but those that may be taken over. */
+    /** Returns whether every run of the job that may be on these endpoints can be adopted. */
     boolean hasOnlyAdoptableRuns(JobId job) {
         return endpoints.values().stream().allMatch(endpoint -> endpoint.hasOnlyAdoptableRuns(job));
     }
 
-    /** Returns whether no endpoint has answered although this node has asked them for long enough. */
+    /** Returns whether the shard was opened long enough ago and none of its endpoints has ever answered. */
     boolean isUnreachable() {
-        if (timers.nowMillis() - openedAtMillis < REACH_MILLIS) {
+        if (timers.nowMillis() - openedAtMillis < UNREACHABLE_AFTER_MILLIS) {
             return false;
         }
         for (HeldEndpoint endpoint : endpoints.values()) {
@@ -106,8 +106,8 @@
     }
 
     /**
-     * Returns the processor time that is free on the endpoints that take tasks, in thousandths of a core of an endpoint
-     * of speed 1.
+     * Returns the free processor time of the endpoints that accept tasks, in thousandths of a core of an endpoint of
+     * speed 1.
      */
     long freeMilliCores() {
         long now = timers.nowMillis();
@@ -121,19 +121,20 @@
         return free;
     }
 
-    /** Returns the most processor time that is free on one endpoint that takes tasks, in thousandths of a core. */
+    /** Returns the largest free processor time of any endpoint that accepts tasks, in thousandths of a core. */
     long largestFreeMilliCores(long now) {
-        long roomiest = 0;
+        long largest = 0;
         for (HeldEndpoint endpoint : endpoints.values()) {
             long free = endpoint.freeCapacity().milliCores();
-            if (free > roomiest && endpoint.accepts(Resources.NONE, now)) {
-                roomiest = free;
+            if (free > largest && endpoint.accepts(Resources.NONE, now)) {
+                largest = free;
             }
         }
-        return roomiest;
+        return largest;
     }
 
-    private static boolean forget(HeldEndpoint endpoint) {
+    /** Retires an endpoint and returns whether it was idle and is closed. */
+    private static boolean retire(HeldEndpoint endpoint) {
         endpoint.retire();
         if (endpoint.reservedCapacity().isEmpty()) {
             endpoint.close();
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/placing/PoolCapacity.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/placing/PoolCapacity.java
@@ -4,9 +4,9 @@
 import java.util.Map;
 import org.tarragonarch.model.task.Resources;
 
-/** The processor time, by service, of the endpoints that take tasks or are being opened. */
+/** The processor time, by service, of the endpoints that accept tasks or are being opened. */
 final class PoolCapacity {
-    /** The time for which a sum is cached: it changes only as endpoints come and go, and is read with every start. */
+    /** The time for which the sums are cached: they change only with the endpoints, and are read at every start. */
     private static final long CACHED_FOR_MILLIS = 20;
 
     private final Iterable<HeldEndpoint> endpoints;
@@ -17,7 +17,7 @@
         this.endpoints = endpoints;
     }
 
-    /** Returns the capacity for a service, in thousandths of a core. */
+    /** Returns the processor time for a service, in thousandths of a core. */
     long of(String service, long nowMillis) {
         if (nowMillis - countedAtMillis >= CACHED_FOR_MILLIS) {
             countedAtMillis = nowMillis;
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/placing/ProgressReports.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/placing/ProgressReports.java
@@ -1,22 +1,22 @@
 package org.tarragonarch.core.placing;
 
 /**
- * Tells whether endpoints report the progress of runs, so that a run without any can be taken for stalled.
+ * Tracks whether endpoints report the progress of runs, so that a run without progress can be considered stalled.
  *
- * <p>Guards against endpoints that always list the same figure: every healthy run there would look stalled.
+ * <p>Guards against endpoints that always list the same percentage: every healthy run on them would look stalled.
  */
 final class ProgressReports {
-    /** So many reports of progress are no accident. */
+    /** The number of progress increases after which reports are considered reliable. */
     private static final int ENOUGH_REPORTS = 20;
 
     private int advances;
 
-    /** Notes that a run was listed with more of its work done than before. */
+    /** Records that a run was listed with more progress than before. */
     void recordAdvance() {
         advances++;
     }
 
-    /** Returns whether a healthy run shows progress. */
+    /** Returns whether healthy runs are known to report progress. */
     boolean areReliable() {
         return advances >= ENOUGH_REPORTS;
     }
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/placing/RecoveredRuns.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/placing/RecoveredRuns.java
@@ -12,15 +12,15 @@
 import org.tarragonarch.model.task.TaskRun;
 
 /**
- * The runs that a new holder finds on one endpoint, left there by an earlier one.
+ * The runs of earlier holders that a new holder finds on one endpoint.
  *
- * <p>Each may be adopted by its job, if that is offered here soon; after that it is stopped. Until it is either
- * adopted or gone, the room that it takes is not known.
+ * <p>A job that is offered to the new holder within the adoption time adopts its runs; all others are stopped. Until
+ * every run is either adopted or over, the free capacity of the endpoint is not known.
  */
 final class RecoveredRuns {
     /**
-     * How long what an earlier holder left running waits for its job to be offered here. Nodes learn of a holder within
-     * a few milliseconds and offer at once; a holder that has just started needs longer to read all their offers.
+     * The time for which a recovered run waits for its job to be offered. Nodes learn of a holder within a few
+     * milliseconds and send their offers immediately; a holder that has just started needs longer to read all of them.
      */
     private static final long ADOPTION_MILLIS = 120;
 
@@ -28,7 +28,7 @@
     private final RunListPoller poller;
     private final EndpointHost host;
     private final Map<TaskRun, State> runs = new HashMap<>();
-    private final Set<TaskName> recordDone = new HashSet<>();
+    private final Set<TaskName> doneTasks = new HashSet<>();
 
     RecoveredRuns(EndpointLink link, RunListPoller poller, EndpointHost host) {
         this.link = link;
@@ -41,10 +41,10 @@
     }
 
     /**
-     * Processes the listed runs that were not started here.
+     * Processes the listed runs that are not reserved.
      *
-     * <p>Only runs in the first list may be adopted. A run that appears later was given up here, and its task may have
-     * been started elsewhere.
+     * <p>Only runs in the first list may be adopted. This holder has given up a run that appears later, and may have
+     * started its task on another endpoint.
      */
     void processList(Set<TaskRun> running, boolean firstList) {
         runs.keySet().retainAll(running);
@@ -60,32 +60,32 @@
         }
     }
 
-    /** Notes a task that ended well before anybody here asked for it. */
+    /** Records a task that was completed under an earlier holder, before its job was offered. */
     void recordDone(TaskName task) {
-        recordDone.add(task);
+        doneTasks.add(task);
     }
 
-    /** Forgets everything: the incarnation on which it was found is over. */
+    /** Discards all runs, because the incarnation that listed them is over. */
     void clear() {
         runs.clear();
-        recordDone.clear();
+        doneTasks.clear();
     }
 
     /**
-     * Lets a job adopt what an earlier holder started of it here.
+     * Lets a job adopt its runs that an earlier holder started on this endpoint.
      *
-     * @param adopter takes a run on as its task's
+     * @param adopter called with each adopted run and its task
      */
     void adopt(PlacedJob job, BiConsumer<PlacedTask, TaskRun> adopter) {
-        if (runs.isEmpty() && recordDone.isEmpty()) {
+        if (runs.isEmpty() && doneTasks.isEmpty()) {
             return;
         }
         for (PlacedTask task : job.tasks()) {
-            if (recordDone.contains(task.name()) && task.isUnresolved()) {
+            if (doneTasks.contains(task.name()) && task.isUnresolved()) {
                 job.finished(task);
             }
         }
-        for (TaskRun run : freeOf(job.id())) {
+        for (TaskRun run : adoptableRuns(job.id())) {
             job.task(run.task()).filter(PlacedTask::isUnresolved).ifPresent(task -> {
                 remove(run);
                 adopter.accept(task, run);
@@ -93,7 +93,7 @@
         }
     }
 
-    /** Notes that a run is over, or is known to somebody now. */
+    /** Removes a run that is over or was adopted. */
     void remove(TaskRun run) {
         runs.remove(run);
     }
@@ -109,18 +109,18 @@
     }
 
     /** Returns the runs of a job that may still be adopted. */
-    private ImmutableSet<TaskRun> freeOf(JobId job) {
-        ImmutableSet.Builder<TaskRun> free = ImmutableSet.builder();
+    private ImmutableSet<TaskRun> adoptableRuns(JobId job) {
+        ImmutableSet.Builder<TaskRun> adoptable = ImmutableSet.builder();
         for (Map.Entry<TaskRun, State> each : runs.entrySet()) {
             if (each.getValue() == State.ADOPTABLE && each.getKey().task().isOf(job)) {
-                free.add(each.getKey());
+                adoptable.add(each.getKey());
             }
         }
-        return free.build();
+        return adoptable.build();
     }
 
     private void stopUnclaimed() {
-        recordDone.clear();
+        doneTasks.clear();
         ImmutableSet.copyOf(runs.keySet()).stream()
                 .filter(run -> runs.get(run) == State.ADOPTABLE)
                 .forEach(this::stop);
@@ -138,8 +138,9 @@
     }
 
     /**
-     * A run that the endpoint says it does not know is over. After any other answer, or none, the next list tells:
-     * taken for over while it runs, it would be renewed with whatever is started here, for as long as that goes on.
+     * Handles the answer to a stop. Only a run that the endpoint does not know is over at once; in all other cases the
+     * next list decides. Guards against a run that is considered over while it continues: its lease would be renewed
+     * together with that of every later run on this endpoint.
      */
     private void stopAnswered(TaskRun run, OrderAnswer answer) {
         if (host.isClosed() || !runs.containsKey(run)) {
@@ -157,7 +158,7 @@
         }
     }
 
-    /** Whether a run may be adopted. */
+    /** The state of a recovered run. */
     private enum State {
         ADOPTABLE,
         STOPPING
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/placing/RecoveryGround.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/placing/RecoveryGround.java
@@ -1,11 +1,11 @@
 package org.tarragonarch.core.placing;
 
-/** How a holder knows that no run of an earlier holder's job is under way but those that the job has adopted. */
+/** The evidence that all runs that an earlier holder started for a job are either adopted or over. */
 public enum RecoveryGround {
-    /** A run of each task was found, or its end. */
+    /** For each task of the job, a run or the end of one was found. */
     ALL_FOUND,
-    /** Every endpoint of the shards in question was read under this holder's token. */
+    /** The lists of every endpoint in the job's earlier shards were read under this holder's token. */
     LISTS_READ,
-    /** The lease of whatever the earlier holder started is over. */
+    /** The leases of all runs that the earlier holder may have started have expired. */
     LEASE_OVER
 }
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/placing/Reservation.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/placing/Reservation.java
@@ -5,19 +5,19 @@
 import org.tarragonarch.model.task.TaskRun;
 
 /**
- * The room that one run takes on one endpoint, from before the order to start it leaves until it is certain that it
- * neither runs nor will.
+ * The capacity of one run on one endpoint, reserved from before the start order is sent until it is certain that the
+ * run is over and will not start.
  */
 final class Reservation {
-    /** How far the run is known to have got. */
+    /** The state of the run as known to this holder. */
     enum State {
-        /** The order to start has left and is not answered. */
+        /** The start order was sent and is not answered. */
         STARTING,
-        /** The endpoint said that it runs. */
+        /** The endpoint reported that the run is in progress. */
         RUNNING,
-        /** It shall not run on; the order to stop has left, or waits to be sent again. */
+        /** The run is to be stopped; the stop order was sent, and is repeated until it is answered. */
         STOPPING,
-        /** The endpoint answered the stop: the run ends soon, or is refused if its start arrives later. */
+        /** The endpoint answered the stop: the run ends soon, or its start is refused if it arrives later. */
         STOPPED
     }
 
@@ -27,27 +27,27 @@
     private final long startedAtMillis;
     private State state = State.STARTING;
     private long settledAtMillis = Long.MAX_VALUE;
-    private boolean wasSeen;
+    private boolean seen;
     private boolean listed;
     private EndKind endKindIfUnlisted = EndKind.LAPSED;
-    private long carriedOutUntilMillis = Long.MIN_VALUE;
+    private long uncertainUntilMillis = Long.MIN_VALUE;
     private boolean adopted;
     private int percent = -1;
     private long progressedAtMillis;
-    private boolean hasAdvanced;
+    private boolean advanced;
     private boolean speedRecorded;
     private long slowestPercentMillis;
 
-    Reservation(PlacedTask task, TaskRun run, Resources room, long startedAtMillis) {
+    Reservation(PlacedTask task, TaskRun run, Resources resources, long startedAtMillis) {
         this.task = task;
         this.run = run;
-        this.resources = room;
+        this.resources = resources;
         this.startedAtMillis = startedAtMillis;
     }
 
-    /** Returns the room of a run that an earlier holder started, and that is there. */
-    static Reservation adopted(PlacedTask task, TaskRun run, Resources room, long nowMillis) {
-        Reservation reservation = new Reservation(task, run, room, nowMillis);
+    /** Creates the reservation of a listed run that an earlier holder started. */
+    static Reservation adopted(PlacedTask task, TaskRun run, Resources resources, long nowMillis) {
+        Reservation reservation = new Reservation(task, run, resources, nowMillis);
         reservation.adopted = true;
         reservation.markListed(nowMillis);
         return reservation;
@@ -57,7 +57,7 @@
         return task;
     }
 
-    /** Returns whether an earlier holder started the run, so that it is not known when. */
+    /** Returns whether an earlier holder started the run, so that its start time is unknown. */
     boolean adopted() {
         return adopted;
     }
@@ -78,55 +78,59 @@
         return state == expected;
     }
 
+    /** Returns whether the run was not ordered to stop. */
     boolean shouldRun() {
         return state == State.STARTING || state == State.RUNNING;
     }
 
+    /** Records that the endpoint reported the run as in progress. */
     void markRunning(long nowMillis) {
-        wasSeen = true;
+        seen = true;
         if (state == State.STARTING) {
             state = State.RUNNING;
             settledAtMillis = nowMillis;
         }
     }
 
-    /** Records that a list shows the run. */
+    /** Records that a list contains the run. */
     void markListed(long nowMillis) {
         listed = true;
         endKindIfUnlisted = EndKind.LAPSED;
         markRunning(nowMillis);
     }
 
-    /** Returns whether a list of the present incarnation has shown the run, so that it ends with that. */
+    /** Returns whether a list contained the run, so that it ends if that incarnation ends. */
     boolean isListed() {
         return listed;
     }
 
     /**
-     * Records that a later incarnation may carry out the order, until a list or the answer to a stop settles it.
+     * Records that the endpoint has restarted and its new incarnation may carry out the start order; a list or the
+     * answer to a stop resolves this.
      *
-     * @param kind the kind of its end if its start was answered and the run is not listed
-     * @param untilMillis until when its lease may last if the endpoint cannot be reached, on the steady clock
+     * @param kind the kind of the run's end if its start was answered and the run is not listed
+     * @param untilMillis the latest expiry of the run's lease if the endpoint cannot be reached, on the steady clock
      */
     void markUncertainAfterRestart(EndKind kind, long untilMillis) {
-        endKindIfUnlisted = wasSeen ? kind : EndKind.LAPSED;
-        carriedOutUntilMillis = untilMillis;
+        endKindIfUnlisted = seen ? kind : EndKind.LAPSED;
+        uncertainUntilMillis = untilMillis;
     }
 
-    /** Returns the kind of the run's end if it is not listed. */
+    /** Returns the kind of the run's end if the run is over and no list contains its end. */
     EndKind endKindIfUnlisted() {
         return endKindIfUnlisted;
     }
 
-    /** Returns whether the run is certainly over although the endpoint cannot be reached. */
+    /** Returns whether the run's lease has certainly expired, even if the endpoint cannot be reached. */
     boolean isLapsed(long leaseOverAtMillis, long nowMillis) {
-        return nowMillis >= Math.max(leaseOverAtMillis, carriedOutUntilMillis);
+        return nowMillis >= Math.max(leaseOverAtMillis, uncertainUntilMillis);
     }
 
     /**
-     * Records how much of the work is done; returns whether that is more than an earlier list said.
+     * Records the progress of the run; returns whether it has advanced since an earlier list.
      *
-     * @param asOfMillis when the list was asked for
+     * @param percentDone the completed part of the work, in percent
+     * @param asOfMillis when the list was requested, on the steady clock
      */
     boolean recordProgress(int percentDone, long asOfMillis) {
         boolean isFirst = percent < 0;
@@ -134,7 +138,7 @@
             return false;
         }
         if (!isFirst) {
-            hasAdvanced = true;
+            advanced = true;
             long perPercent = (asOfMillis - progressedAtMillis) / (percentDone - percent);
             slowestPercentMillis = Math.max(slowestPercentMillis, perPercent);
         }
@@ -143,7 +147,7 @@
         return !isFirst;
     }
 
-    /** Marks the run as recorded in its endpoint's speed. */
+    /** Records that the run time was recorded in the speed of the endpoint. */
     void markSpeedRecorded() {
         speedRecorded = true;
     }
@@ -152,9 +156,9 @@
         return speedRecorded;
     }
 
-    /** Returns whether the progress of the run has increased between two lists. */
+    /** Returns whether the progress of the run has ever increased between two lists. */
     boolean hasAdvanced() {
-        return hasAdvanced;
+        return advanced;
     }
 
     /** Returns the longest time for one percent of the run's work, in milliseconds; 0 while unknown. */
@@ -162,14 +166,14 @@
         return slowestPercentMillis;
     }
 
-    /** Returns for how long lists have shown no progress, in milliseconds. */
+    /** Returns the time since the progress last increased, in milliseconds; 0 if no list contained the run yet. */
     long millisWithoutProgress(long nowMillis) {
         return percent < 0 ? 0 : nowMillis - progressedAtMillis;
     }
 
-    /** Returns whether the endpoint ever said that the run was there. */
+    /** Returns whether the endpoint ever reported the run as in progress. */
     boolean wasSeen() {
-        return wasSeen;
+        return seen;
     }
 
     void markStopping() {
@@ -177,12 +181,17 @@
         settledAtMillis = Long.MAX_VALUE;
     }
 
+    /**
+     * Records that the endpoint answered the stop.
+     *
+     * @param goneAtMillis when the run is over at the latest, on the steady clock
+     */
     void markStopped(long goneAtMillis) {
         state = State.STOPPED;
         settledAtMillis = goneAtMillis;
     }
 
-    /** Returns whether a call that was sent at this time and does not show the run proves that it is over. */
+    /** Returns whether a list that was requested at the given time and lacks the run proves that the run is over. */
     boolean isOverIfUnlistedAt(long sentAtMillis) {
         return settledAtMillis < sentAtMillis;
     }
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/placing/ReservedCapacity.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/placing/ReservedCapacity.java
@@ -9,7 +9,7 @@
 import org.tarragonarch.model.task.TaskName;
 import org.tarragonarch.model.task.TaskRun;
 
-/** The room of one endpoint, as far as runs of this holder take it. */
+/** The capacity of one endpoint and the part of it that is reserved for runs of this holder. */
 final class ReservedCapacity {
     private final ShareTally tally;
     private final Map<TaskName, Reservation> reservations = new HashMap<>();
@@ -18,9 +18,9 @@
     private Resources free;
 
     /**
-     * Creates the room of an endpoint on which nothing runs.
+     * Creates the capacity of an endpoint without reservations.
      *
-     * @param tally counts what runs take, by share
+     * @param tally counts the reserved capacity by share
      */
     ReservedCapacity(Resources capacity, ShareTally tally) {
         this.capacity = capacity;
@@ -28,7 +28,7 @@
         this.free = capacity;
     }
 
-    /** Records that the endpoint has another size now. */
+    /** Changes the capacity of the endpoint; reservations remain. */
     void resize(Resources now) {
         capacity = now;
         free = capacity.minus(used);
@@ -42,18 +42,18 @@
         return reservations.isEmpty();
     }
 
-    /** Returns the reservations as they are now; they may be released meanwhile. */
+    /** Returns a copy of the reservations, so that they can be released during an iteration. */
     ImmutableList<Reservation> snapshot() {
         return ImmutableList.copyOf(reservations.values());
     }
 
-    /** Returns the reservation of a run, if there is one. */
+    /** Returns the reservation of a run, or empty if there is none. */
     Optional<Reservation> find(TaskRun run) {
         return Optional.ofNullable(reservations.get(run.task()))
                 .filter(own -> own.run().equals(run));
     }
 
-    /** Returns whether the room of any task is reserved under which an endpoint has crashed. */
+    /** Returns whether capacity is reserved for a suspect task, under which an endpoint has crashed. */
     boolean hasSuspectTask() {
         for (Reservation reservation : reservations.values()) {
             if (reservation.task().isSuspect()) {
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/placing/RunEnds.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/placing/RunEnds.java
@@ -7,41 +7,41 @@
 import org.tarragonarch.model.task.EndKind;
 import org.tarragonarch.model.task.TaskRun;
 
-/** Ends the reserved runs of one endpoint, including those that are certainly over although no list shows their end. */
+/** Ends the reserved runs of one endpoint, including those that are certainly over although no list has their end. */
 final class RunEnds {
     private final EndpointLink link;
-    private final ReservedCapacity room;
+    private final ReservedCapacity reserved;
     private final HeldEndpoint endpoint;
-    private final EndpointListener events;
-    private final List<PlacedTask> lapsedUnreachable = new ArrayList<>();
+    private final EndpointListener listener;
+    private final List<PlacedTask> lapsedWhileUnreachable = new ArrayList<>();
 
-    RunEnds(EndpointLink link, ReservedCapacity room, HeldEndpoint endpoint, EndpointListener events) {
+    RunEnds(EndpointLink link, ReservedCapacity reserved, HeldEndpoint endpoint, EndpointListener listener) {
         this.link = link;
-        this.room = room;
+        this.reserved = reserved;
         this.endpoint = endpoint;
-        this.events = events;
+        this.listener = listener;
     }
 
-    /** Ends one run and releases its room. */
+    /** Ends one run and releases its capacity. */
     void end(Reservation reservation, EndKind kind) {
-        room.release(reservation);
-        events.runEnded(endpoint, reservation, kind);
+        reserved.release(reservation);
+        listener.runEnded(endpoint, reservation, kind);
     }
 
     /** Ends one run as the endpoint lists it. */
     void endAsListed(Reservation reservation, EndKind kind) {
         if (kind == EndKind.LAPSED) {
-            room.release(reservation);
-            events.runLapsedUnnoticed(endpoint, reservation);
+            reserved.release(reservation);
+            listener.runLapsedUnnoticed(endpoint, reservation);
         } else {
             end(reservation, kind);
         }
     }
 
-    /** Ends the runs that are certainly over because a list does not contain them; follows the progress of the rest. */
+    /** Ends the runs that are certainly over because a list lacks them, and records the progress of the listed runs. */
     void processList(Map<TaskRun, Integer> percentByRun, long sentAtMillis, StallDetector stalls) {
-        lapsedUnreachable.clear();
-        for (Reservation reservation : room.snapshot()) {
+        lapsedWhileUnreachable.clear();
+        for (Reservation reservation : reserved.snapshot()) {
             Integer percent = percentByRun.get(reservation.run());
             if (percent != null) {
                 reservation.markListed(link.nowMillis());
@@ -53,10 +53,15 @@
         }
     }
 
-    /** Ends the runs of an unreachable endpoint once their lease has certainly expired, unless it answers before. */
+    /**
+     * Ends the runs of an unreachable endpoint once their lease has certainly expired, unless the endpoint answers
+     * before.
+     *
+     * @param isSilent returns whether the endpoint is still unreachable
+     */
     void endLapsedRuns(BooleanSupplier isSilent) {
         lapseIfOver(isSilent);
-        if (!room.isEmpty()) {
+        if (!reserved.isEmpty()) {
             long left = link.leaseExpiryMillis() - link.nowMillis();
             link.timers().after(left, () -> lapseIfOver(isSilent));
         }
@@ -66,10 +71,10 @@
         if (!isSilent.getAsBoolean()) {
             return;
         }
-        for (Reservation reservation : room.snapshot()) {
+        for (Reservation reservation : reserved.snapshot()) {
             if (reservation.isLapsed(link.leaseExpiryMillis(), link.nowMillis())) {
                 if (reservation.wasSeen() && reservation.endKindIfUnlisted() == EndKind.LAPSED) {
-                    lapsedUnreachable.add(reservation.task());
+                    lapsedWhileUnreachable.add(reservation.task());
                 }
                 end(reservation, reservation.endKindIfUnlisted());
             }
@@ -78,13 +83,13 @@
 
     /** Ends all runs. */
     void endAll(EndKind kind) {
-        room.snapshot().forEach(reservation -> end(reservation, kind));
+        reserved.snapshot().forEach(reservation -> end(reservation, kind));
     }
 
     /**
      * Ends all runs because an endpoint with another id answers.
      *
-     * <p>If the endpoint was leaving, its end was planned, and its runs are not suspected of having crashed it.
+     * @param leftAsPlanned whether the endpoint was leaving, so that its tasks are not suspected of crashing it
      */
     void endpointGone(boolean leftAsPlanned) {
         endAll(endKind(leftAsPlanned));
@@ -92,15 +97,17 @@
     }
 
     /**
-     * Ends the runs that the earlier incarnation has listed. Each other run may have been started by the present
-     * incarnation and is settled by its lists. If those cannot be read, the run is over once an order to the earlier
-     * incarnation can no longer be carried out and the lease has expired.
+     * Ends the runs that the earlier incarnation has listed. The current incarnation may have started any other run, so
+     * its lists decide. If those cannot be read, the run is over once an order to the earlier incarnation can no longer
+     * be carried out and the lease has expired.
+     *
+     * @param leftAsPlanned whether the endpoint was leaving, so that its tasks are not suspected of crashing it
      */
     void endpointRestarted(boolean leftAsPlanned) {
         long untilMillis = link.nowMillis()
                 + UnansweredStarts.CARRIED_OUT_WITHIN_MILLIS
                 + link.settings().certainLapse();
-        for (Reservation reservation : room.snapshot()) {
+        for (Reservation reservation : reserved.snapshot()) {
             if (reservation.isListed()) {
                 end(reservation, endKind(leftAsPlanned));
             } else {
@@ -112,9 +119,9 @@
 
     private void reportCrash(boolean leftAsPlanned) {
         if (!leftAsPlanned) {
-            lapsedUnreachable.forEach(task -> events.crashConfirmed(endpoint, task));
+            lapsedWhileUnreachable.forEach(task -> listener.crashConfirmed(endpoint, task));
         }
-        lapsedUnreachable.clear();
+        lapsedWhileUnreachable.clear();
     }
 
     private static EndKind endKind(boolean leftAsPlanned) {
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/placing/RunListPoller.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/placing/RunListPoller.java
@@ -7,28 +7,28 @@
 import org.tarragonarch.model.task.TaskEnd;
 
 /**
- * Polls one endpoint for what runs and what has ended there.
+ * Polls one endpoint for the lists of its running and ended runs.
  *
- * <p>While anything of this holder runs, one call is always under way: it renews the lease, and is answered at the next
- * end. An idle endpoint is polled only to acknowledge its last ends.
+ * <p>While the endpoint has a run of this holder, one call is always in flight: it renews the lease, and is answered at
+ * the next end of a run. An idle endpoint is polled only to acknowledge its last ends.
  */
 final class RunListPoller {
-    /** The pause after the second call in a row without an answer; after the first the next one leaves at once. */
+    /** The delay after two consecutive calls without an answer; after one, the next call is sent immediately. */
     static final long FIRST_RETRY_MILLIS = 40;
 
     private static final long LONGEST_RETRY_MILLIS = 640;
 
-    /** Ends are acknowledged with the next call; an endpoint that fell idle gets one more after this while. */
+    /** Ends are acknowledged with the next call; an endpoint that becomes idle gets one more call after this time. */
     private static final long IDLE_ACKNOWLEDGEMENT_MILLIS = 500;
 
     private final EndpointLink link;
     private final Host host;
     private long listedEnd;
     private long acknowledgedEnd;
-    private boolean hasRead;
-    private boolean isSilent;
-    private boolean underWay;
-    private boolean idleAcknowledgementPlanned;
+    private boolean read;
+    private boolean silent;
+    private boolean callInFlight;
+    private boolean idleAcknowledgementScheduled;
     private long retryMillis;
 
     RunListPoller(EndpointLink link, Host host) {
@@ -36,51 +36,50 @@
         this.host = host;
     }
 
-    /** Returns whether it is known what runs there. */
+    /** Returns whether the lists of the current incarnation were read, so that its runs are known. */
     boolean hasRead() {
-        return hasRead;
+        return read;
     }
 
-    /** Notes that it is known without a list what runs: nothing. */
+    /** Records that nothing runs on the endpoint, which makes a first list unnecessary. */
     void markRead() {
-        hasRead = true;
+        read = true;
     }
 
-    /** Returns whether the last call got no answer, so that nothing should be started. */
+    /** Returns whether the last call got no answer, so that nothing should be started on the endpoint. */
     boolean isSilent() {
-        return isSilent;
+        return silent;
     }
 
-    /** Resets the poller for a later incarnation, which numbers its ends from 1 and has not been read. */
+    /** Resets the poller for a later incarnation, which numbers its ends from 1 and whose lists were not read yet. */
     void reset() {
         listedEnd = 0;
         acknowledgedEnd = 0;
-        hasRead = false;
-        isSilent = false;
-        underWay = false;
+        read = false;
+        silent = false;
+        callInFlight = false;
         retryMillis = 0;
     }
 
-    /** Calls the endpoint unless a call is under way. */
+    /** Polls the endpoint unless a poll is in flight. */
     void pollIfIdle() {
-        if (!host.isClosed() && !underWay) {
+        if (!host.isClosed() && !callInFlight) {
             poll();
         }
     }
 
-    /** Takes the endpoint for silent until a call is answered. */
+    /** Treats the endpoint as silent until a call is answered. */
     void markSilent() {
-        isSilent = true;
+        silent = true;
         pollIfIdle();
     }
 
     /**
-     * Reads the lists once beside the call that is under way, on a connection of its own, and then goes on.
+     * Reads the lists once on a new connection, in parallel with any poll in flight.
      *
-     * <p>An answer that the endpoint obeys another holder, or is another incarnation, is ignored here: the next order
-     * gets it too.
+     * <p>An answer that the endpoint is fenced, or has another id, is ignored: the next call gets the same answer.
      *
-     * @param then what to do with what is known afterwards, also if there was no answer
+     * @param then called after the lists were processed, or when there is no usable answer
      */
     void readOnNewConnection(Runnable then) {
         Call call = new Call(link.nowMillis(), link.incarnationNumber(), listedEnd);
@@ -98,20 +97,20 @@
 
     private void poll() {
         Call call = new Call(link.nowMillis(), link.incarnationNumber(), listedEnd);
-        underWay = true;
-        if (hasRead && !isSilent && host.needsPolling()) {
+        callInFlight = true;
+        if (read && !silent && host.needsPolling()) {
             link.renew(listedEnd, false, answer -> answered(answer, call));
         } else {
-            link.list(listedEnd, isSilent || !hasRead, answer -> answered(answer, call));
+            link.list(listedEnd, silent || !read, answer -> answered(answer, call));
         }
     }
 
-    /** Processes an answer; one to a call that was sent to an earlier incarnation is dropped. */
+    /** Processes an answer to a poll; an answer to a call that was sent to an earlier incarnation is dropped. */
     private void answered(HoldAnswer answer, Call call) {
         if (host.isClosed() || !isCurrent(call)) {
             return;
         }
-        underWay = false;
+        callInFlight = false;
         switch (answer.result()) {
             case DONE -> {
                 if (isStale(answer)) {
@@ -131,7 +130,7 @@
         return call.incarnationNumber() == link.incarnationNumber();
     }
 
-    /** Returns whether an incarnation answers that is known to be over. */
+    /** Returns whether the answer comes from an incarnation that is known to be over. */
     private boolean isStale(HoldAnswer answer) {
         return link.incarnation().isLaterThan(link.incarnation().startedAt(answer.startedMillis()));
     }
@@ -148,17 +147,17 @@
                 host.runEnded(end);
             }
         }
-        boolean firstList = !hasRead;
-        boolean wasSilent = isSilent;
-        isSilent = false;
-        hasRead = true;
+        boolean firstList = !read;
+        boolean wasSilent = silent;
+        silent = false;
+        read = true;
         retryMillis = 0;
         host.listsRead(answer.running(), call.sentAtMillis(), firstList, wasSilent);
     }
 
     /**
-     * Switches to a later incarnation if one answers. If the start was unknown so far, the incarnation is kept, since
-     * nothing proves that it is another; its ends are read from number 1, in case it is.
+     * Switches to a later incarnation if one answers. If the start time was unknown so far, the incarnation is kept,
+     * because nothing proves that another one answers; its ends are read again from number 1 in case one does.
      */
     private void followStart(HoldAnswer answer) {
         EndpointIncarnation answering = link.incarnation().startedAt(answer.startedMillis());
@@ -170,7 +169,7 @@
         }
     }
 
-    /** Reads the ends from number 1 again, because an incarnation has told its start that had not told it before. */
+    /** Reads the ends again from number 1, because the start time of the incarnation has become known. */
     void resetEnds() {
         listedEnd = 0;
         acknowledgedEnd = 0;
@@ -184,23 +183,23 @@
 
     private void pollAgain() {
         if (host.needsPolling()) {
-            // What the lists led to may have sent the next call already.
+            // Processing the lists may already have sent the next call.
             pollIfIdle();
-        } else if (!host.hasRecoveredRuns() && acknowledgedEnd < listedEnd && !idleAcknowledgementPlanned) {
-            idleAcknowledgementPlanned = true;
+        } else if (!host.hasRecoveredRuns() && acknowledgedEnd < listedEnd && !idleAcknowledgementScheduled) {
+            idleAcknowledgementScheduled = true;
             link.timers().after(IDLE_ACKNOWLEDGEMENT_MILLIS, this::acknowledgeIfIdle);
         }
     }
 
     private void acknowledgeIfIdle() {
-        idleAcknowledgementPlanned = false;
+        idleAcknowledgementScheduled = false;
         if (acknowledgedEnd < listedEnd) {
             pollIfIdle();
         }
     }
 
     private void unanswered() {
-        isSilent = true;
+        silent = true;
         host.pollUnanswered();
         link.timers().after(retryMillis, this::pollIfIdle);
         retryMillis = Math.max(FIRST_RETRY_MILLIS, Math.min(LONGEST_RETRY_MILLIS, retryMillis * 2));
@@ -209,36 +208,37 @@
     /**
      * A call to the endpoint.
      *
-     * @param sentAtMillis when it was sent
-     * @param incarnationNumber which incarnation it was meant for
+     * @param sentAtMillis when the call was sent, on the steady clock
+     * @param incarnationNumber the number of the incarnation that the call was sent to
      * @param acknowledgedEnd the highest number of an end that need not be listed again
      */
     private record Call(long sentAtMillis, int incarnationNumber, long acknowledgedEnd) {}
 
-    /** What the lists are read for. */
+    /** The endpoint that is polled. */
     interface Host extends EndpointHost {
-        /** Returns whether a run of this holder takes room there, or an order to start one may yet be carried out. */
+        /** Returns whether the endpoint has a run of this holder, or may still carry out an order to start one. */
         boolean needsPolling();
 
-        /** Returns whether a run of an earlier holder takes room there. */
+        /** Returns whether the endpoint has a run of an earlier holder. */
         boolean hasRecoveredRuns();
 
-        /** A run has ended. */
+        /** Called for each newly listed end of a run. */
         void runEnded(TaskEnd end);
 
         /**
-         * The lists were read; {@link #runEnded} was called before for each new end.
+         * Called when the lists were read, after {@link #runEnded} for each new end.
          *
-         * @param sentAtMillis when the call was sent; a run that began later may be missing
+         * @param running the runs in progress
+         * @param sentAtMillis when the call was sent, on the steady clock; a run that started later may be missing
          * @param firstList whether these are the first lists of this incarnation
          * @param wasSilent whether the previous call got no answer
          */
         void listsRead(Iterable<RunProgress> running, long sentAtMillis, boolean firstList, boolean wasSilent);
 
-        /** A later incarnation answers; its lists follow. */
+        /** Called when a later incarnation answers, before its lists are processed. */
         void endpointRestarted(EndpointIncarnation later);
 
-        /** A call got no answer. */
+        /** Called when a poll got no usable answer. */
         void pollUnanswered();
     }
 }
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/placing/RunOrders.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/placing/RunOrders.java
@@ -5,35 +5,40 @@
 import org.tarragonarch.model.task.Resources;
 import org.tarragonarch.model.task.TaskRun;
 
-/** Starts and stops runs on one endpoint, and keeps their room until it is certain that they are gone. */
+/** Starts and stops runs on one endpoint, and keeps their capacity reserved until it is certain that they are over. */
 final class RunOrders {
     /**
-     * The time after which an unanswered list or stop is sent again without waiting longer for the answer: some round
-     * trips. Each is sent on its own connection, and the first answer counts.
+     * The time after which an unanswered list or stop call is sent again in parallel: a few round trips. Each is sent
+     * on a new connection, and the first answer is used.
      */
     private static final long FIRST_RESEND_MILLIS = 15;
 
-    /** The bound of the exponential backoff between two sends. */
+    /** The upper bound of the exponential backoff between two sends. */
     private static final long MAX_RESEND_MILLIS = 80;
 
-    /** An endpoint that refuses as unhealthy is left alone this long: a few times the run time of a short task. */
+    /** The ejection time of an endpoint that refuses a start: a few times the run time of a short task. */
     private static final long UNHEALTHY_EJECTION_MILLIS = 250;
 
     private final EndpointLink link;
-    private final ReservedCapacity room;
+    private final ReservedCapacity reserved;
     private final RunListPoller poller;
     private final UnansweredStarts unanswered;
     private final Host host;
 
-    RunOrders(EndpointLink link, ReservedCapacity room, RunListPoller poller, UnansweredStarts unanswered, Host host) {
+    RunOrders(
+            EndpointLink link,
+            ReservedCapacity reserved,
+            RunListPoller poller,
+            UnansweredStarts unanswered,
+            Host host) {
         this.link = link;
-        this.room = room;
+        this.reserved = reserved;
         this.poller = poller;
         this.unanswered = unanswered;
         this.host = host;
     }
 
-    /** Starts a run, whose room is reserved from now on. */
+    /** Reserves the capacity of a run and sends the order to start it. */
     void start(PlacedTask task, TaskRun run, Resources need) {
         Reservation reservation = new Reservation(task, run, need, link.nowMillis());
         reserve(reservation);
@@ -43,13 +48,13 @@
         poller.pollIfIdle();
     }
 
-    /** Reserves the room of a run. */
+    /** Reserves the capacity of a run. */
     void reserve(Reservation reservation) {
-        room.reserve(reservation);
+        reserved.reserve(reservation);
         reservation.task().placed(host.endpoint(), reservation);
     }
 
-    /** Stops a run, which stays reserved until its end is certain. */
+    /** Stops a run; its capacity remains reserved until its end is certain. */
     void stop(Reservation reservation) {
         if (reservation.shouldRun()) {
             reservation.markStopping();
@@ -57,9 +62,9 @@
         }
     }
 
-    /** Sends all stops again, since the present incarnation does not know those sent to an earlier one. */
+    /** Sends all stops again, because the current incarnation does not know those sent to an earlier one. */
     void resendStopsAfterRestart() {
-        for (Reservation reservation : room.snapshot()) {
+        for (Reservation reservation : reserved.snapshot()) {
             if (!reservation.shouldRun()) {
                 reservation.markStopping();
                 sendStop(reservation, true);
@@ -71,11 +76,11 @@
         if (answer.result() != OrderResult.UNKNOWN) {
             unanswered.recordAnswered(link.incarnation().id(), reservation.run());
         }
-        if (host.isClosed() || !room.contains(reservation)) {
+        if (host.isClosed() || !reserved.contains(reservation)) {
             return;
         }
         if (sentTo != link.incarnationNumber() && answer.result().isRefusal()) {
-            refused(reservation);
+            releaseRefused(reservation);
             return;
         }
         switch (answer.result()) {
@@ -84,11 +89,11 @@
             case FENCED -> host.endpointFenced();
             case OTHER_ENDPOINT -> host.endpointGone();
             case OLD_RUN -> {
-                room.release(reservation);
+                reserved.release(reservation);
                 host.listener().startRefusedAsOld(host.endpoint(), reservation);
             }
             case UNREADABLE -> {
-                room.release(reservation);
+                reserved.release(reservation);
                 host.listener().orderUnreadable(host.endpoint(), reservation);
             }
             default -> startRefused(reservation, answer.result());
@@ -101,12 +106,12 @@
         } else if (result != OrderResult.TOO_LATE) {
             host.eject(UNHEALTHY_EJECTION_MILLIS);
         }
-        refused(reservation);
+        releaseRefused(reservation);
     }
 
-    /** The order was not carried out, and will not be. */
-    private void refused(Reservation reservation) {
-        room.release(reservation);
+    /** Releases the capacity of a run whose start order was not, and will not be, carried out. */
+    private void releaseRefused(Reservation reservation) {
+        reserved.release(reservation);
         host.listener().startRefused(host.endpoint(), reservation);
     }
 
@@ -115,8 +120,8 @@
      * that the task would run twice, or beyond the endpoint's capacity.
      *
      * <p>The list shows whether only the answer was lost. If the run is not in it, or the list does not arrive soon,
-     * the run is stopped, which the endpoint remembers. Its room stays reserved until the stop is answered or the order
-     * has expired. A stop without reading the list first would also end runs of which only the answer was lost.
+     * the run is stopped, which the endpoint remembers. Its capacity stays reserved until the stop is answered or the
+     * order has expired. A stop without reading the list first would also end runs of which only the answer was lost.
      */
     private void startUnanswered(Reservation reservation) {
         if (reservation.is(Reservation.State.STARTING)) {
@@ -148,7 +153,7 @@
     }
 
     private boolean isIn(Reservation.State state, Reservation reservation) {
-        return !host.isClosed() && room.contains(reservation) && reservation.is(state);
+        return !host.isClosed() && reserved.contains(reservation) && reservation.is(state);
     }
 
     private static long backedOff(long millis) {
@@ -160,20 +165,20 @@
             return;
         }
         switch (answer.result()) {
-            case DONE, OLD_RUN -> stopTaken(reservation);
+            case DONE, OLD_RUN -> stopAccepted(reservation);
             case FENCED -> host.endpointFenced();
             case OTHER_ENDPOINT -> host.endpointGone();
             default -> {
-                // It is sent again anyway.
+                // The stop is sent again in any case.
             }
         }
     }
 
     /**
-     * The endpoint has taken the stop: a run that never was there will not be, so the next list that does not show it
-     * proves it; one that was takes a while to end.
+     * Handles an accepted stop. A run that was never reported can no longer start, so the next list that lacks it
+     * proves that it is over; a reported run needs the stop time to end.
      */
-    private void stopTaken(Reservation reservation) {
+    private void stopAccepted(Reservation reservation) {
         long now = link.nowMillis();
         long stopMillis = link.settings().stopTime();
         if (reservation.wasSeen()) {
@@ -192,15 +197,15 @@
         }
     }
 
-    /** The endpoint that the orders are for. */
+    /** The endpoint that receives the orders. */
     interface Host extends EndpointHost {
         /** Returns the endpoint itself. */
         HeldEndpoint endpoint();
 
-        /** Returns who is told what becomes of runs. */
+        /** Returns the listener for the results of orders. */
         EndpointListener listener();
 
-        /** Starts nothing there for a while. */
+        /** Ejects the endpoint for at least the given time. */
         void eject(long millis);
     }
 }
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/placing/RunResults.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/placing/RunResults.java
@@ -7,7 +7,10 @@
 import org.tarragonarch.model.task.Timers;
 import org.tarragonarch.model.task.Verdict;
 
-/** Processes what endpoints say of runs: judges the endpoint, learns run times, and decides what its task does next. */
+/**
+ * Processes the results of runs: records the health and speed of the endpoint, learns run times, and decides whether
+ * the task is retried or its job is settled.
+ */
 final class RunResults implements EndpointListener {
     private final RunTimes runTimes;
     private final Timers timers;
@@ -65,9 +68,9 @@
     /**
      * {@inheritDoc}
      *
-     * <p>Most likely this node was suspended for longer than a lease. Guards against a task that runs twice: the node
-     * of its job may have taken this one for lost and offered the job elsewhere, so the task starts again only after
-     * that node was heard.
+     * <p>The usual cause is that this node was suspended for longer than a lease. Guards against a task that runs
+     * twice: the origin of its job may have considered this node lost and offered the job to another holder, so the
+     * task starts again only after a message from the origin.
      */
     @Override
     public void runLapsedUnnoticed(HeldEndpoint endpoint, Reservation reservation) {
@@ -131,9 +134,10 @@
     }
 
     /**
-     * Learns from a run whose start was seen.
+     * Learns the run time of a run that this holder started.
      *
-     * <p>The queue learns the run time at speed 1, so that choosing fast endpoints does not shift what is expected.
+     * <p>The run time is normalized to speed 1 for the queue, so that a preference for fast endpoints does not shift
+     * the expected run time.
      */
     private void learn(EndpointSpeed speed, Reservation reservation) {
         if (!reservation.adopted()) {
@@ -165,30 +169,30 @@
         }
     }
 
-    /** The placer whose runs these are. */
+    /** The placer that the runs belong to. */
     interface Host {
-        /** Returns whether every job was given back. */
+        /** Returns whether the placer is closed and has given back every job. */
         boolean isClosed();
 
-        /** Ends a job with a verdict. */
+        /** Settles a job with a verdict. */
         void settle(PlacedJob job, Verdict verdict);
 
-        /** A task of the job has to be started again. */
+        /** Queues the job again, because one of its tasks has to be started again. */
         void requeue(PlacedJob job);
 
-        /** A task is not to start before the node of its job was heard. */
+        /** Delays the next start of a task until a message from the origin of its job has arrived. */
         void awaitOrigin(PlacedTask task);
 
-        /** A run of the job takes no room any more. */
+        /** Called when the capacity of a run of the job was released. */
         void capacityReleased(PlacedJob job);
 
-        /** An endpoint can take tasks that it could not take before. */
+        /** Called when an endpoint may accept tasks that it did not accept before. */
         void capacityAdded();
 
-        /** An endpoint was read for the first time. */
+        /** Called when the lists of an endpoint were read for the first time. */
         void firstListRead(HeldEndpoint endpoint);
 
-        /** The endpoints of a shard obey another holder. */
+        /** Called when an endpoint of a shard rejects this holder's token because it has seen a higher one. */
         void shardFenced(FailureDomain shard);
     }
 }
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/placing/RunTimeSpread.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/placing/RunTimeSpread.java
@@ -4,22 +4,22 @@
 import org.HdrHistogram.ShortCountsHistogram;
 
 /**
- * The distribution of the ratio of true to expected run time over the most recent runs of one queue.
+ * The distribution of the ratio of actual to expected run time over the most recent runs of one queue.
  *
- * <p>Two histograms of about 3 KB each alternate. The newer one starts when the older holds one window, and replaces it
- * when that holds two, so that quantiles always cover the last one to two windows of runs.
+ * <p>Two histograms of about 3 KB each alternate. The newer one starts when the older holds one window, and replaces
+ * the older when that holds two windows, so that quantiles always cover the last one to two windows of runs.
  */
 final class RunTimeSpread {
-    /** The runs of one window; a queue of 200 tasks per second fills it in 2.5 s. */
+    /** The number of runs in one window; a queue of 200 tasks per second fills it in 2.5 s. */
     private static final int WINDOW_RUNS = 500;
 
-    /** Fewer runs do not determine the tail; until then the ratio is taken to be 1. */
+    /** The number of runs that determine the tail; with fewer runs the ratio is assumed to be 1. */
     private static final int MIN_RUNS = 50;
 
-    /** Cached quantiles are computed again after this many runs, since each passes over the whole histogram. */
+    /** The number of runs for which quantiles are cached, since each is computed from the whole histogram. */
     private static final int RUNS_PER_CACHE = 32;
 
-    /** The number of tasks up to which quantiles are cached; wider jobs use that of this many tasks. */
+    /** The largest number of tasks with a quantile of its own; wider jobs use the quantile of this number. */
     private static final int MAX_TASKS = 64;
 
     private static final double THOUSANDTHS = 1_000;
@@ -37,7 +37,7 @@
         return new ShortCountsHistogram(1, MAX_RATIO_THOUSANDTHS, SIGNIFICANT_DIGITS);
     }
 
-    /** Records the expected and the true run time of a run, in milliseconds. */
+    /** Records the expected and the actual run time of a run, in milliseconds. */
     void record(long expectedMillis, double ranMillis) {
         long thousandths = Math.round(THOUSANDTHS * ranMillis / Math.max(1, expectedMillis));
         long ratio = Math.min(MAX_RATIO_THOUSANDTHS, Math.max(MIN_RATIO_THOUSANDTHS, thousandths));
@@ -58,7 +58,7 @@
         }
     }
 
-    /** Returns the ratio of true to expected run time that a fraction of the runs, from 0 to 1, does not exceed. */
+    /** Returns the ratio of actual to expected run time that a fraction of the runs, from 0 to 1, does not exceed. */
     double quantile(double fraction) {
         if (older.getTotalCount() < MIN_RUNS) {
             return 1;
@@ -66,7 +66,7 @@
         return older.getValueAtPercentile(fraction * PERCENT) / THOUSANDTHS;
     }
 
-    /** Returns the median of the largest ratio of true to expected run time among this many tasks. */
+    /** Returns the median of the largest ratio of actual to expected run time among the given number of tasks. */
     double medianSlowestRatio(int tasks) {
         int bounded = Math.min(MAX_TASKS, Math.max(1, tasks));
         if (slowestByTasks[bounded] == 0) {
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/placing/SpeedLearning.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/placing/SpeedLearning.java
@@ -2,20 +2,20 @@
 
 import org.tarragonarch.core.speed.EndpointSpeed;
 
-/** Feeds the run times of an endpoint into its speed estimate; each run counts once. */
+/** Records the run times of an endpoint in its speed estimate; each run is recorded once. */
 final class SpeedLearning {
-    /** A run that takes this many times the run time expected at its endpoint's speed is recorded before it ends. */
+    /** A run that takes more than this many times its expected run time at the endpoint's speed is recorded early. */
     private static final double EARLY_MULTIPLE = 1.5;
 
-    /** The progress, in percent, below which the whole run time cannot be extrapolated. */
+    /** The progress, in percent, below which the total run time cannot be extrapolated. */
     private static final int MIN_PERCENT = 5;
 
-    private static final double WHOLE = 100;
+    private static final double HUNDRED_PERCENT = 100;
 
     private SpeedLearning() {}
 
     /**
-     * Records a run under way that takes long, with the run time extrapolated from its progress.
+     * Records a run in progress that takes too long, with the run time extrapolated from its progress.
      *
      * <p>An endpoint that becomes five times slower is then detected after one and a half run times instead of five.
      */
@@ -25,7 +25,7 @@
         boolean isLong = ran * speed.value() > EARLY_MULTIPLE * job.expectedRunMillis();
         if (isLong && percent >= MIN_PERCENT && reservation.hasAdvanced() && isUsable(reservation)) {
             reservation.markSpeedRecorded();
-            speed.record(job.expectedRunMillis(), ran * WHOLE / percent);
+            speed.record(job.expectedRunMillis(), ran * HUNDRED_PERCENT / percent);
         }
     }
 
@@ -38,8 +38,8 @@
     }
 
     /**
-     * Returns whether the run may be recorded: its start and a declared run time are known, and it was not recorded
-     * yet.
+     * Returns whether the run may be recorded: its start time and a declared run time are known, and it was not
+     * recorded yet.
      */
     private static boolean isUsable(Reservation reservation) {
         return !reservation.adopted()
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/placing/StallDetector.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/placing/StallDetector.java
@@ -3,35 +3,36 @@
 import org.tarragonarch.core.speed.EndpointSpeed;
 
 /**
- * Finds the runs that stall on one endpoint, and has their tasks started elsewhere.
+ * Detects stalled runs on one endpoint, and stops them so that their tasks are restarted elsewhere.
  *
- * <p>Guards against an endpoint on which tasks stall while it answers all calls: each of its places would keep a job
- * until its client leaves.
+ * <p>Guards against an endpoint on which tasks stall although it answers all calls: each of its slots would block a job
+ * until the client of the job gives up.
  */
 final class StallDetector {
-    /** A run that takes this many times its slowest percent so far for the next one is taken to stall. */
+    /** A run is stalled if its next percent takes this many times as long as its slowest percent so far. */
     private static final int PACE_MULTIPLE = 3;
 
-    private final ReservedCapacity room;
+    private final ReservedCapacity reserved;
     private final EndpointHealth health;
     private final EndpointSpeed speed;
     private final ProgressReports progress;
 
-    StallDetector(ReservedCapacity room, EndpointHealth health, EndpointSpeed speed, ProgressReports progress) {
-        this.room = room;
+    StallDetector(ReservedCapacity reserved, EndpointHealth health, EndpointSpeed speed, ProgressReports progress) {
+        this.reserved = reserved;
         this.health = health;
         this.speed = speed;
         this.progress = progress;
     }
 
     /**
-     * Stops runs that take far longer than expected, once for each task: if the second run is as long, so is the work.
+     * Stops runs that take far longer than expected, once for each task: if the second run takes as long, the task is
+     * really that long.
      *
-     * <p>A run that has made progress is checked by {@link #checkProgress} alone. Guards against stopping stragglers:
-     * a task that runs seven times as long as the others exceeds the limit of four times.
+     * <p>A run that has made progress is checked only by {@link #checkProgress}. Guards against stopping stragglers: a
+     * task that runs seven times as long as the others exceeds the limit of four times the expected run time.
      */
     void restartOverdueRuns(long nowMillis) {
-        for (Reservation reservation : room.snapshot()) {
+        for (Reservation reservation : reserved.snapshot()) {
             long limit = atSpeed(reservation.task().job().longestRunMillis());
             boolean showsProgress = progress.areReliable() && reservation.hasAdvanced();
             boolean isOverdue = reservation.shouldRun() && nowMillis - reservation.startedAtMillis() > limit;
@@ -42,12 +43,13 @@
     }
 
     /**
-     * Records how far a run has got, and stops it if it shows no progress.
+     * Records the progress of a run, and stops the run if it has stalled.
      *
-     * <p>That finds a stalled run in time for most callers, since the run time of a task is known to a factor only and
-     * its progress to a percent.
+     * <p>This detects a stalled run earlier than its run time does, because the expected run time is only accurate to a
+     * factor, but progress is accurate to a percent.
      *
-     * @param asOfMillis when the list was asked for
+     * @param percent the completed part of the work, in percent
+     * @param asOfMillis when the list was requested, on the steady clock
      */
     void checkProgress(Reservation reservation, int percent, long asOfMillis) {
         if (reservation.recordProgress(percent, asOfMillis)) {
@@ -65,7 +67,7 @@
         }
     }
 
-    /** Returns a time limit extended for a slow endpoint; a fast one gets no shorter limit. */
+    /** Returns a time limit extended for a slow endpoint; it is not shortened for a fast one. */
     private long atSpeed(long millis) {
         return Math.round(millis / Math.min(1, speed.classSpeed()));
     }
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/placing/UnansweredStarts.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/placing/UnansweredStarts.java
@@ -10,22 +10,22 @@
 import org.tarragonarch.model.task.TaskRun;
 
 /**
- * The start orders that the endpoints of one shard have not answered, as long as they may yet be carried out.
+ * The start orders that the endpoints of one shard have not answered and may still carry out.
  *
- * <p>An incarnation that has answered a stop of such a run refuses its start. A later incarnation does not know of that
- * stop, and the expiry in the order is on the clock of the earlier one, so the run has to be stopped there again.
+ * <p>An incarnation that has answered a stop of such a run refuses its start. A later incarnation does not know that
+ * stop, and the expiry in the order refers to the clock of the earlier one, so the run must be stopped again.
  */
 final class UnansweredStarts {
-    /** An order without an answer may be carried out up to 12 s later; 3 s are a margin for differences of clocks. */
+    /** An unanswered order may be carried out up to 12 s later; 3 s are a margin for clock differences. */
     static final long CARRIED_OUT_WITHIN_MILLIS = 15_000;
 
-    /** The orders kept for one endpoint, which runs at most some tens of tasks; beyond that the oldest is dropped. */
+    /** The maximum number of orders kept for one endpoint, which runs at most a few tens of tasks; drops the oldest. */
     private static final int MAX_PER_ENDPOINT = 128;
 
     private final Map<Order, Sent> orders = new LinkedHashMap<>();
     private final Multiset<EndpointId> counts = HashMultiset.create();
 
-    /** Records an order that is sent now. */
+    /** Records an order that is being sent. */
     void add(EndpointId endpoint, TaskRun run, long nowMillis) {
         expire(nowMillis);
         Order order = new Order(endpoint, run);
@@ -51,7 +51,7 @@
         }
     }
 
-    /** Records that a run was listed, or its end. If it was ordered more than once, the other orders remain. */
+    /** Records that a run or its end was listed, which settles the order unless it was sent more than once. */
     void recordListed(EndpointId endpoint, TaskRun run) {
         Order order = new Order(endpoint, run);
         Sent sent = orders.get(order);
@@ -68,13 +68,13 @@
         return removed;
     }
 
-    /** Returns whether an order to the endpoint may yet be carried out. */
+    /** Returns whether the endpoint may still carry out any unanswered order. */
     boolean hasAny(EndpointId endpoint, long nowMillis) {
         expire(nowMillis);
         return counts.contains(endpoint);
     }
 
-    /** Returns the runs whose orders to the endpoint may yet be carried out, the oldest first. */
+    /** Returns the runs that the endpoint may still start by unanswered orders, the oldest order first. */
     ImmutableSet<TaskRun> runsAt(EndpointId endpoint, long nowMillis) {
         expire(nowMillis);
         return orders.keySet().stream()
@@ -96,17 +96,17 @@
     }
 
     /**
-     * An order. The same run is ordered again if a client resubmits a job that is over.
+     * A start order. The same run is ordered again if a client resubmits a job that is over.
      *
-     * @param endpoint the endpoint that it was sent to
-     * @param run the run to be started
+     * @param endpoint the endpoint that the order was sent to
+     * @param run the run to start
      */
     private record Order(EndpointId endpoint, TaskRun run) {}
 
     /**
      * The time and the number of unanswered sends of an order.
      *
-     * @param atMillis when it was last sent, on the steady clock
+     * @param atMillis when the order was last sent, on the steady clock
      * @param unansweredSends the number of sends without an answer
      */
     private record Sent(long atMillis, int unansweredSends) {}
--- a/tarragonarch-core/src/test/java/org/tarragonarch/core/placing/EndpointHealthTest.java
+++ b/tarragonarch-core/src/test/java/org/tarragonarch/core/placing/EndpointHealthTest.java
@@ -6,11 +6,11 @@
 import java.util.SplittableRandom;
 import org.testng.annotations.Test;
 
-/** When an endpoint is taken for unwell. */
+/** Tests when an endpoint is ejected as unhealthy. */
 public final class EndpointHealthTest {
     private static final long FIRST_EJECTION_MILLIS = 1_000;
 
-    /** Guards against an endpoint on which every second run stalls and that is never ejected. */
+    /** Guards against an endpoint that is never ejected because successes alternate with stalls. */
     @Test
     public void testEject_halfOfTheRunsStall() {
         EndpointHealth health = new EndpointHealth();
@@ -35,10 +35,10 @@
         assertTrue(health.isOnTrial());
     }
 
-    /** Jobs that can never be done come by, one run in twenty: sound endpoints hardly ever rest for them. */
+    /** Guards against healthy endpoints that are ejected because one run in twenty belongs to a hopeless job. */
     @Test
     public void testEject_occasionalFailures() {
-        int rests = 0;
+        int ejections = 0;
         for (int seed = 0; seed < 200; seed++) {
             SplittableRandom random = new SplittableRandom(seed);
             EndpointHealth health = new EndpointHealth();
@@ -48,13 +48,13 @@
                 } else {
                     health.recordSuccess();
                 }
-                rests += health.isEjected(run) ? 1 : 0;
+                ejections += health.isEjected(run) ? 1 : 0;
             }
         }
-        assertTrue(rests <= 20, rests + " rests in 20,000 runs");
+        assertTrue(ejections <= 20, ejections + " ejections in 20,000 runs");
     }
 
-    /** The trial fails: it rests twice as long. It succeeds: the endpoint works again, and is watched. */
+    /** A failed trial doubles the ejection time; a successful one ends the trial, but leaves the ratio above zero. */
     @Test
     public void testOnTrial() {
         EndpointHealth health = new EndpointHealth();
--- a/tarragonarch-core/src/test/java/org/tarragonarch/core/placing/EndpointObservationsTest.java
+++ b/tarragonarch-core/src/test/java/org/tarragonarch/core/placing/EndpointObservationsTest.java
@@ -8,15 +8,15 @@
 import org.tarragonarch.model.task.Resources;
 import org.testng.annotations.Test;
 
-/** What is forgotten when an endpoint has restarted. */
+/** Tests which observations are discarded when an endpoint has restarted. */
 public final class EndpointObservationsTest {
     private static final long NOW_MILLIS = 1_000;
 
-    /** Guards against an incarnation that is ejected, or taken to be slow, for what an earlier one did. */
+    /** Guards against an incarnation that is ejected or considered slow because of the runs of an earlier one. */
     @Test
     public void testReset_clearsHealthAndSpeed() {
-        ReservedCapacity room = new ReservedCapacity(new Resources(16_000, 32_768, 0), new ShareTally());
-        EndpointObservations observations = new EndpointObservations(room, new ProgressReports());
+        ReservedCapacity reserved = new ReservedCapacity(new Resources(16_000, 32_768, 0), new ShareTally());
+        EndpointObservations observations = new EndpointObservations(reserved, new ProgressReports());
         observations.health().eject(NOW_MILLIS, 10_000);
         observations.speed().record(100, 500);
         assertTrue(observations.health().isEjected(NOW_MILLIS + 1));
--- a/tarragonarch-core/src/test/java/org/tarragonarch/core/placing/FakeEndpoint.java
+++ b/tarragonarch-core/src/test/java/org/tarragonarch/core/placing/FakeEndpoint.java
@@ -20,12 +20,12 @@
 import org.tarragonarch.model.task.TaskName;
 import org.tarragonarch.model.task.TaskRun;
 
-/** One endpoint as its protocol describes it: it obeys the highest token, keeps runs under a lease and lists ends. */
+/** An endpoint that follows the protocol: it obeys the highest token, keeps runs under a lease and lists ends. */
 public final class FakeEndpoint {
     private static final long LONGEST_LEASE_MILLIS = 1_000;
     private static final long STOP_MILLIS = 30;
 
-    /** A poll that waits and its successor, each there and back. */
+    /** The time in which a holder detects a restart: a waiting poll and the next one, each a round trip. */
     private static final long DISCOVERY_MILLIS = 4;
 
     private final VirtualTimers timers;
@@ -54,7 +54,7 @@
     /**
      * Creates an idle endpoint.
      *
-     * @param capacity its processor time, in thousandths of a core
+     * @param capacity the processor time of the endpoint, in thousandths of a core
      */
     public FakeEndpoint(VirtualTimers timers, Ledger ledger, long capacity) {
         this.timers = timers;
@@ -62,7 +62,7 @@
         this.capacity = capacity;
     }
 
-    /** Lets each task that starts from now on run for that long. */
+    /** Sets the run time of tasks that start from now on, in milliseconds. */
     public void setRunMillis(long millis) {
         runMillis = millis;
     }
@@ -81,12 +81,12 @@
         return running.size();
     }
 
-    /** Returns what runs here. */
+    /** Returns the runs in progress. */
     ImmutableList<TaskRun> runs() {
         return ImmutableList.copyOf(running.keySet());
     }
 
-    /** Ends all that runs here; from now on an endpoint with another id answers. */
+    /** Ends all runs; from now on an endpoint with another id answers. */
     void crash() {
         hasOtherId = true;
         running.keySet().forEach(run -> ledger.ended(run.task(), this));
@@ -96,7 +96,7 @@
         holds.forEach(Runnable::run);
     }
 
-    /** Returns whether a holder that has a call waiting here may not yet have stopped anything. */
+    /** Returns whether the endpoint restarted so recently that a holder may not have sent any stop to it yet. */
     boolean hasJustRestarted() {
         return timers.nowMillis() - restartedAtMillis <= DISCOVERY_MILLIS;
     }
@@ -105,12 +105,12 @@
         return startedMillis;
     }
 
-    /** Tells from now on when it started. */
+    /** Makes the endpoint report a start time in its lists from now on. */
     void reportStart(long millis) {
         startedMillis = millis;
     }
 
-    /** Ends all that runs here; another incarnation under the same id remembers nothing, and its clock starts lower. */
+    /** Ends all runs; a new incarnation under the same id has no state of the old one, and its clock starts lower. */
     void restart() {
         running.keySet().forEach(run -> ledger.ended(run.task(), this));
         running.clear();
@@ -128,7 +128,7 @@
         holds.forEach(Runnable::run);
     }
 
-    /** Does something after this long unless the endpoint restarts before. */
+    /** Runs a task after the given time unless the endpoint restarts before. */
     private void after(long millis, Runnable task) {
         int restartsNow = restarts;
         timers.after(millis, () -> {
@@ -164,7 +164,7 @@
         return answer(OrderResult.DONE);
     }
 
-    /** Answers at once, or as soon as there is an end or the wait is over. */
+    /** Answers immediately if an end is listed or no wait is requested, otherwise at the next end or after the wait. */
     void hold(HoldOrder order, java.util.function.Consumer<HoldAnswer> reply) {
         if (hasOtherId || order.token().value() < token) {
             reply.accept(HoldAnswer.failed(hasOtherId ? OrderResult.OTHER_ENDPOINT : OrderResult.FENCED));
--- a/tarragonarch-core/src/test/java/org/tarragonarch/core/placing/FakeOrders.java
+++ b/tarragonarch-core/src/test/java/org/tarragonarch/core/placing/FakeOrders.java
@@ -17,21 +17,21 @@
 import org.tarragonarch.model.task.StartOrder;
 import org.tarragonarch.model.task.TaskRun;
 
-/** The way to a handful of endpoints, with faults on it. */
+/** Delivers orders to fake endpoints, with faults that a test can inject. */
 public final class FakeOrders implements EndpointOrders {
-    /** What becomes of an order on its way. */
+    /** A fault in the delivery of an order. */
     enum Fault {
-        /** It arrives, and so does its answer. */
+        /** The order and its answer arrive. */
         NONE,
-        /** Nothing arrives. */
+        /** The order is lost. */
         LOST,
-        /** It arrives, and its answer is lost. */
+        /** The order arrives, and its answer is lost. */
         ANSWER_LOST,
-        /** It arrives three seconds later, and its answer is lost. */
+        /** The order arrives three seconds later, and its answer is lost. */
         DELAYED
     }
 
-    private static final long WAY_MILLIS = 1;
+    private static final long ONE_WAY_MILLIS = 1;
     private static final long LATE_MILLIS = 3_000;
 
     final Map<EndpointId, FakeEndpoint> endpoints = new LinkedHashMap<>();
@@ -39,21 +39,21 @@
     Supplier<Fault> startFault = () -> Fault.NONE;
     Supplier<Fault> holdFault = () -> Fault.NONE;
     Supplier<Fault> stopFault = () -> Fault.NONE;
-    long listMillis = WAY_MILLIS;
+    long listMillis = ONE_WAY_MILLIS;
     private final VirtualTimers timers;
     private final long milliCores;
 
     /**
-     * Creates the way to no endpoint yet.
+     * Creates an instance without endpoints.
      *
-     * @param milliCores the processor time that each task takes, in thousandths of a core
+     * @param milliCores the processor time that each task needs, in thousandths of a core
      */
     public FakeOrders(VirtualTimers timers, long milliCores) {
         this.timers = timers;
         this.milliCores = milliCores;
     }
 
-    /** Adds an endpoint. */
+    /** Adds an endpoint, which replaces an earlier one with the same id. */
     public void add(EndpointId id, FakeEndpoint endpoint) {
         endpoints.put(id, endpoint);
     }
@@ -63,12 +63,12 @@
         Once<HoldAnswer> once = new Once<>(reply);
         long patience = order.waitMillis() + delivery.answerWithinMillis();
         timers.after(patience, () -> once.give(HoldAnswer.failed(OrderResult.UNKNOWN)));
-        Fault drawn = way(entry) == Fault.NONE ? holdFault.get() : way(entry);
+        Fault drawn = fault(entry) == Fault.NONE ? holdFault.get() : fault(entry);
         if (drawn == Fault.NONE) {
             timers.after(
-                    WAY_MILLIS,
+                    ONE_WAY_MILLIS,
                     () -> endpoints.get(entry.id()).hold(order, answer -> {
-                        if (way(entry) == Fault.NONE) {
+                        if (fault(entry) == Fault.NONE) {
                             timers.after(listMillis, () -> once.give(answer));
                         }
                     }));
@@ -77,7 +77,7 @@
 
     @Override
     public void start(EndpointEntry entry, StartOrder order, Delivery delivery, Consumer<OrderAnswer> reply) {
-        Fault drawn = way(entry) == Fault.NONE ? startFault.get() : way(entry);
+        Fault drawn = fault(entry) == Fault.NONE ? startFault.get() : fault(entry);
         FakeEndpoint endpoint = endpoints.get(entry.id());
         send(drawn, () -> endpoint.start(order, milliCores), endpoint, delivery, reply);
     }
@@ -85,18 +85,18 @@
     @Override
     public void stop(
             EndpointEntry entry, FencingToken token, TaskRun run, Delivery delivery, Consumer<OrderAnswer> reply) {
-        Fault drawn = way(entry) == Fault.NONE ? stopFault.get() : way(entry);
+        Fault drawn = fault(entry) == Fault.NONE ? stopFault.get() : fault(entry);
         FakeEndpoint endpoint = endpoints.get(entry.id());
         send(drawn, () -> endpoint.stop(token, run), endpoint, delivery, reply);
     }
 
-    private Fault way(EndpointEntry entry) {
+    private Fault fault(EndpointEntry entry) {
         return faults.getOrDefault(entry.id(), Fault.NONE);
     }
 
     /**
-     * Lets a late order arrive, unless the endpoint has restarted just now: what arrives before the first call to a new
-     * incarnation nobody can have stopped, and no holder can rule it out.
+     * Delivers a delayed order, unless the endpoint has just restarted: a holder cannot stop an order that arrives
+     * before its first call to a new incarnation.
      */
     private static void carryOutLate(Supplier<OrderAnswer> order, FakeEndpoint endpoint) {
         if (!endpoint.hasJustRestarted()) {
@@ -105,29 +105,29 @@
     }
 
     private void send(
-            Fault way,
+            Fault fault,
             Supplier<OrderAnswer> order,
             FakeEndpoint endpoint,
             Delivery delivery,
             Consumer<OrderAnswer> reply) {
         Once<OrderAnswer> once = new Once<>(reply);
         timers.after(delivery.answerWithinMillis(), () -> once.give(OrderAnswer.of(OrderResult.UNKNOWN)));
-        switch (way) {
+        switch (fault) {
             case NONE ->
-                timers.after(WAY_MILLIS, () -> {
+                timers.after(ONE_WAY_MILLIS, () -> {
                     OrderAnswer answer = order.get();
-                    timers.after(WAY_MILLIS, () -> once.give(answer));
+                    timers.after(ONE_WAY_MILLIS, () -> once.give(answer));
                 });
-            case ANSWER_LOST -> timers.after(WAY_MILLIS, order::get);
+            case ANSWER_LOST -> timers.after(ONE_WAY_MILLIS, order::get);
             case DELAYED -> timers.after(LATE_MILLIS, () -> carryOutLate(order, endpoint));
             case LOST -> {
-                // Nothing arrives.
+                // The order is not delivered.
             }
-            default -> throw new AssertionError(way);
+            default -> throw new AssertionError(fault);
         }
     }
 
-    /** Gives the first answer alone. */
+    /** Passes on only the first answer. */
     private static final class Once<T> {
         private final Consumer<T> reply;
         private boolean given;
--- a/tarragonarch-core/src/test/java/org/tarragonarch/core/placing/LostAnswersTest.java
+++ b/tarragonarch-core/src/test/java/org/tarragonarch/core/placing/LostAnswersTest.java
@@ -9,7 +9,7 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** How long a task and its room wait when orders of one holder to one endpoint are lost. */
+/** Tests how soon a task starts again when orders of one holder to one endpoint are lost. */
 public final class LostAnswersTest {
     private static final int PATIENCE_MILLIS = 2_000;
 
@@ -27,11 +27,12 @@
     }
 
     /**
-     * Guards against room and tasks that wait longer than it takes to ask again.
+     * Guards against capacity and tasks that are blocked for longer than the repetition of lost calls takes.
      *
-     * @param lists which polls are lost, the first being the one that is under way with the start
-     * @param stops how many stops are lost
-     * @param longestMillis how long after the order the task may start again
+     * @param what the calls that are lost, for the failure message
+     * @param lists the numbers of the polls that are lost; poll 1 is in flight together with the start
+     * @param stops the number of stops that are lost
+     * @param longestMillis the time limit for the repeated start, from the first order
      */
     @Test(dataProvider = "lost")
     public void testStart_unanswered(String what, ImmutableSet<Integer> lists, int stops, int longestMillis) {
@@ -51,7 +52,7 @@
         assertEquals(fixture.ledger.broken(), ImmutableList.of());
     }
 
-    /** Guards against a sound run that is stopped although only the answer to its start was lost. */
+    /** Guards against a healthy run that is stopped because the answer to its start was lost. */
     @Test
     public void testStart_onlyTheAnswerIsLost() {
         PlacerFixture fixture = new PlacerFixture(1);
--- a/tarragonarch-core/src/test/java/org/tarragonarch/core/placing/NoOpEndpointListener.java
+++ b/tarragonarch-core/src/test/java/org/tarragonarch/core/placing/NoOpEndpointListener.java
@@ -2,7 +2,7 @@
 
 import org.tarragonarch.model.task.EndKind;
 
-/** Ignores every event of an endpoint. */
+/** A listener that ignores all events. */
 final class NoOpEndpointListener implements EndpointListener {
     @Override
     public void runEnded(HeldEndpoint endpoint, Reservation reservation, EndKind kind) {}
--- a/tarragonarch-core/src/test/java/org/tarragonarch/core/placing/PlacerChaosTest.java
+++ b/tarragonarch-core/src/test/java/org/tarragonarch/core/placing/PlacerChaosTest.java
@@ -8,8 +8,8 @@
 import org.testng.annotations.Test;
 
 /**
- * Users see a check run twice, or endpoints overfilled, only when several troubles meet: orders lost or late, endpoints
- * cut off and back, holders replaced in the middle, jobs withdrawn and sent again. Each seed draws such a day.
+ * Tests that no task runs twice and no endpoint exceeds its capacity under random combinations of faults: lost or
+ * delayed orders, endpoints that are temporarily unreachable, replaced holders, withdrawn and repeated jobs.
  */
 public final class PlacerChaosTest {
     private static final int SEEDS = 300;
@@ -28,13 +28,13 @@
     public void testNoTaskRunsTwice_randomFaults(int seed) {
         Random random = new Random(seed);
         PlacerFixture fixture = new PlacerFixture(4);
-        fixture.orders.startFault = () -> drawWay(random);
+        fixture.orders.startFault = () -> drawFault(random);
         long term = 1;
         Placer placer = fixture.placer(term);
         for (int step = 0; step < STEPS; step++) {
             int job = 1 + random.nextInt(15);
             switch (random.nextInt(10)) {
-                case 0 -> fixture.way(1 + random.nextInt(4), drawCut(random));
+                case 0 -> fixture.way(1 + random.nextInt(4), drawConnectionFault(random));
                 case 3 -> placer.review();
                 case 1 -> placer.withdraw(PlacerFixture.ORIGIN, PlacerFixture.id(job));
                 case 2 -> {
@@ -53,14 +53,14 @@
         assertEquals(fixture.ledger.broken(), ImmutableList.of());
     }
 
-    /** Guards against a run that is settled by a stop or list of which only a repetition was answered. */
+    /** Guards against a run that is considered over because of a stop or list that was answered only when repeated. */
     @Test(dataProvider = "seeds")
     public void testNoTaskRunsTwice_stopsAndListsAreLost(int seed) {
         Random random = new Random(seed);
         PlacerFixture fixture = new PlacerFixture(4);
-        fixture.orders.startFault = () -> drawWay(random);
-        fixture.orders.stopFault = () -> drawWay(random);
-        fixture.orders.holdFault = () -> drawWay(random);
+        fixture.orders.startFault = () -> drawFault(random);
+        fixture.orders.stopFault = () -> drawFault(random);
+        fixture.orders.holdFault = () -> drawFault(random);
         Placer placer = fixture.placer(1);
         for (int step = 0; step < STEPS; step++) {
             if (random.nextInt(10) == 0) {
@@ -74,12 +74,12 @@
         assertEquals(fixture.ledger.broken(), ImmutableList.of());
     }
 
-    /** Guards against runs that are taken for over, or over room, as endpoints restart under their ids. */
+    /** Guards against runs that are considered over, or exceed the capacity, when endpoints restart with the same id. */
     @Test(dataProvider = "seeds")
     public void testNoTaskRunsTwice_endpointsRestart(int seed) {
         Random random = new Random(seed);
         PlacerFixture fixture = new PlacerFixture(4).tellingStarts();
-        fixture.orders.startFault = () -> drawWay(random);
+        fixture.orders.startFault = () -> drawFault(random);
         Placer placer = fixture.placer(1);
         for (int step = 0; step < STEPS; step++) {
             int number = 1 + random.nextInt(4);
@@ -101,7 +101,7 @@
         assertEquals(fixture.ledger.broken(), ImmutableList.of());
     }
 
-    private static FakeOrders.Fault drawWay(Random random) {
+    private static FakeOrders.Fault drawFault(Random random) {
         return switch (random.nextInt(20)) {
             case 0 -> FakeOrders.Fault.DELAYED;
             case 1 -> FakeOrders.Fault.ANSWER_LOST;
@@ -110,7 +110,7 @@
         };
     }
 
-    private static FakeOrders.Fault drawCut(Random random) {
+    private static FakeOrders.Fault drawConnectionFault(Random random) {
         return switch (random.nextInt(4)) {
             case 0 -> FakeOrders.Fault.LOST;
             case 1 -> FakeOrders.Fault.ANSWER_LOST;
--- a/tarragonarch-core/src/test/java/org/tarragonarch/core/placing/PlacerCrashTest.java
+++ b/tarragonarch-core/src/test/java/org/tarragonarch/core/placing/PlacerCrashTest.java
@@ -7,7 +7,7 @@
 import org.tarragonarch.model.task.EndpointEntry;
 import org.testng.annotations.Test;
 
-/** One holder whose endpoints crash under tasks. */
+/** Tests a holder whose endpoints crash while they run tasks. */
 public final class PlacerCrashTest {
     private static final long RUN_MILLIS = 2_000;
     private static final long LEASE_OVER_MILLIS = 1_500;
@@ -41,7 +41,7 @@
         fixture.timers.advance(20);
     }
 
-    /** Guards against a task that takes down one endpoint after the other until its client leaves. */
+    /** Guards against a task that crashes one endpoint after the other until its client gives up. */
     @Test
     public void testCrash_taskFailsAfterTwoCrashes() {
         PlacerFixture fixture = fixture(4);
@@ -53,7 +53,7 @@
         assertEquals(fixture.ledger.starts(), 2);
     }
 
-    /** Guards against a task that is given up because another, beside which it ran, crashes endpoints. */
+    /** Guards against a task that fails because another task on the same endpoint crashes endpoints. */
     @Test
     public void testCrash_tasksOfOneEndpointRestartSeparately() {
         PlacerFixture fixture = fixture(4);
@@ -73,7 +73,7 @@
         assertTrue(fixture.verdicts.get(1).endsWith("DONE"), fixture.verdicts.toString());
     }
 
-    /** Guards against other tasks that are put beside one which may crash its endpoint. */
+    /** Guards against tasks that are placed beside a task that may crash its endpoint. */
     @Test
     public void testCrash_otherTasksAvoidASuspect() {
         PlacerFixture fixture = fixture(4);
@@ -85,7 +85,7 @@
         assertEquals(fixture.endpoint(suspect).running(), 1);
     }
 
-    /** Guards against a crash that shows only as silence until the endpoint is back under another id. */
+    /** Guards against a crash that is not counted because the endpoint is silent until it returns with another id. */
     @Test
     public void testCrash_silentEndpointReturnsWithAnotherId() {
         PlacerFixture fixture = fixture(4);
@@ -102,7 +102,7 @@
         assertEquals(fixture.ledger.starts(), 2);
     }
 
-    /** Guards against a task that is given up because the endpoints on which it ran were replaced as planned. */
+    /** Guards against a task that fails because its endpoints were replaced as planned. */
     @Test
     public void testCrash_plannedReplacementDoesNotCount() {
         PlacerFixture fixture = fixture(4);
@@ -118,7 +118,7 @@
         assertEquals(fixture.verdicts, ImmutableList.of("origin-1 1 DONE"));
     }
 
-    /** Guards against a job shown as failed because its endpoints fell silent; after four lost runs it is given up. */
+    /** Guards against a job that counts as failed because its endpoints are silent; it is given up after four runs. */
     @Test
     public void testCrash_taskIsGivenUpAfterFourLostRuns() {
         PlacerFixture fixture = fixture(6);
--- a/tarragonarch-core/src/test/java/org/tarragonarch/core/placing/PlacerHandOverTest.java
+++ b/tarragonarch-core/src/test/java/org/tarragonarch/core/placing/PlacerHandOverTest.java
@@ -6,16 +6,16 @@
 import com.google.common.collect.ImmutableList;
 import org.testng.annotations.Test;
 
-/** Holders whose shards come and go, one at a time or all at once. */
+/** Tests holders that claim and release shards, one at a time or all at once. */
 public final class PlacerHandOverTest {
-    /** Returns a holder that was offered a job as soon as it had read its endpoints. */
+    /** Returns a holder that is offered a job as soon as it has read the lists of its endpoints. */
     private static Placer holderWithJob(PlacerFixture fixture, int tasks) {
         Placer holder = fixture.opened(1);
         holder.offer(PlacerFixture.firstOffer(1, tasks, 900));
         return holder;
     }
 
-    /** Guards against a job of five places that runs in two waves, and late, as each shard has only four. */
+    /** Guards against a job of five tasks that runs in two waves because each shard has only four slots. */
     @Test
     public void testOpen_twoShardsAreOnePool() {
         PlacerFixture fixture = new PlacerFixture(4);
@@ -27,7 +27,7 @@
         assertEquals(fixture.ledger.broken(), ImmutableList.of());
     }
 
-    /** Guards against tasks of a released shard that start elsewhere before their lease is over. */
+    /** Guards against tasks of a released shard that start elsewhere before their lease has expired. */
     @Test
     public void testRelease_tasksOfTheShardStartElsewhereAfterTheirLease() {
         PlacerFixture fixture = PlacerFixture.running(2, 900);
@@ -43,7 +43,7 @@
         assertEquals(fixture.ledger.broken(), ImmutableList.of());
     }
 
-    /** The last shard goes: every job is given back to the node that asked, who offers it to the next holder. */
+    /** The release of the last shard gives every job back to its origin, which offers it to the next holder. */
     @Test
     public void testRelease_lastShardGivesJobsBack() {
         PlacerFixture fixture = new PlacerFixture(2);
@@ -57,7 +57,7 @@
         assertEquals(fixture.verdicts, ImmutableList.of("origin-1 1 HOLD_LOST"));
     }
 
-    /** Guards against tasks that run twice on an endpoint that the holder could not reach since it claimed. */
+    /** Guards against tasks that run twice on an endpoint that the holder has not reached since its claim. */
     @Test
     public void testOffer_earlierRunsOnAnUnreachableEndpoint() {
         PlacerFixture fixture = PlacerFixture.running(2, 900);
@@ -76,7 +76,7 @@
         assertEquals(fixture.ledger.broken(), ImmutableList.of());
     }
 
-    /** Guards against tasks that run twice since the holder released the shard with the earlier runs. */
+    /** Guards against tasks that run twice because the holder has released the shard with the earlier runs. */
     @Test
     public void testOffer_earlierRunsInAReleasedShard() {
         PlacerFixture fixture = PlacerFixture.running(2, 300);
@@ -92,9 +92,9 @@
         assertEquals(fixture.ledger.broken(), ImmutableList.of());
     }
 
-    /** The stop of a run that an earlier holder left gets no answer: it is sent again, and nothing starts before. */
+    /** The stops of an earlier holder's runs are lost: they are sent again, and nothing starts before their answers. */
     @Test
-    public void testClaim_stopOfAnEarlierRunIsLostTwice() {
+    public void testClaim_stopsOfEarlierRunsAreLost() {
         PlacerFixture fixture = PlacerFixture.running(1, 5_000);
         holderWithJob(fixture, 2);
         fixture.timers.advance(50);
@@ -109,7 +109,7 @@
         assertEquals(stops[0], 4);
     }
 
-    /** Guards against runs that the next holder stops and starts anew instead of adopting them. */
+    /** Guards against runs that the next holder stops and restarts instead of adopting them. */
     @Test
     public void testClaim_runsAreAdopted() {
         PlacerFixture fixture = PlacerFixture.running(2, 900);
@@ -123,7 +123,7 @@
         assertEquals(fixture.ledger.broken(), ImmutableList.of());
     }
 
-    /** Part of the job has ended by then: what is not known to have ended is started again, and only that. */
+    /** Guards against tasks that are started again although the endpoint lists that they are done. */
     @Test
     public void testClaim_endedRunsAreNotStartedAgain() {
         PlacerFixture fixture = new PlacerFixture(2);
@@ -141,7 +141,7 @@
         assertEquals(fixture.ledger.broken(), ImmutableList.of());
     }
 
-    /** Nobody asks for the job any more: its runs are stopped soon, and their room goes to others. */
+    /** The runs of a job that is not offered to the next holder are stopped soon, which frees their capacity. */
     @Test
     public void testClaim_unclaimedRunsAreStopped() {
         PlacerFixture fixture = PlacerFixture.running(1, 5_000);
@@ -155,7 +155,7 @@
         assertEquals(fixture.ledger.broken(), ImmutableList.of());
     }
 
-    /** Guards against tasks that run twice since the endpoint with the earlier runs is not listed yet. */
+    /** Guards against tasks that run twice because the endpoint with the earlier runs is not listed yet. */
     @Test
     public void testOffer_earlierRunsOnAnUnlistedEndpoint() {
         PlacerFixture fixture = PlacerFixture.running(2, 400);
@@ -172,7 +172,7 @@
         assertEquals(fixture.ledger.broken(), ImmutableList.of());
     }
 
-    /** Guards against runs that are stopped, not adopted, because another endpoint does not answer. */
+    /** Guards against runs that are stopped instead of adopted because another endpoint does not answer. */
     @Test
     public void testClaim_runsAreAdoptedWhileAnEndpointIsSilent() {
         PlacerFixture fixture = new PlacerFixture(3);
@@ -189,7 +189,7 @@
         assertEquals(fixture.ledger.broken(), ImmutableList.of());
     }
 
-    /** Guards against tasks on a silent endpoint that start elsewhere before their lease is over. */
+    /** Guards against tasks on a silent endpoint that start elsewhere before their lease has expired. */
     @Test
     public void testClaim_tasksOnASilentEndpointWaitForTheirLease() {
         PlacerFixture fixture = new PlacerFixture(2);
@@ -206,7 +206,7 @@
         assertEquals(fixture.ledger.broken(), ImmutableList.of());
     }
 
-    /** Guards against jobs that never started and are given back as if they may have run. */
+    /** Guards against jobs that never started but are given back as if they may have run. */
     @Test
     public void testRelease_jobsThatNeverStartedAreReturned() {
         PlacerFixture fixture = new PlacerFixture(1);
@@ -219,7 +219,7 @@
         assertTrue(fixture.verdicts.contains("origin-1 2 RETURNED"), fixture.verdicts.toString());
     }
 
-    /** A job whose earlier runs are not traced yet is given back as one that may run. */
+    /** A job whose earlier runs are not resolved yet is given back as one that may have run. */
     @Test
     public void testRelease_jobWithUnresolvedRunsIsNotReturned() {
         PlacerFixture fixture = new PlacerFixture(1);
@@ -231,7 +231,7 @@
         assertEquals(fixture.verdicts, ImmutableList.of("origin-1 1 HOLD_LOST"));
     }
 
-    /** Guards against an endpoint that is polled twice over while it is busy because a run was adopted there. */
+    /** Guards against two concurrent poll loops to one endpoint after it adopted a run. */
     @Test
     public void testAdopt_onePollAtATime() {
         PlacerFixture fixture = PlacerFixture.running(1, 900);
--- a/tarragonarch-core/src/test/java/org/tarragonarch/core/placing/PlacerRestartTest.java
+++ b/tarragonarch-core/src/test/java/org/tarragonarch/core/placing/PlacerRestartTest.java
@@ -8,7 +8,7 @@
 import org.tarragonarch.model.task.EndpointEntry;
 import org.testng.annotations.Test;
 
-/** One holder whose endpoints restart under the ids that they had before. */
+/** Tests a holder whose endpoints restart under the same ids. */
 public final class PlacerRestartTest {
     private static final long LONG_RUN_MILLIS = 2_000;
     private static final long SECOND_START_MILLIS = PlacerFixture.FIRST_START_MILLIS + 1;
@@ -46,7 +46,7 @@
         assertUnbroken(fixture);
     }
 
-    /** Guards against a restart that is noticed only as the store tells of it, which may be silent. */
+    /** Guards against a restart that is detected only through the store, which may be unavailable. */
     @Test
     public void testRestart_detectedFromListsAlone() {
         PlacerFixture fixture = fixture(2, LONG_RUN_MILLIS);
@@ -64,7 +64,7 @@
         assertUnbroken(fixture);
     }
 
-    /** Guards against a list of the earlier incarnation that arrives after the store has told of the new one. */
+    /** Guards against a list of the earlier incarnation that is processed after the store has reported the new one. */
     @Test
     public void testRestart_listOfTheEarlierIncarnationArrivesLate() {
         PlacerFixture fixture = fixture(2, LONG_RUN_MILLIS);
@@ -87,7 +87,7 @@
         assertUnbroken(fixture);
     }
 
-    /** Guards against an entry of the earlier incarnation that ends the new one, or hides it from new work. */
+    /** Guards against an entry of the earlier incarnation that ends the runs of the new one, or blocks new starts. */
     @Test
     public void testRestart_staleEntryAfterANewerList() {
         PlacerFixture fixture = fixture(1, LONG_RUN_MILLIS);
@@ -108,7 +108,7 @@
         assertUnbroken(fixture);
     }
 
-    /** Guards against a drain of the failure domain that is dropped with an entry of the earlier incarnation. */
+    /** Guards against a drain of the failure domain that is ignored because its entry is of an earlier incarnation. */
     @Test
     public void testRestart_staleEntryOfADrainedDomain() {
         PlacerFixture fixture = fixture(1, LONG_RUN_MILLIS);
@@ -125,7 +125,7 @@
         assertEquals(fixture.endpoint(1).running(), 1);
     }
 
-    /** Guards against a run that is started twice because the order reached the new incarnation unnoticed. */
+    /** Guards against a second start of a run whose order reached the new incarnation before its detection. */
     @Test
     public void testRestart_runOrderedBeforeDetectionContinues() {
         PlacerFixture fixture = fixture(2, 300);
@@ -140,7 +140,7 @@
         assertUnbroken(fixture);
     }
 
-    /** Returns a fixture of two endpoints with one job, whose first start order is carried out late. */
+    /** Returns a fixture of two endpoints and one job whose first start order is delayed. */
     private static PlacerFixture withLateStart() {
         PlacerFixture fixture = fixture(2, 5_000);
         Placer placer = opened(fixture);
@@ -151,8 +151,8 @@
     }
 
     /**
-     * Guards against an order that the earlier incarnation left unanswered and the new one carries out: its expiry is
-     * on the earlier clock, and the new one starts lower.
+     * Guards against an order that was sent to the earlier incarnation and is carried out by the new one: the expiry in
+     * the order refers to the earlier clock, and the new clock starts lower.
      */
     @Test
     public void testRestart_betweenOrderAndAnswer() {
@@ -166,7 +166,7 @@
         assertUnbroken(fixture);
     }
 
-    /** Guards against a late order whose run was settled on the earlier incarnation, unknown to the new one. */
+    /** Guards against a delayed order whose run was stopped on the earlier incarnation, but not on the new one. */
     @Test
     public void testRestart_afterTheUnansweredOrderWasSettled() {
         PlacerFixture fixture = withLateStart();
@@ -179,7 +179,7 @@
         assertEquals(fixture.verdicts, ImmutableList.of("origin-1 1 DONE"));
     }
 
-    /** Guards against a late order that an endpoint carries out which had fallen off the list before it came back. */
+    /** Guards against a delayed order that an endpoint carries out after it was unlisted, restarted and relisted. */
     @Test
     public void testRestart_endpointUnlistedBeforeRestart() {
         PlacerFixture fixture = fixture(1, 5_000);
@@ -198,7 +198,7 @@
         assertEquals(fixture.ledger.starts(), 0);
     }
 
-    /** Guards against runs of an earlier holder that are waited for although their endpoint has restarted. */
+    /** Guards against a wait for runs of an earlier holder whose endpoint has restarted. */
     @Test
     public void testRestart_duringHandOver() {
         PlacerFixture fixture = fixture(2, 900);
@@ -219,7 +219,7 @@
         assertUnbroken(fixture);
     }
 
-    /** Guards against an ejection that outlives the incarnation whose runs had failed. */
+    /** Guards against an ejection that outlasts the incarnation whose runs failed. */
     @Test
     public void testRestart_clearsHealth() {
         PlacerFixture fixture = fixture(1, 20);
@@ -237,7 +237,7 @@
         assertTrue(fixture.verdicts.contains("origin-1 2 DONE"), fixture.verdicts.toString());
     }
 
-    /** Guards against ends that are dropped where endpoints begin to tell their start, and the store tells it first. */
+    /** Guards against ends that are dropped when endpoints begin to report start times and an entry is the first to. */
     @Test
     public void testRestart_startTimeFirstKnownFromEntry() {
         PlacerFixture fixture = new PlacerFixture(1);
--- a/tarragonarch-core/src/test/java/org/tarragonarch/core/placing/PlacerSpeedTest.java
+++ b/tarragonarch-core/src/test/java/org/tarragonarch/core/placing/PlacerSpeedTest.java
@@ -10,7 +10,7 @@
 import org.tarragonarch.model.id.EndpointId;
 import org.testng.annotations.Test;
 
-/** Where tasks of 60 ms go as endpoints are of different speeds; two tasks fit on one endpoint. */
+/** Tests the placement of tasks of 60 ms on endpoints of different speeds; two tasks fit on one endpoint. */
 public final class PlacerSpeedTest {
     private static final long NOMINAL_MILLIS = 60;
     private static final int ENDPOINTS = 20;
@@ -18,7 +18,7 @@
     private final Random random = new Random(20261203);
     private int lastJob;
 
-    /** Sends enough that every endpoint gets some of it. */
+    /** Offers enough jobs that every endpoint runs some of the tasks. */
     private void sendToAll(PlacerFixture fixture, Placer placer, long millis) {
         send(fixture, placer, millis, 8);
     }
@@ -27,7 +27,7 @@
         send(fixture, placer, millis, 2);
     }
 
-    /** Sends a job every 15 ms, and looks after the placer as a node does. */
+    /** Offers a job every 15 ms, and reviews the placer periodically as a node does. */
     private void send(PlacerFixture fixture, Placer placer, long millis, int tasks) {
         for (long passed = 0; passed < millis; passed += 15) {
             lastJob++;
@@ -39,7 +39,7 @@
         }
     }
 
-    /** Returns the part of all runs that start on the first endpoints while jobs come. */
+    /** Offers jobs and returns the fraction of their runs that start on the first endpoints. */
     private double partOnFirst(int first, PlacerFixture fixture, Placer placer, long millis) {
         int before = startedOnFirst(first, fixture);
         int allBefore = fixture.ledger.starts();
@@ -62,8 +62,8 @@
     }
 
     /**
-     * Load: 15% of the endpoints turn five times slower. They looked as free as the others, so that every task on them
-     * was late.
+     * Guards against endpoints that become five times slower and still get their share of tasks, all of which are late,
+     * because they look as free as the others. Here 15% of the endpoints become slower.
      */
     @Test
     public void testOffer_someEndpointsBecomeFiveTimesSlower() {
@@ -79,7 +79,7 @@
         assertEquals(fixture.ledger.broken(), ImmutableList.of());
     }
 
-    /** Load: bimodal pool. Half of the endpoints are too slow for an answer in time; the other half has room. */
+    /** Guards against tasks on the slow half of a pool, which is too slow for the deadlines, while the rest is free. */
     @Test
     public void testOffer_bimodalPool() {
         PlacerFixture fixture = new PlacerFixture(ENDPOINTS);
@@ -92,7 +92,7 @@
         assertTrue(part < 0.1, "part on the slow half " + part);
     }
 
-    /** Load: three speeds. The slowest third gets little while faster endpoints are free. */
+    /** Guards against tasks on the slowest of three speed groups while faster endpoints are free. */
     @Test
     public void testOffer_threeSpeeds() {
         PlacerFixture fixture = new PlacerFixture(ENDPOINTS);
@@ -106,7 +106,7 @@
         assertTrue(part < 0.1, "part on the slowest third " + part);
     }
 
-    /** Load: one domain slower. The pool goes on with the other domain's endpoints first. */
+    /** Guards against tasks on a failure domain that has become slower while the other one is free. */
     @Test
     public void testOffer_oneDomainSlower() {
         PlacerFixture fixture = new PlacerFixture(ENDPOINTS);
@@ -120,8 +120,8 @@
     }
 
     /**
-     * Load: every endpoint turns twice as slow. Guards against endpoints that all count as slow, so that the one with
-     * the least runs would be preferred; the queue's expected run time takes the change in.
+     * Guards against endpoints that all count as slow after every endpoint became twice as slow, which would favor the
+     * endpoint with the fewest runs. The expected run time of the queue has to absorb the change.
      */
     @Test
     public void testOffer_allEndpointsEquallySlower() {
@@ -135,8 +135,8 @@
     }
 
     /**
-     * Guards against noise that scatters work: where all estimates lie between 0.87 and 1.15 the choice is the fullest
-     * endpoint with room, as it is without any estimate.
+     * Guards against placement by noise: if all speed estimates are between 0.87 and 1.15, the fullest endpoint that
+     * accepts the task is chosen, as without any estimates.
      */
     @Test
     public void testChoose_similarSpeedsFullestFirst() {
--- a/tarragonarch-core/src/test/java/org/tarragonarch/core/placing/RunTimeSpreadTest.java
+++ b/tarragonarch-core/src/test/java/org/tarragonarch/core/placing/RunTimeSpreadTest.java
@@ -6,7 +6,7 @@
 import java.util.Random;
 import org.testng.annotations.Test;
 
-/** What is known of the tail of a queue's run times. */
+/** Tests the quantiles of a queue's run times. */
 public final class RunTimeSpreadTest {
     private static final long EXPECTED_MILLIS = 100;
 
@@ -25,7 +25,7 @@
         assertEquals(spread.quantile(0.9), 1.0);
     }
 
-    /** Load: 3% of tasks run seven times as long. The median must not show them, the 99th percentile must. */
+    /** Stragglers, 3% of the tasks with seven times the run time, affect the 99th percentile but not the median. */
     @Test
     public void testQuantile_stragglersAreInTheTailOnly() {
         RunTimeSpread spread = new RunTimeSpread();
@@ -35,7 +35,7 @@
         assertTrue(spread.medianSlowestRatio(40) > 5, "slowest of 40 " + spread.medianSlowestRatio(40));
     }
 
-    /** Guards against a tail that is remembered for ever: one is forgotten within two windows of runs. */
+    /** Guards against a tail that never expires; it must disappear within two windows of runs. */
     @Test
     public void testQuantile_followsChange() {
         RunTimeSpread spread = new RunTimeSpread();
@@ -44,7 +44,7 @@
         assertTrue(spread.quantile(0.99) < 1.5, "99th percentile " + spread.quantile(0.99));
     }
 
-    /** Guards against ratios outside of what the histogram holds. */
+    /** Guards against ratios outside the range of the histogram. */
     @Test
     public void testRecord_ratiosOutOfRange() {
         RunTimeSpread spread = new RunTimeSpread();
--- a/tarragonarch-core/src/test/java/org/tarragonarch/core/placing/RunTimesTest.java
+++ b/tarragonarch-core/src/test/java/org/tarragonarch/core/placing/RunTimesTest.java
@@ -6,7 +6,7 @@
 import java.util.Random;
 import org.testng.annotations.Test;
 
-/** What is learned of run times from estimates that are wrong in different ways. */
+/** Tests the expected run times that are learned from estimates with different kinds of errors. */
 public final class RunTimesTest {
     private static final int RUNS = 2_000;
 
@@ -15,7 +15,7 @@
         assertEquals(new RunTimes().expectedMillis("q", 60), 60);
     }
 
-    /** All estimates are off by the same factor: it is learned, and short jobs stay short. */
+    /** A factor by which all estimates are wrong is learned, and short jobs keep shorter expected run times. */
     @Test
     public void testExpected_commonFactor() {
         RunTimes times = new RunTimes();
@@ -28,7 +28,7 @@
         assertEquals(times.expectedMillis("q", 200), 400, 8.0);
     }
 
-    /** Guards against jobs refused by estimates that scatter by 40%: 30 ms in a queue of 60 ms means 43 ms. */
+    /** Guards against refusals by estimates that scatter by 40%: 30 ms in a queue with a mean of 60 ms means 43 ms. */
     @Test
     public void testExpected_scatteredEstimatesShrinkToTheMean() {
         RunTimes times = new RunTimes();
@@ -42,7 +42,7 @@
         assertTrue(expected > 36 && expected < 50, "expected " + expected);
     }
 
-    /** Estimates that say nothing are not believed at all. */
+    /** Estimates that do not correlate with the run time are ignored. */
     @Test
     public void testExpected_uninformativeEstimates() {
         RunTimes times = new RunTimes();
--- a/tarragonarch-core/src/test/java/org/tarragonarch/core/placing/StallDetectorTest.java
+++ b/tarragonarch-core/src/test/java/org/tarragonarch/core/placing/StallDetectorTest.java
@@ -6,11 +6,11 @@
 import org.tarragonarch.core.speed.EndpointSpeed;
 import org.testng.annotations.Test;
 
-/** Which runs are stopped because they take too long or show no progress. */
+/** Tests which runs are stopped because they take too long or make no progress. */
 public final class StallDetectorTest {
     private static final int HEALTHY_JOBS = 12;
 
-    /** Returns a placer whose endpoints have shown that they report progress. */
+    /** Returns a placer whose endpoints are known to report progress. */
     private static Placer reporting(PlacerFixture fixture) {
         fixture.orders.endpoints.values().forEach(endpoint -> endpoint.runMillis = 900);
         Placer placer = fixture.placer(1);
@@ -30,8 +30,8 @@
     }
 
     /**
-     * Load: 3% of tasks run seven times as long. Each was stopped at four times its expected time, although its
-     * endpoint listed its progress all the time, and had to run all its length again elsewhere.
+     * Guards against a straggler, with seven times the expected run time, that is stopped at four times the expected
+     * run time although it makes progress, and has to run from the start elsewhere.
      */
     @Test
     public void testReview_stragglerWithProgressContinues() {
@@ -45,7 +45,7 @@
         assertEquals(fixture.verdicts.size(), HEALTHY_JOBS + 1);
     }
 
-    /** Guards against a run that is never restarted because others report progress and its own endpoint none. */
+    /** Guards against a run that is never restarted although it is listed without any progress. */
     @Test
     public void testReview_runWithoutAnyProgressIsRestarted() {
         PlacerFixture fixture = new PlacerFixture(2);
@@ -58,19 +58,19 @@
         assertEquals(fixture.ledger.starts(), startedBefore + 2);
     }
 
-    /** Guards against a run that is slow, at 300 ms a percent, and taken to stall because others need 10 ms. */
+    /** Guards against a slow run, at 300 ms per percent, that is considered stalled because others need 10 ms. */
     @Test
     public void testCheckProgress_slowRunIsNotStalled() {
         assertEquals(percentsUntilStopped(300, 20), 20);
     }
 
-    /** Guards against a run that stalls halfway and is left alone since it has shown progress before. */
+    /** Guards against a run that stalls midway and is not stopped because it made progress before. */
     @Test
     public void testCheckProgress_runThatStopsProgressingIsStalled() {
         assertEquals(percentsUntilStopped(300, 3), 3);
     }
 
-    /** Lists a run every 100 ms as it progresses up to a percent, and returns how far it got until it was stopped. */
+    /** Lists a run every 100 ms while it progresses up to the last percent; returns the percent at which it stopped. */
     private static int percentsUntilStopped(long millisPerPercent, int last) {
         PlacerFixture fixture = new PlacerFixture(1);
         ProgressReports progress = new ProgressReports();
@@ -81,10 +81,10 @@
         PlacedTask task = PendingJobsTest.job(1, 1).tasks().get(0);
         Reservation reservation =
                 new Reservation(task, task.takeRun(), task.job().need(), 0);
-        ReservedCapacity room = new ReservedCapacity(fixture.entries.get(0).capacity(), new ShareTally());
-        room.reserve(reservation);
+        ReservedCapacity reserved = new ReservedCapacity(fixture.entries.get(0).capacity(), new ShareTally());
+        reserved.reserve(reservation);
         task.placed(endpoint, reservation);
-        StallDetector detector = new StallDetector(room, new EndpointHealth(), new EndpointSpeed(), progress);
+        StallDetector detector = new StallDetector(reserved, new EndpointHealth(), new EndpointSpeed(), progress);
         detector.checkProgress(reservation, 0, 60);
         int percent = 0;
         for (long now = 100; now <= 20 * millisPerPercent && reservation.shouldRun(); now += 100) {
--- a/tarragonarch-core/src/test/java/org/tarragonarch/core/placing/VirtualTimers.java
+++ b/tarragonarch-core/src/test/java/org/tarragonarch/core/placing/VirtualTimers.java
@@ -4,12 +4,12 @@
 import java.util.PriorityQueue;
 import org.tarragonarch.model.task.Timers;
 
-/** Time that a test moves by hand; calls come in the order of their times, and of their making at the same time. */
+/** Timers on a clock that a test advances; calls run in the order of their times, then of their scheduling. */
 public final class VirtualTimers implements Timers {
     private final PriorityQueue<Call> calls =
             new PriorityQueue<>(Comparator.comparingLong(Call::at).thenComparingLong(Call::number));
     private long now = 1_000;
-    private long made;
+    private long nextNumber;
 
     @Override
     public long nowMillis() {
@@ -18,12 +18,12 @@
 
     @Override
     public Handle after(long millis, Runnable task) {
-        Call call = new Call(now + Math.max(0, millis), made++, task);
+        Call call = new Call(now + Math.max(0, millis), nextNumber++, task);
         calls.add(call);
         return () -> calls.remove(call);
     }
 
-    /** Moves time on, making every call that falls due. */
+    /** Advances the clock by the given time, in milliseconds, and runs every call that becomes due. */
     public void advance(long millis) {
         long until = now + millis;
         while (!calls.isEmpty() && calls.peek().at() <= until) {
