--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/placing/Reservation.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/placing/Reservation.java
@@ -122,8 +122,8 @@
     }
 
     /** Returns whether the run's lease has certainly expired, even if the endpoint cannot be reached. */
-    boolean isLapsed(long leaseOverAtMillis, long nowMillis) {
-        return nowMillis >= Math.max(leaseOverAtMillis, uncertainUntilMillis);
+    boolean isLapsed(long leaseExpiryMillis, long nowMillis) {
+        return nowMillis >= Math.max(leaseExpiryMillis, uncertainUntilMillis);
     }
 
     /**
--- a/tarragonarch-core/src/test/java/org/tarragonarch/core/placing/FakeEndpoint.java
+++ b/tarragonarch-core/src/test/java/org/tarragonarch/core/placing/FakeEndpoint.java
@@ -26,7 +26,7 @@
     private static final long STOP_MILLIS = 30;
 
     /** The time in which a holder detects a restart: a waiting poll and the next one, each a round trip. */
-    private static final long DISCOVERY_MILLIS = 4;
+    private static final long DETECTION_MILLIS = 4;
 
     private final VirtualTimers timers;
     private final Ledger ledger;
@@ -98,7 +98,7 @@
 
     /** Returns whether the endpoint restarted so recently that a holder may not have sent any stop to it yet. */
     boolean hasJustRestarted() {
-        return timers.nowMillis() - restartedAtMillis <= DISCOVERY_MILLIS;
+        return timers.nowMillis() - restartedAtMillis <= DETECTION_MILLIS;
     }
 
     long startedMillis() {
--- a/tarragonarch-core/src/test/java/org/tarragonarch/core/placing/FakeOrders.java
+++ b/tarragonarch-core/src/test/java/org/tarragonarch/core/placing/FakeOrders.java
@@ -32,7 +32,7 @@
     }
 
     private static final long ONE_WAY_MILLIS = 1;
-    private static final long LATE_MILLIS = 3_000;
+    private static final long DELAY_MILLIS = 3_000;
 
     final Map<EndpointId, FakeEndpoint> endpoints = new LinkedHashMap<>();
     final Map<EndpointId, Fault> faults = new HashMap<>();
@@ -61,8 +61,8 @@
     @Override
     public void hold(EndpointEntry entry, HoldOrder order, Delivery delivery, Consumer<HoldAnswer> reply) {
         Once<HoldAnswer> once = new Once<>(reply);
-        long patience = order.waitMillis() + delivery.answerWithinMillis();
-        timers.after(patience, () -> once.give(HoldAnswer.failed(OrderResult.UNKNOWN)));
+        long timeoutMillis = order.waitMillis() + delivery.answerWithinMillis();
+        timers.after(timeoutMillis, () -> once.give(HoldAnswer.failed(OrderResult.UNKNOWN)));
         Fault drawn = fault(entry) == Fault.NONE ? holdFault.get() : fault(entry);
         if (drawn == Fault.NONE) {
             timers.after(
@@ -98,7 +98,7 @@
      * Delivers a delayed order, unless the endpoint has just restarted: a holder cannot stop an order that arrives
      * before its first call to a new incarnation.
      */
-    private static void carryOutLate(Supplier<OrderAnswer> order, FakeEndpoint endpoint) {
+    private static void deliverDelayed(Supplier<OrderAnswer> order, FakeEndpoint endpoint) {
         if (!endpoint.hasJustRestarted()) {
             order.get();
         }
@@ -119,7 +119,7 @@
                     timers.after(ONE_WAY_MILLIS, () -> once.give(answer));
                 });
             case ANSWER_LOST -> timers.after(ONE_WAY_MILLIS, order::get);
-            case DELAYED -> timers.after(LATE_MILLIS, () -> carryOutLate(order, endpoint));
+            case DELAYED -> timers.after(DELAY_MILLIS, () -> deliverDelayed(order, endpoint));
             case LOST -> {
                 // The order is not delivered.
             }
--- a/tarragonarch-core/src/test/java/org/tarragonarch/core/placing/LostAnswersTest.java
+++ b/tarragonarch-core/src/test/java/org/tarragonarch/core/placing/LostAnswersTest.java
@@ -11,7 +11,7 @@
 
 /** Tests how soon a task starts again when orders of one holder to one endpoint are lost. */
 public final class LostAnswersTest {
-    private static final int PATIENCE_MILLIS = 2_000;
+    private static final int MAX_WAIT_MILLIS = 2_000;
 
     @DataProvider
     public static Object[][] lost() {
@@ -44,7 +44,7 @@
         fixture.orders.stopFault = lostAt(stops == 2 ? ImmutableSet.of(1, 2) : ImmutableSet.of(stops));
         placer.offer(PlacerFixture.patientOffer(1, 1, 60));
         int waited = 0;
-        while (fixture.ledger.starts() == 0 && waited < PATIENCE_MILLIS) {
+        while (fixture.ledger.starts() == 0 && waited < MAX_WAIT_MILLIS) {
             fixture.timers.advance(1);
             waited++;
         }
--- a/tarragonarch-core/src/test/java/org/tarragonarch/core/placing/PlacerChaosTest.java
+++ b/tarragonarch-core/src/test/java/org/tarragonarch/core/placing/PlacerChaosTest.java
@@ -74,7 +74,7 @@
         assertEquals(fixture.ledger.broken(), ImmutableList.of());
     }
 
-    /** Guards against runs that are considered over, or exceed the capacity, when endpoints restart with the same id. */
+    /** Guards against runs that are considered over, or exceed the capacity, when endpoints restart with the old id. */
     @Test(dataProvider = "seeds")
     public void testNoTaskRunsTwice_endpointsRestart(int seed) {
         Random random = new Random(seed);
--- a/tarragonarch-core/src/test/java/org/tarragonarch/core/placing/StallDetectorTest.java
+++ b/tarragonarch-core/src/test/java/org/tarragonarch/core/placing/StallDetectorTest.java
@@ -30,8 +30,8 @@
     }
 
     /**
-     * Guards against a straggler, with seven times the expected run time, that is stopped at four times the expected
-     * run time although it makes progress, and has to run from the start elsewhere.
+     * Guards against stragglers, 3% of the tasks with seven times the expected run time, that are stopped at four times
+     * the expected run time although they make progress, and have to run from the start elsewhere.
      */
     @Test
     public void testReview_stragglerWithProgressContinues() {
