--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/placing/EndpointChoice.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/placing/EndpointChoice.java
@@ -4,8 +4,9 @@
 import org.tarragonarch.model.task.Resources;
 
 /**
- * Chooses the endpoint for a task: of the endpoints that accept it, a warm one before a cold one, then one of the
- * fastest speed class, then the one with the least free capacity.
+ * Chooses the endpoint for a task: of the endpoints that accept it, one on which the task has not failed yet, then the
+ * one that puts the least other work at risk, then a warm one, then one of the fastest speed class, then the one with
+ * the least free capacity.
  *
  * <p>Taking the fastest first leaves the most time for a task that turns out to be long. Keeping fast endpoints free
  * for tasks that need them lowers the total value of the jobs served at moderate load and makes no difference at full
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/placing/HeldEndpoint.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/placing/HeldEndpoint.java
@@ -133,7 +133,7 @@
         return poller.hasRead() && listedRuns.areAllReserved();
     }
 
-    /** Returns whether every run of the job that may be on this endpoint can be adopted. */
+    /** Returns whether the lists were read and every run of the job in them is adopted or adoptable. */
     boolean hasOnlyAdoptableRuns(JobId job) {
         return poller.hasRead() && !listedRuns.recovered().isStoppingRunOf(job);
     }
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/placing/HeldShards.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/placing/HeldShards.java
@@ -92,8 +92,7 @@
     }
 
     /**
-     * Returns whether the job has no run on the endpoints of the given shards except those that it can adopt or has
-     * adopted.
+     * Returns whether all given shards are held and every run of the job on their endpoints is adopted or adoptable.
      *
      * <p>Guards against a task that runs twice after its shard changed holders. The runs of the lost holder appear in
      * the lists of the endpoints, so every list must be read under this holder's token, and the runs that cannot be
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/placing/PlacedShard.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/placing/PlacedShard.java
@@ -87,7 +87,7 @@
         endpoints.values().forEach(HeldEndpoint::abandon);
     }
 
-    /** Returns whether every run of the job that may be on these endpoints can be adopted. */
+    /** Returns whether all lists were read and every run of the job in them is adopted or adoptable. */
     boolean hasOnlyAdoptableRuns(JobId job) {
         return endpoints.values().stream().allMatch(endpoint -> endpoint.hasOnlyAdoptableRuns(job));
     }
