--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/admission/AdmissionControl.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/admission/AdmissionControl.java
@@ -131,7 +131,7 @@
         int bound = submission.service().maxQueuedTasks();
         int tasks = submission.arrived().tasks().size();
         boolean overBound = queue.queuedTasks() + tasks > bound;
-        return overBound && queue.queuedTasks(team.name()) + tasks > queue.fairPart(team.name(), team.weight(), bound);
+        return overBound && queue.queuedTasks(team.name()) + tasks > queue.fairShare(team.name(), team.weight(), bound);
     }
 
     // Estimates are often wrong before anything was learnt; with an empty queue the submission is the way to learn.
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/cluster/Coordinator.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/cluster/Coordinator.java
@@ -92,7 +92,8 @@
                 sender,
                 timers,
                 domain -> drained().contains(domain));
-        this.router = new JobRouter(holders, timers, PeerTable.DETECTION_SKEW_MILLIS + placing.certainLapse(), log);
+        this.router =
+                new JobRouter(holders, timers, PeerTable.DETECTION_SKEW_MILLIS + placing.certainExpiryMillis(), log);
     }
 
     /** Returns what is known of the peers. */
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/endpoint/EndpointDirectory.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/endpoint/EndpointDirectory.java
@@ -254,7 +254,7 @@
         if (endpoint == null) {
             endpoint = new EndpointRecord(id, vm);
             endpoint.drained(drains.isDrained(id, vm.domain()));
-            endpoint.slots().peersChanged(peers.inFlight(id));
+            endpoint.slots().addPeersInFlight(peers.inFlight(id));
             endpoint.peersConvicting(peers.quarantining(id).size());
             records.add(endpoint);
             EndpointNotes.emit(NoteEvent.ENDPOINT_APPEARED, id, "list", sink);
@@ -272,7 +272,7 @@
     }
 
     private Endpoint take(EndpointRecord endpoint, long nowNanos) {
-        endpoint.slots().taken();
+        endpoint.slots().taskSent();
         records.refresh(endpoint, nowNanos);
         return new Endpoint(endpoint.id(), endpoint.vm().address());
     }
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/endpoint/EndpointPools.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/endpoint/EndpointPools.java
@@ -113,7 +113,7 @@
             if (reach(domain).isCut()) {
                 continue;
             }
-            if (!pool.ready().mayRisk(nowNanos)) {
+            if (!pool.ready().allowsRiskySend(nowNanos)) {
                 waitToRisk(pool, nowNanos);
                 continue;
             }
@@ -128,8 +128,8 @@
     }
 
     private void waitToRisk(DomainPool pool, long nowNanos) {
-        if (!pool.ready().mayRisk(nowNanos)) {
-            riskAgainNanos = Math.min(riskAgainNanos, pool.ready().riskNanos());
+        if (!pool.ready().allowsRiskySend(nowNanos)) {
+            riskAgainNanos = Math.min(riskAgainNanos, pool.ready().nextRiskySendNanos());
         }
     }
 
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/endpoint/EndpointRecord.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/endpoint/EndpointRecord.java
@@ -223,7 +223,7 @@
 
     /** Records that it refused a task as full; refusals of tasks that were sent together count as one. */
     void busy(long nowNanos) {
-        slots.full();
+        slots.markFull();
         if (fadedSinceRefusal) {
             fadedSinceRefusal = false;
             fadeWaitNanos = busyWait.next();
@@ -233,17 +233,17 @@
 
     /** Lets the last refusal fade by one slot. */
     void refusalFades(long nowNanos) {
-        slots.refusalFades();
+        slots.decayRefusal();
         fadedSinceRefusal = true;
         fadesNanos = nowNanos + fadeWaitNanos;
-        if (!slots.remembersRefusal()) {
+        if (!slots.hasRecentRefusal()) {
             busyWait.reset();
         }
     }
 
     /** Returns when a refusal is next to fade; {@link #NEVER} if none counts. */
     long fadesNanos() {
-        return slots.remembersRefusal() ? fadesNanos : NEVER;
+        return slots.hasRecentRefusal() ? fadesNanos : NEVER;
     }
 
     long wakeNanos() {
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/endpoint/PeerEffects.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/endpoint/PeerEffects.java
@@ -23,7 +23,7 @@
             @Override
             public void loadChanged(EndpointId id, int delta) {
                 records.find(id).ifPresent(endpoint -> {
-                    endpoint.slots().peersChanged(delta);
+                    endpoint.slots().addPeersInFlight(delta);
                     records.refresh(endpoint, nowNanos);
                 });
             }
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/endpoint/TaskResults.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/endpoint/TaskResults.java
@@ -26,7 +26,7 @@
             KindName kind,
             long nowNanos,
             ActionSink sink) {
-        endpoint.slots().givenBack();
+        endpoint.slots().taskEnded();
         pools.counted(service, endpoint, ended.result(), nowNanos);
         if (ended.endpointLeaving() || ended.result() == SendResult.REFUSED_DRAINING) {
             probes.leaves(endpoint, "its own answer", nowNanos, sink);
@@ -46,7 +46,7 @@
 
     /** Gives the slot back without judging the endpoint. */
     void endedAfterStop(EndpointRecord endpoint, TaskEnded ended, long nowNanos, ActionSink sink) {
-        endpoint.slots().givenBack();
+        endpoint.slots().taskEnded();
         if (ended.endpointLeaving()) {
             probes.leaves(endpoint, "its own answer", nowNanos, sink);
         }
@@ -59,7 +59,7 @@
             boolean failed,
             long nowNanos,
             ActionSink sink) {
-        endpoint.slots().vacated();
+        endpoint.slots().slotVacated();
         judge.add(endpoint, service, kind, failed);
         if (!failed && endpoint.succeeded(nowNanos)) {
             EndpointNotes.emit(NoteEvent.ENDPOINT_READMITTED, endpoint.id(), endpoint.why(), sink);
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/node/MembershipHandler.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/node/MembershipHandler.java
@@ -78,7 +78,7 @@
             parts.endpoints.aliveNodes(now, nowNanos, sink);
             Sets.difference(before, now).forEach(gone -> parts.keys.silent(gone, nowNanos, sink));
         }
-        parts.quotas.sharers(parts.peers.sharers());
-        parts.services.sharers(parts.peers.sharers());
+        parts.quotas.setSharers(parts.peers.sharers());
+        parts.services.setSharers(parts.peers.sharers());
     }
 }
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/placement/EndpointSlots.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/placement/EndpointSlots.java
@@ -55,40 +55,40 @@
     }
 
     /** Counts a task of this node that is sent. */
-    public void taken() {
+    public void taskSent() {
         ownInFlight++;
         vacated = Math.max(0, vacated - 1);
     }
 
     /** Counts a task of this node that ended. */
-    public void givenBack() {
+    public void taskEnded() {
         checkState(ownInFlight > 0, "no task in flight at %s", endpoint);
         ownInFlight--;
     }
 
     /** Records that a task of this node left a slot, which is free unless a peer has taken it since. */
-    public void vacated() {
+    public void slotVacated() {
         vacated++;
     }
 
     /** Records that no slot is free: what this node does not use, others do, whatever they last reported. */
-    public void full() {
+    public void markFull() {
         vacated = 0;
         othersSeen = Math.max(0, slots - ownInFlight);
     }
 
     /** Lets one slot more count as free, since a refusal grows old. */
-    public void refusalFades() {
+    public void decayRefusal() {
         othersSeen = Math.max(0, othersSeen - 1);
     }
 
     /** Returns whether a refusal still counts. */
-    public boolean remembersRefusal() {
+    public boolean hasRecentRefusal() {
         return othersSeen > 0;
     }
 
     /** Records a change of what peers report in flight. */
-    public void peersChanged(int delta) {
+    public void addPeersInFlight(int delta) {
         peersInFlight += delta;
     }
 
@@ -98,22 +98,22 @@
     }
 
     /** Returns whether a slot is free by what this node did and met itself, whatever peers report. */
-    boolean ownFree() {
+    boolean hasFreeSlot() {
         return ownInFlight + othersSeen < slots;
     }
 
     /** Returns the slots not in use by this node or, as last reported or seen, by others; may be below 0. */
-    public int estimatedFree() {
+    public int estimatedFreeSlots() {
         return slots - ownInFlight - Math.max(peersInFlight, othersSeen);
     }
 
     /** Returns whether this node left a slot and has not used it since. */
-    boolean hasVacated() {
+    boolean hasVacatedSlot() {
         return vacated > 0;
     }
 
     /** Returns whether a slot whose home is this node is free of this node's own tasks. */
-    boolean homeFree() {
+    boolean hasFreeHomeSlot() {
         return ownInFlight < homeSlots;
     }
 }
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/placement/PlacementStrategy.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/placement/PlacementStrategy.java
@@ -18,7 +18,7 @@
         @Override
         Optional<EndpointSlots> choose(
                 SlotPool pool, int slotsLeft, boolean mayRisk, Set<EndpointId> avoid, Random random) {
-            return sureOrAny(pool, mayRisk).highest(Integer.MIN_VALUE, avoid, random);
+            return candidates(pool, mayRisk).highest(Integer.MIN_VALUE, avoid, random);
         }
     },
     /** Of two random endpoints the one with fewer tasks of this node. */
@@ -31,8 +31,8 @@
         @Override
         Optional<EndpointSlots> choose(
                 SlotPool pool, int slotsLeft, boolean mayRisk, Set<EndpointId> avoid, Random random) {
-            Optional<EndpointSlots> first = sureOrAny(pool, mayRisk).highest(Integer.MIN_VALUE, avoid, random);
-            Optional<EndpointSlots> second = sureOrAny(pool, mayRisk).highest(Integer.MIN_VALUE, avoid, random);
+            Optional<EndpointSlots> first = candidates(pool, mayRisk).highest(Integer.MIN_VALUE, avoid, random);
+            Optional<EndpointSlots> second = candidates(pool, mayRisk).highest(Integer.MIN_VALUE, avoid, random);
             return first.map(one -> one.ownInFlight() <= second.get().ownInFlight() ? one : second.get());
         }
     },
@@ -40,13 +40,13 @@
     LEAST_LOADED {
         @Override
         int rank(EndpointSlots endpoint) {
-            return endpoint.estimatedFree();
+            return endpoint.estimatedFreeSlots();
         }
 
         @Override
         Optional<EndpointSlots> choose(
                 SlotPool pool, int slotsLeft, boolean mayRisk, Set<EndpointId> avoid, Random random) {
-            return sureOrAny(pool, mayRisk).highest(1, avoid, random);
+            return candidates(pool, mayRisk).highest(1, avoid, random);
         }
     },
     /**
@@ -58,13 +58,13 @@
     SLOT_SHARES {
         @Override
         int rank(EndpointSlots endpoint) {
-            return endpoint.estimatedFree();
+            return endpoint.estimatedFreeSlots();
         }
 
         @Override
         Optional<EndpointSlots> choose(
                 SlotPool pool, int slotsLeft, boolean mayRisk, Set<EndpointId> avoid, Random random) {
-            Optional<EndpointSlots> own = pool.sure().highest(1, avoid, random);
+            Optional<EndpointSlots> own = pool.likelyAccepted().highest(1, avoid, random);
             if (own.isPresent() || !mayRisk) {
                 return own;
             }
@@ -72,8 +72,8 @@
         }
 
         @Override
-        boolean isSure(EndpointSlots endpoint) {
-            return endpoint.homeFree();
+        boolean isLikelyAccepted(EndpointSlots endpoint) {
+            return endpoint.hasFreeHomeSlot();
         }
     };
 
@@ -86,15 +86,15 @@
     abstract int rank(EndpointSlots endpoint);
 
     /** Returns whether a task sent to an endpoint will hardly be refused: here, if this node left a slot there. */
-    boolean isSure(EndpointSlots endpoint) {
-        return endpoint.hasVacated();
+    boolean isLikelyAccepted(EndpointSlots endpoint) {
+        return endpoint.hasVacatedSlot();
     }
 
     abstract Optional<EndpointSlots> choose(
             SlotPool pool, int slotsLeft, boolean mayRisk, Set<EndpointId> avoid, Random random);
 
     /** Returns the endpoints to choose among: without risk only the sure ones. */
-    private static FreeSlotIndex sureOrAny(SlotPool pool, boolean mayRisk) {
-        return mayRisk ? pool.all() : pool.sure();
+    private static FreeSlotIndex candidates(SlotPool pool, boolean mayRisk) {
+        return mayRisk ? pool.all() : pool.likelyAccepted();
     }
 }
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/placement/SlotPool.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/placement/SlotPool.java
@@ -16,7 +16,7 @@
 public final class SlotPool {
     private final PlacementStrategy strategy;
     private final FreeSlotIndex all = new FreeSlotIndex();
-    private final FreeSlotIndex sure = new FreeSlotIndex();
+    private final FreeSlotIndex likelyAccepted = new FreeSlotIndex();
     private final SendPace pace = new SendPace();
     private ServiceObjective lastFavour = ServiceObjective.FEW_MESSAGES;
 
@@ -31,23 +31,23 @@
 
     /** Adds an endpoint, or updates one whose load changed; one that this node knows to be full is left out. */
     public void put(EndpointSlots endpoint) {
-        if (!endpoint.ownFree()) {
+        if (!endpoint.hasFreeSlot()) {
             remove(endpoint);
             return;
         }
         int rank = strategy.rank(endpoint);
         all.put(endpoint, rank);
-        if (strategy.isSure(endpoint)) {
-            sure.put(endpoint, rank);
+        if (strategy.isLikelyAccepted(endpoint)) {
+            likelyAccepted.put(endpoint, rank);
         } else {
-            sure.remove(endpoint);
+            likelyAccepted.remove(endpoint);
         }
     }
 
     /** Takes an endpoint out, if it is in. */
     public void remove(EndpointSlots endpoint) {
         all.remove(endpoint);
-        sure.remove(endpoint);
+        likelyAccepted.remove(endpoint);
     }
 
     /**
@@ -58,20 +58,20 @@
     public Optional<EndpointSlots> choose(
             ServiceObjective favour, int slotsLeft, Set<EndpointId> avoid, Random random, long nowNanos) {
         lastFavour = favour;
-        Optional<EndpointSlots> chosen = strategy.choose(this, slotsLeft, mayRisk(nowNanos), avoid, random);
-        if (chosen.isPresent() && !strategy.isSure(chosen.get())) {
+        Optional<EndpointSlots> chosen = strategy.choose(this, slotsLeft, allowsRiskySend(nowNanos), avoid, random);
+        if (chosen.isPresent() && !strategy.isLikelyAccepted(chosen.get())) {
             pace.sent(nowNanos);
         }
         return chosen;
     }
 
     /** Returns whether a send may be made now that may well be refused. */
-    public boolean mayRisk(long nowNanos) {
+    public boolean allowsRiskySend(long nowNanos) {
         return nowNanos >= pace.nextNanos();
     }
 
     /** Returns from when on such a send may be made. */
-    public long riskNanos() {
+    public long nextRiskySendNanos() {
         return pace.nextNanos();
     }
 
@@ -82,7 +82,7 @@
 
     /** Records that an endpoint, whose slot was given back already, refused a task as full. */
     public void refused(EndpointSlots endpoint, long nowNanos) {
-        if (!strategy.isSure(endpoint)) {
+        if (!strategy.isLikelyAccepted(endpoint)) {
             pace.refused(nowNanos);
         }
     }
@@ -91,7 +91,7 @@
         return all;
     }
 
-    FreeSlotIndex sure() {
-        return sure;
+    FreeSlotIndex likelyAccepted() {
+        return likelyAccepted;
     }
 }
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/placing/CancellingJobs.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/placing/CancellingJobs.java
@@ -21,13 +21,13 @@
     private final Map<JobId, Optional<WaitingOffer>> afterwards = new HashMap<>();
 
     void add(PlacedJob job) {
-        if (job.holdsRoom()) {
+        if (job.hasReservations()) {
             cancelling.put(job.id(), job);
         }
     }
 
     /** Notes that a job which is still ending is to be given back to its origin afterwards. */
-    void evict(PlacedJob job) {
+    void markEvicted(PlacedJob job) {
         afterwards.put(job.id(), Optional.empty());
     }
 
@@ -83,7 +83,9 @@
 
     /** Returns whether the job, of which nothing takes room any more, was to be given back; it is no longer. */
     boolean removeIfEvicted(PlacedJob job) {
-        return !job.holdsRoom() && cancelling.get(job.id()) == job && afterwards.remove(job.id(), Optional.empty());
+        return !job.hasReservations()
+                && cancelling.get(job.id()) == job
+                && afterwards.remove(job.id(), Optional.empty());
     }
 
     /** Forgets every waiting offer, and returns them. */
@@ -97,8 +99,8 @@
     }
 
     /** Forgets the job if nothing of it takes room; returns the offer that waited for that. */
-    Optional<WaitingOffer> removeIfOver(PlacedJob job) {
-        if (job.holdsRoom() || !cancelling.remove(job.id(), job)) {
+    Optional<WaitingOffer> removeIfStopped(PlacedJob job) {
+        if (job.hasReservations() || !cancelling.remove(job.id(), job)) {
             return Optional.empty();
         }
         Optional<WaitingOffer> next = afterwards.remove(job.id());
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/placing/CapacityCount.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/placing/CapacityCount.java
@@ -1,6 +1,6 @@
 package org.tarragonarch.core.placing;
 
-import org.tarragonarch.core.share.PoolPlaces;
+import org.tarragonarch.core.share.TaskSlots;
 import org.tarragonarch.model.task.Resources;
 
 /**
@@ -15,7 +15,7 @@
  */
 record CapacityCount(long places, double weightedPlaces, long freePlaces, long initializingPlaces, long milliCores) {
     static CapacityCount of(Iterable<HeldEndpoint> endpoints, PlacedJob job, long now) {
-        long perTask = Math.max(1, job.need().milliCores());
+        long perTask = Math.max(1, job.taskResources().milliCores());
         long places = 0;
         double weightedPlaces = 0;
         long freePlaces = 0;
@@ -33,7 +33,7 @@
             places += whole;
             weightedPlaces += whole * endpoint.speed().classSpeed();
             initializingPlaces += usable ? 0 : whole;
-            freePlaces += usable && job.need().fitsInto(endpoint.free())
+            freePlaces += usable && job.taskResources().fitsInto(endpoint.free())
                     ? endpoint.free().milliCores() / perTask
                     : 0;
         }
@@ -46,7 +46,7 @@
     }
 
     /** Converts the count. */
-    PoolPlaces toPoolPlaces() {
-        return new PoolPlaces(milliCores, places, freePlaces);
+    TaskSlots toPoolPlaces() {
+        return new TaskSlots(milliCores, places, freePlaces);
     }
 }
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/placing/CompletionEstimate.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/placing/CompletionEstimate.java
@@ -12,10 +12,10 @@
  * @param inTimeWithinMillis how long from now its answer still counts in full, or until its client leaves if that is
  *     sooner
  * @param deadlineWithinMillis how long from now its client waits
- * @param places how many tasks of its size the usable endpoints hold, within the ceiling of its share
- * @param freePlaces how many places of the usable endpoints are free, whatever the ceiling
+ * @param taskSlots how many tasks of its size the usable endpoints hold, within the ceiling of its share
+ * @param freeTaskSlots how many places of the usable endpoints are free, whatever the ceiling
  * @param waitingJobs how many jobs wait before it
- * @param roomForAll whether there is room for it and for all that wait, now or as soon as the endpoints that are just
+ * @param hasCapacityForAll whether there is room for it and for all that wait, now or as soon as the endpoints that are just
  *     being opened are known
  * @param share the state of the job's share; empty where no shares are configured
  */
@@ -25,10 +25,10 @@
         long slowestRunMillis,
         long inTimeWithinMillis,
         long deadlineWithinMillis,
-        long places,
-        long freePlaces,
+        long taskSlots,
+        long freeTaskSlots,
         int waitingJobs,
-        boolean roomForAll,
+        boolean hasCapacityForAll,
         Optional<ShareState> share) {
     /**
      * Returns whether the job is worth taking.
@@ -41,7 +41,7 @@
     boolean isAdmissible() {
         boolean inTime =
                 waitMillis + expectedRunMillis <= inTimeWithinMillis && slowestRunMillis <= deadlineWithinMillis;
-        boolean lateWithoutHarm = roomForAll && expectedRunMillis <= deadlineWithinMillis;
-        return places > 0 && (inTime || lateWithoutHarm);
+        boolean lateWithoutHarm = hasCapacityForAll && expectedRunMillis <= deadlineWithinMillis;
+        return taskSlots > 0 && (inTime || lateWithoutHarm);
     }
 }
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/placing/CompletionEstimator.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/placing/CompletionEstimator.java
@@ -2,11 +2,11 @@
 
 import java.util.Optional;
 import org.tarragonarch.core.share.JobNeed;
-import org.tarragonarch.core.share.PoolPlaces;
 import org.tarragonarch.core.share.PoolShares;
 import org.tarragonarch.core.share.ShareAdmission;
 import org.tarragonarch.core.share.ShareState;
 import org.tarragonarch.core.share.ShareWait;
+import org.tarragonarch.core.share.TaskSlots;
 
 /** Says what to expect of a job that would be taken now. */
 final class CompletionEstimator {
@@ -26,9 +26,9 @@
      * <p>An endpoint that is just being opened counts as room that is taken: right after a takeover or a restart every
      * endpoint is, for some 50 ms, and a job that waits that long is mostly still in time.
      */
-    CompletionEstimate of(PlacedJob job, long now) {
+    CompletionEstimate estimate(PlacedJob job, long now) {
         CapacityCount capacity = CapacityCount.of(endpoints, job, now);
-        PendingJobs own = pending.of(job.share());
+        PendingJobs own = pending.jobsOf(job.share());
         boolean roomForAll =
                 pending.waitingTasks() + job.step().count() <= capacity.freePlaces() + capacity.initializingPlaces();
         long wait;
@@ -37,7 +37,7 @@
         if (shares.plan().isConfigured()) {
             ShareWait inShare = waitInShare(job, own, capacity.toPoolPlaces(), now);
             wait = Math.round(inShare.millis() / capacity.meanSpeed());
-            places = inShare.places();
+            places = inShare.taskSlots();
             roomForAll &= inShare.fitsBelowCeiling();
             share = Optional.of(inShare.state());
         } else {
@@ -69,10 +69,11 @@
         return (long) (ahead / capacity.weightedPlaces());
     }
 
-    private ShareWait waitInShare(PlacedJob job, PendingJobs own, PoolPlaces places, long now) {
+    private ShareWait waitInShare(PlacedJob job, PendingJobs own, TaskSlots places, long now) {
         PendingJobs.Ahead ahead = own.ahead(now);
         ShareAdmission admission = shares.admission(job.share(), places.capacityMilliCores());
-        JobNeed need = new JobNeed(job.step().count(), Math.max(1, job.need().milliCores()), job.expectedRunMillis());
+        JobNeed need =
+                new JobNeed(job.step().count(), Math.max(1, job.taskResources().milliCores()), job.expectedRunMillis());
         return admission.waitFor(need, places, ahead.milliCores(), ahead.work());
     }
 }
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/placing/EndpointChoice.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/placing/EndpointChoice.java
@@ -19,7 +19,7 @@
 
     static Optional<HeldEndpoint> choose(Iterable<HeldEndpoint> endpoints, PlacedTask task, long nowMillis) {
         PlacedJob job = task.job();
-        Resources need = job.need();
+        Resources need = job.taskResources();
         HeldEndpoint best = null;
         boolean bestFailedBefore = false;
         for (HeldEndpoint candidate : endpoints) {
@@ -27,7 +27,7 @@
                     || !candidate.entry().service().equals(job.queue().service())) {
                 continue;
             }
-            boolean failedBefore = task.failedAt(candidate.entry().incarnation());
+            boolean failedBefore = task.hasFailedAt(candidate.entry().incarnation());
             if (best == null || better(task, candidate, failedBefore, best, bestFailedBefore)) {
                 best = candidate;
                 bestFailedBefore = failedBefore;
@@ -70,7 +70,7 @@
             return 0;
         }
         boolean hostsSuspect = endpoint.hostsSuspect();
-        if (task.isSuspect()) {
+        if (task.hasCrashed()) {
             return hostsSuspect ? 1 : 2;
         }
         return hostsSuspect ? 2 : 0;
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/placing/EndpointLink.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/placing/EndpointLink.java
@@ -131,7 +131,7 @@
     /** Extends the lease of all that runs, and reads the lists as soon as there is an end or the wait is over. */
     void renew(long acknowledgedEnd, boolean fresh, Consumer<HoldAnswer> reply) {
         OptionalLong until = OptionalLong.of(extendLease());
-        hold(new HoldOrder(token, acknowledgedEnd, until, settings.holdWait()), fresh, reply);
+        hold(new HoldOrder(token, acknowledgedEnd, until, settings.pollWait()), fresh, reply);
     }
 
     private void hold(HoldOrder order, boolean fresh, Consumer<HoldAnswer> reply) {
@@ -139,13 +139,13 @@
     }
 
     private Delivery delivery(boolean fresh) {
-        return new Delivery(settings.answerTime(), fresh);
+        return new Delivery(settings.answerTimeout(), fresh);
     }
 
     /** Returns when a lease that is extended now ends, on the endpoint's clock. */
     private long extendLease() {
         long now = timers.nowMillis();
-        leaseOverAtMillis = Math.max(leaseOverAtMillis, now + settings.certainLapse());
+        leaseOverAtMillis = Math.max(leaseOverAtMillis, now + settings.certainExpiryMillis());
         return clock.at(now) + settings.lease();
     }
 }
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/placing/ForwardingPlacementObserver.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/placing/ForwardingPlacementObserver.java
@@ -41,8 +41,8 @@
     }
 
     @Override
-    public void notOpen(NodeId origin, int jobs) {
-        delegate.notOpen(origin, jobs);
+    public void jobsNotOpen(NodeId origin, int jobs) {
+        delegate.jobsNotOpen(origin, jobs);
     }
 
     @Override
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/placing/HeldEndpoint.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/placing/HeldEndpoint.java
@@ -147,8 +147,8 @@
     }
 
     private void adopt(PlacedTask task, TaskRun run) {
-        task.adopted(run);
-        orders.reserve(Reservation.adopted(task, run, task.job().need(), link.nowMillis()));
+        task.adopt(run);
+        orders.reserve(Reservation.adopted(task, run, task.job().taskResources(), link.nowMillis()));
     }
 
     /** Returns whether a task runs here under which an endpoint has crashed. */
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/placing/HeldShards.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/placing/HeldShards.java
@@ -75,7 +75,7 @@
     /** Returns whether any endpoint, were it idle, could be given a task of the job. */
     boolean canHost(PlacedJob job) {
         for (HeldEndpoint endpoint : endpoints()) {
-            if (endpoint.canHost(job.queue().service(), job.need())) {
+            if (endpoint.canHost(job.queue().service(), job.taskResources())) {
                 return true;
             }
         }
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/placing/JobLifecycle.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/placing/JobLifecycle.java
@@ -61,7 +61,7 @@
             if (!known.origin().equals(offer.origin())) {
                 listener.resubmitted(known.id(), known.origin(), offer.origin());
             }
-            known.resubmittedThrough(offer.origin());
+            known.updateOrigin(offer.origin());
             return;
         }
         if (!cancelling.defer(offer, timers.nowMillis())) {
@@ -75,7 +75,7 @@
         PlacedJob job = jobs.get(id);
         if (job != null && job.origin().equals(origin)) {
             end(job);
-            starter.planStart();
+            starter.scheduleStart();
         }
     }
 
@@ -93,7 +93,7 @@
         cancelling.retain(origin, open);
         int ended = endAllOf(origin, open);
         if (ended > 0) {
-            listener.notOpen(origin, ended);
+            listener.jobsNotOpen(origin, ended);
         }
     }
 
@@ -105,13 +105,13 @@
                 ended++;
             }
         }
-        starter.planStart();
+        starter.scheduleStart();
         return ended;
     }
 
     /** Keeps a task from starting until the node of its job is heard. */
     void awaitOrigin(PlacedTask task) {
-        task.unresolved();
+        task.markUnresolved();
         awaitingOrigin.add(task);
     }
 
@@ -122,15 +122,15 @@
         }
         for (PlacedTask task : ImmutableList.copyOf(awaitingOrigin)) {
             PlacedJob job = task.job();
-            if (job.over()) {
+            if (job.isOver()) {
                 awaitingOrigin.remove(task);
             } else if (job.origin().equals(origin)) {
                 awaitingOrigin.remove(task);
-                task.resolved();
+                task.markResolved();
                 requeue(job);
             }
         }
-        starter.planStart();
+        starter.scheduleStart();
     }
 
     /** Gives all jobs back, because this node holds no shard any more; see {@link Placer#close}. */
@@ -138,7 +138,7 @@
         ImmutableList<PlacedJob> givenBack = ImmutableList.copyOf(jobs.values());
         givenBack.forEach(this::forget);
         for (PlacedJob job : givenBack) {
-            boolean mayRun = job.wasStarted() || job.awaitsEarlierRuns();
+            boolean mayRun = job.wasStarted() || job.hasUnresolvedTasks();
             listener.settled(job.origin(), job.id(), mayRun ? Verdict.HOLD_LOST : Verdict.RETURNED, 0);
         }
         for (PlacedJob job : cancelling.removeEvicted()) {
@@ -159,13 +159,15 @@
         if (cancelling.removeIfEvicted(job)) {
             listener.settled(job.origin(), job.id(), Verdict.EVICTED, 0);
         }
-        cancelling.removeIfOver(job).ifPresent(deferred -> take(deferred.at(timers.nowMillis()), job.lastRun() + 1));
-        starter.planStart();
+        cancelling
+                .removeIfStopped(job)
+                .ifPresent(deferred -> take(deferred.asOf(timers.nowMillis()), job.lastRunNumber() + 1));
+        starter.scheduleStart();
     }
 
     /** Starts pending tasks once the events at hand are processed. */
-    void planStart() {
-        starter.planStart();
+    void scheduleStart() {
+        starter.scheduleStart();
     }
 
     private void take(Offer offer, int firstRun) {
@@ -186,7 +188,7 @@
     }
 
     private void admit(PlacedJob job) {
-        CompletionEstimate estimate = estimator.of(job, timers.nowMillis());
+        CompletionEstimate estimate = estimator.estimate(job, timers.nowMillis());
         if (!admission.admit(job, estimate, timers.nowMillis())) {
             refuse(job, estimate);
             return;
@@ -200,9 +202,9 @@
     private void resume(PlacedJob job) {
         if (job.allFinished()) {
             settle(job, Verdict.DONE);
-        } else if (job.wasBegun()) {
+        } else if (job.hasProgress()) {
             requeue(job);
-            starter.planStart();
+            starter.scheduleStart();
         } else {
             jobs.remove(job.id());
             admit(job);
@@ -228,18 +230,18 @@
      * While a run of an earlier holder may be under way, the job stays until that is known.
      */
     private void evictIfUnplaceable(PlacedJob job) {
-        boolean waits = !job.over() && job.waitingTasks() > 0 && !job.awaitsEarlierRuns();
+        boolean waits = !job.isOver() && job.waitingTasks() > 0 && !job.hasUnresolvedTasks();
         if (!waits || shards.canHost(job)) {
             return;
         }
-        if (!job.wasBegun()) {
+        if (!job.hasProgress()) {
             end(job);
-            decline(job, estimator.of(job, timers.nowMillis()));
+            decline(job, estimator.estimate(job, timers.nowMillis()));
             return;
         }
         end(job);
-        if (job.holdsRoom()) {
-            cancelling.evict(job);
+        if (job.hasReservations()) {
+            cancelling.markEvicted(job);
         } else {
             listener.settled(job.origin(), job.id(), Verdict.EVICTED, 0);
         }
@@ -257,7 +259,7 @@
 
     private void decline(PlacedJob job, CompletionEstimate estimate) {
         listener.declined(job.origin(), job.id(), estimate);
-        long retry = estimate.places() == 0 ? IMPOSSIBLE_RETRY_MILLIS : estimate.waitMillis();
+        long retry = estimate.taskSlots() == 0 ? IMPOSSIBLE_RETRY_MILLIS : estimate.waitMillis();
         listener.settled(job.origin(), job.id(), Verdict.DECLINED, retry);
     }
 
@@ -266,7 +268,7 @@
         if (job.wasStarted()) {
             settle(job, Verdict.TOO_LATE);
         } else {
-            CompletionEstimate estimate = estimator.of(job, timers.nowMillis());
+            CompletionEstimate estimate = estimator.estimate(job, timers.nowMillis());
             listener.declined(job.origin(), job.id(), estimate);
             end(job);
             long retry = estimate.share().isPresent() ? estimate.waitMillis() : 0;
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/placing/LateStarts.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/placing/LateStarts.java
@@ -49,7 +49,7 @@
         }
         stoppedAtMillis.entrySet().removeIf(run -> run.getValue() < sentAtMillis && !running.contains(run.getKey()));
         if (stoppedAtMillis.values().stream().anyMatch(stopped -> stopped < sentAtMillis)) {
-            scheduleList(link.settings().stopTime());
+            scheduleList(link.settings().maxStopTime());
         }
     }
 
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/placing/OfferAdmission.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/placing/OfferAdmission.java
@@ -34,10 +34,10 @@
     }
 
     private boolean startsAtOnce(Offer offer, CompletionEstimate estimate, long nowMillis) {
-        if (!estimate.roomForAll()) {
+        if (!estimate.hasCapacityForAll()) {
             return false;
         }
-        long left = estimate.freePlaces() - offer.job().step().count();
+        long left = estimate.freeTaskSlots() - offer.job().step().count();
         if (offer.fromOwnDomain()) {
             return pending.waitingTasks() <= left;
         }
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/placing/PendingJobs.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/placing/PendingJobs.java
@@ -22,7 +22,7 @@
             .thenComparing(job -> job.id().value());
 
     private final TreeSet<PlacedJob> jobs = new TreeSet<>(BY_LATEST_START);
-    private final TreeSet<PlacedJob> begun = new TreeSet<>(BY_LATEST_START);
+    private final TreeSet<PlacedJob> started = new TreeSet<>(BY_LATEST_START);
     private final TreeMultiset<Long> needs = TreeMultiset.create();
     private long waitingTasks;
     private long waitingTaskMillis;
@@ -31,46 +31,46 @@
 
     void add(PlacedJob job) {
         if (jobs.add(job)) {
-            needs.add(job.need().milliCores());
+            needs.add(job.taskResources().milliCores());
             count(job, job.waitingTasks());
-            job.pendingIn(Optional.of(this));
+            job.setPendingJobs(Optional.of(this));
             if (job.wasStarted()) {
-                begun.add(job);
+                started.add(job);
             }
         }
     }
 
     void remove(PlacedJob job) {
         if (jobs.remove(job)) {
-            needs.remove(job.need().milliCores());
+            needs.remove(job.taskResources().milliCores());
             count(job, -job.waitingTasks());
-            job.pendingIn(Optional.empty());
-            begun.remove(job);
+            job.setPendingJobs(Optional.empty());
+            started.remove(job);
         }
     }
 
     /** Takes in that so many tasks more, or less, of a job in this queue wait. */
-    void waitingChanged(PlacedJob job, int by) {
+    void adjustWaitingTasks(PlacedJob job, int by) {
         count(job, by);
     }
 
     private void count(PlacedJob job, int tasks) {
         waitingTasks += tasks;
         waitingTaskMillis += tasks * job.expectedRunMillis();
-        waitingMilliCores += tasks * job.need().milliCores();
-        waitingWork += tasks * job.need().milliCores() * job.expectedRunMillis();
+        waitingMilliCores += tasks * job.taskResources().milliCores();
+        waitingWork += tasks * job.taskResources().milliCores() * job.expectedRunMillis();
     }
 
     /** Records that some tasks of a job in this queue were started. */
-    void begun(PlacedJob job) {
+    void started(PlacedJob job) {
         if (jobs.contains(job)) {
-            begun.add(job);
+            started.add(job);
         }
     }
 
     /** Returns the jobs of which something was started, as they are now. */
-    ImmutableList<PlacedJob> begun() {
-        return ImmutableList.copyOf(begun);
+    ImmutableList<PlacedJob> started() {
+        return ImmutableList.copyOf(started);
     }
 
     /** Returns the jobs as they are now; they may be removed meanwhile. */
@@ -102,7 +102,7 @@
     }
 
     /** Returns the least processor time that a task of any job needs, in thousandths of a core; there must be a job. */
-    long smallestNeed() {
+    long smallestTaskMilliCores() {
         return needs.firstEntry().getElement();
     }
 
@@ -130,7 +130,7 @@
         long milliCores = waitingMilliCores;
         long work = waitingWork;
         for (PlacedJob job : overdue(nowMillis)) {
-            long need = job.waitingTasks() * job.need().milliCores();
+            long need = job.waitingTasks() * job.taskResources().milliCores();
             milliCores -= need;
             work -= need * job.expectedRunMillis();
         }
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/placing/PendingShares.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/placing/PendingShares.java
@@ -11,15 +11,15 @@
     private final Map<ShareId, PendingJobs> byShare = new LinkedHashMap<>();
 
     void add(PlacedJob job) {
-        of(job.share()).add(job);
+        jobsOf(job.share()).add(job);
     }
 
     void remove(PlacedJob job) {
-        of(job.share()).remove(job);
+        jobsOf(job.share()).remove(job);
     }
 
     /** Returns the jobs of a share. */
-    PendingJobs of(ShareId share) {
+    PendingJobs jobsOf(ShareId share) {
         return byShare.computeIfAbsent(share, unused -> new PendingJobs());
     }
 
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/placing/PlacedJob.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/placing/PlacedJob.java
@@ -40,7 +40,7 @@
     private int unfinished;
     private int waitingTasks;
     private boolean over;
-    private int lastRun;
+    private int lastRunNumber;
 
     /**
      * Creates a job whose tasks are all to be started.
@@ -89,7 +89,7 @@
         return offer.job().step();
     }
 
-    Resources need() {
+    Resources taskResources() {
         return step().perTask();
     }
 
@@ -117,13 +117,13 @@
     }
 
     /** Returns the run time beyond which a task counts as stalled. */
-    long longestRunMillis() {
+    long maxRunMillis() {
         return STUCK_MULTIPLE * expectedRunMillis + STUCK_SLACK_MILLIS;
     }
 
     /** Returns how long a run may show no progress before it is taken to stall. */
-    long stallMillis() {
-        return Math.max(LEAST_STALL_MILLIS, Math.round(PROGRESS_PART * longestRunMillis()));
+    long stallTimeoutMillis() {
+        return Math.max(LEAST_STALL_MILLIS, Math.round(PROGRESS_PART * maxRunMillis()));
     }
 
     NodeId origin() {
@@ -131,11 +131,11 @@
     }
 
     /** The client sent the job again, by another node. */
-    void resubmittedThrough(NodeId later) {
+    void updateOrigin(NodeId later) {
         origin = later;
     }
 
-    boolean over() {
+    boolean isOver() {
         return over;
     }
 
@@ -149,11 +149,11 @@
 
     /** Returns whether any task of the job was ever started by this holder. */
     boolean wasStarted() {
-        return lastRun() > 0;
+        return lastRunNumber() > 0;
     }
 
     /** Returns whether a run of the job still takes room somewhere. */
-    boolean holdsRoom() {
+    boolean hasReservations() {
         for (PlacedTask task : tasks) {
             if (task.reservation().isPresent()) {
                 return true;
@@ -163,29 +163,29 @@
     }
 
     /** Returns the highest number of a run of any task. */
-    int lastRun() {
-        return lastRun;
+    int lastRunNumber() {
+        return lastRunNumber;
     }
 
     /** Notes the number of a run that is about to be started. */
-    void started(TaskRun run) {
-        lastRun = Math.max(lastRun, run.run());
+    void recordRun(TaskRun run) {
+        lastRunNumber = Math.max(lastRunNumber, run.run());
     }
 
     /** Notes that a task is done; returns whether it was the last. */
-    boolean finished(PlacedTask task) {
-        task.finished();
+    boolean recordFinished(PlacedTask task) {
+        task.markDone();
         unfinished--;
         return allFinished();
     }
 
     /** Notes that any task may have a run of an earlier holder under way. */
-    void awaitEarlierRuns() {
-        tasks.forEach(PlacedTask::unresolved);
+    void markUnresolved() {
+        tasks.forEach(PlacedTask::markUnresolved);
     }
 
     /** Returns whether a task may have a run of an earlier holder under way that was not found yet. */
-    boolean awaitsEarlierRuns() {
+    boolean hasUnresolvedTasks() {
         for (PlacedTask task : tasks) {
             if (task.isUnresolved()) {
                 return true;
@@ -195,12 +195,12 @@
     }
 
     /** Notes that no earlier run is under way but those that were adopted. */
-    void earlierRunsResolved() {
-        tasks.forEach(PlacedTask::resolved);
+    void markResolved() {
+        tasks.forEach(PlacedTask::markResolved);
     }
 
     /** Returns whether some of the job was done or is under way as it comes in. */
-    boolean wasBegun() {
+    boolean hasProgress() {
         return wasStarted() || unfinished < tasks.size();
     }
 
@@ -248,13 +248,13 @@
     }
 
     /** Records that so many tasks more, or less, wait to be started. */
-    void waitingChanged(int by) {
+    void adjustWaitingTasks(int by) {
         waitingTasks += by;
-        pending.ifPresent(jobs -> jobs.waitingChanged(this, by));
+        pending.ifPresent(jobs -> jobs.adjustWaitingTasks(this, by));
     }
 
     /** Notes among which pending jobs this one waits, if it does. */
-    void pendingIn(Optional<PendingJobs> jobs) {
+    void setPendingJobs(Optional<PendingJobs> jobs) {
         pending = jobs;
     }
 }
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/placing/PlacedTask.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/placing/PlacedTask.java
@@ -28,7 +28,7 @@
     private boolean unresolved;
     private Optional<HeldEndpoint> at = Optional.empty();
     private Optional<Reservation> reservation = Optional.empty();
-    private Optional<EndpointIncarnation> failedAt = Optional.empty();
+    private Optional<EndpointIncarnation> lastFailedAt = Optional.empty();
 
     PlacedTask(PlacedJob job, TaskName name, int firstRun) {
         this.job = job;
@@ -40,16 +40,16 @@
         return job;
     }
 
-    boolean done() {
+    boolean isDone() {
         return done;
     }
 
-    boolean waiting() {
+    boolean isWaiting() {
         return !done && !unresolved && reservation.isEmpty();
     }
 
     /** Notes that a run of an earlier holder may be under way somewhere, so that the task must not start. */
-    void unresolved() {
+    void markUnresolved() {
         change(() -> unresolved = true);
     }
 
@@ -59,16 +59,16 @@
     }
 
     /** Notes that no run of an earlier holder is under way, but one that this task has adopted. */
-    void resolved() {
+    void markResolved() {
         change(() -> unresolved = false);
     }
 
     /** Changes the task, and tells its job if it waits now and did not before, or the other way round. */
     private void change(Runnable change) {
-        boolean waitedBefore = waiting();
+        boolean waitedBefore = isWaiting();
         change.run();
-        if (waiting() != waitedBefore) {
-            job.waitingChanged(waitedBefore ? -1 : 1);
+        if (isWaiting() != waitedBefore) {
+            job.adjustWaitingTasks(waitedBefore ? -1 : 1);
         }
     }
 
@@ -76,32 +76,32 @@
         return failures;
     }
 
-    boolean failedAt(EndpointIncarnation endpoint) {
-        return failedAt.isPresent() && failedAt.get().equals(endpoint);
+    boolean hasFailedAt(EndpointIncarnation endpoint) {
+        return lastFailedAt.isPresent() && lastFailedAt.get().equals(endpoint);
     }
 
-    TaskRun takeRun() {
+    TaskRun allocateRun() {
         TaskRun run = new TaskRun(name, nextRun++);
-        job.started(run);
+        job.recordRun(run);
         return run;
     }
 
     /** Notes that a run of an earlier holder goes on as this task's. */
-    void adopted(TaskRun run) {
+    void adopt(TaskRun run) {
         change(() -> unresolved = false);
         nextRun = Math.max(nextRun, run.run() + 1);
-        job.started(run);
+        job.recordRun(run);
     }
 
     TaskName name() {
         return name;
     }
 
-    void skipOldRuns() {
+    void skipRunNumbers() {
         nextRun += OLD_RUN_SKIP;
     }
 
-    void placed(HeldEndpoint endpoint, Reservation placed) {
+    void setPlacement(HeldEndpoint endpoint, Reservation placed) {
         at = Optional.of(endpoint);
         change(() -> reservation = Optional.of(placed));
     }
@@ -110,47 +110,47 @@
         return reservation.filter(placed -> placed == candidate).isPresent();
     }
 
-    void back() {
+    void clearPlacement() {
         at = Optional.empty();
         change(() -> reservation = Optional.empty());
     }
 
-    void failed(EndpointIncarnation endpoint) {
+    void recordFailure(EndpointIncarnation endpoint) {
         failures++;
-        failedAt = Optional.of(endpoint);
-        back();
+        lastFailedAt = Optional.of(endpoint);
+        clearPlacement();
     }
 
     /** Notes that the endpoint of a run was lost: it fell silent, or crashed. */
-    void lostRun() {
+    void recordLostRun() {
         lostRuns++;
-        back();
+        clearPlacement();
     }
 
     /** Notes that an endpoint has crashed under a run of the task. */
-    void crashed() {
+    void recordCrash() {
         crashes++;
     }
 
     /** Returns whether an endpoint has crashed under a run of the task, which may be the cause. */
-    boolean isSuspect() {
+    boolean hasCrashed() {
         return crashes > 0;
     }
 
     /** Returns whether the task is not to be started again, because endpoints crash under it. */
-    boolean isCrashing() {
+    boolean hasCrashedTooOften() {
         return crashes >= CRASHES_TO_GIVE_UP;
     }
 
     /** Returns whether so many of its endpoints were lost that it is not to be started again; it may have run. */
-    boolean isLostTooOften() {
+    boolean wasLostTooOften() {
         return lostRuns >= LOST_RUNS_TO_GIVE_UP;
     }
 
-    void finished() {
+    void markDone() {
         change(() -> done = true);
         unresolved = false;
-        back();
+        clearPlacement();
     }
 
     /**
@@ -171,7 +171,7 @@
             return false;
         }
         restarts++;
-        failedAt = Optional.of(at.get().entry().incarnation());
+        lastFailedAt = Optional.of(at.get().entry().incarnation());
         stop();
         return true;
     }
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/placing/PlacementObserver.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/placing/PlacementObserver.java
@@ -33,7 +33,7 @@
     default void originLost(NodeId origin, int jobs) {}
 
     /** Jobs are ended because the node that had offered them has them open here no longer. */
-    default void notOpen(NodeId origin, int jobs) {}
+    default void jobsNotOpen(NodeId origin, int jobs) {}
 
     /** A share becomes limited by its allotment, or no longer is. */
     default void shareLimited(ShareState state, boolean isLimited) {}
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/placing/Placer.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/placing/Placer.java
@@ -64,7 +64,9 @@
         PoolCapacity capacity = new PoolCapacity(shards.endpoints());
         PendingShares pending = new PendingShares();
         PoolShares poolShares = new PoolShares(
-                settings.shares(), shards.tallies(), share -> pending.of(share).waitingMilliCores());
+                settings.shares(),
+                shards.tallies(),
+                share -> pending.jobsOf(share).waitingMilliCores());
         this.shareReview = new ShareReview(poolShares, capacity, timers, listener);
         this.jobs = new JobLifecycle(shards, pending, poolShares, capacity, runTimes, timers, listener);
         this.results = new RunResults(runTimes, timers, listener, new Results());
@@ -95,7 +97,7 @@
     public void update(FailureDomain shard, Collection<EndpointEntry> listed) {
         shards.find(shard).orElseThrow().update(listed);
         jobs.evictUnplaceable();
-        jobs.planStart();
+        jobs.scheduleStart();
     }
 
     /**
@@ -109,7 +111,7 @@
         }
         shards.remove(shard).ifPresent(gone -> {
             gone.abandon();
-            jobs.planStart();
+            jobs.scheduleStart();
         });
     }
 
@@ -159,7 +161,7 @@
         shareReview.review();
         shards.normalizeSpeeds();
         shards.endpoints().forEach(this::reportSpeed);
-        jobs.planStart();
+        jobs.scheduleStart();
     }
 
     /**
@@ -242,7 +244,7 @@
 
         @Override
         public void capacityFound() {
-            jobs.planStart();
+            jobs.scheduleStart();
         }
 
         @Override
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/placing/PlacingSettings.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/placing/PlacingSettings.java
@@ -9,13 +9,13 @@
  * How a holder works with its endpoints; all times are in milliseconds.
  *
  * @param lease how long what runs on an endpoint goes on without a renewal; the longest that endpoints allow
- * @param holdWait how long an endpoint may keep a poll waiting for an end; a tenth of the lease, since the ends that a
+ * @param pollWait how long an endpoint may keep a poll waiting for an end; a tenth of the lease, since the ends that a
  *     lost poll would have listed are seen only after this and {@code answerTime}
- * @param stopTime the longest that a stop takes on an endpoint
- * @param answerTime how long the answer to an order may take before it counts as lost
+ * @param maxStopTime the longest that a stop takes on an endpoint
+ * @param answerTimeout how long the answer to an order may take before it counts as lost
  * @param shares how capacity is divided among priorities
  */
-public record PlacingSettings(long lease, long holdWait, long stopTime, long answerTime, SharePlan shares) {
+public record PlacingSettings(long lease, long pollWait, long maxStopTime, long answerTimeout, SharePlan shares) {
     /** Endpoints' clocks may run slow by two parts in a hundred. */
     private static final double SLOWEST_CLOCK = 1.02;
 
@@ -34,15 +34,15 @@
     /** Checks that every time is positive. */
     public PlacingSettings {
         checkArgument(lease > 0, "lease %s is not positive", lease);
-        checkArgument(holdWait > 0 && holdWait < lease, "holdWait %s is not within the lease", holdWait);
-        checkArgument(answerTime > 0, "answerTime %s is not positive", answerTime);
-        checkArgument(stopTime > 0, "stopTime %s is not positive", stopTime);
+        checkArgument(pollWait > 0 && pollWait < lease, "holdWait %s is not within the lease", pollWait);
+        checkArgument(answerTimeout > 0, "answerTime %s is not positive", answerTimeout);
+        checkArgument(maxStopTime > 0, "stopTime %s is not positive", maxStopTime);
         checkNotNull(shares, "shares");
     }
 
     /** Returns the same settings with another division of capacity. */
     public PlacingSettings withShares(SharePlan plan) {
-        return new PlacingSettings(lease, holdWait, stopTime, answerTime, plan);
+        return new PlacingSettings(lease, pollWait, maxStopTime, answerTimeout, plan);
     }
 
     /** Returns the settings for endpoints that allow this lease and take this long to stop a run. */
@@ -51,7 +51,7 @@
     }
 
     /** Returns how long after an order was sent everything that it extended has certainly ended, if nothing follows. */
-    public long certainLapse() {
+    public long certainExpiryMillis() {
         return Math.round(lease * SLOWEST_CLOCK) + CERTAINTY_MARGIN_MILLIS;
     }
 }
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/placing/QueueTimes.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/placing/QueueRunTimes.java
@@ -8,7 +8,7 @@
  * that. Believing it, such jobs looked hopeless and were refused while endpoints were free. The slope of the line says
  * how much an estimate is worth: 1 where estimates are exact up to a factor, 0 where they say nothing.
  */
-final class QueueTimes {
+final class QueueRunTimes {
     /** The weight of the newest run: what is learned follows a change within fifty runs, a second of a busy queue. */
     private static final double WEIGHT = 0.02;
 
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/placing/RecoveredRuns.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/placing/RecoveredRuns.java
@@ -82,7 +82,7 @@
         }
         for (PlacedTask task : job.tasks()) {
             if (doneBefore.contains(task.name()) && task.isUnresolved()) {
-                job.finished(task);
+                job.recordFinished(task);
             }
         }
         for (TaskRun run : freeOf(job.id())) {
@@ -146,7 +146,7 @@
             return;
         }
         switch (answer.result()) {
-            case DONE -> link.timers().after(link.settings().stopTime(), poller::pollIfIdle);
+            case DONE -> link.timers().after(link.settings().maxStopTime(), poller::pollIfIdle);
             case OLD_RUN -> {
                 runs.remove(run);
                 poller.pollIfIdle();
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/placing/RecoveringJobs.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/placing/RecoveringJobs.java
@@ -42,7 +42,7 @@
 
     /** Takes a job, and lets it adopt what was found of it already. */
     void add(PlacedJob job, Offer offer) {
-        job.awaitEarlierRuns();
+        job.markUnresolved();
         recoveries.put(job.id(), new Recovery(job, new WaitingOffer(offer, timers.nowMillis())));
         shards.endpoints().forEach(endpoint -> endpoint.adopt(job));
         check(job);
@@ -77,7 +77,7 @@
         Optional<RecoveryGround> ground = recovery == null ? Optional.empty() : groundOf(recovery);
         if (ground.isPresent()) {
             recoveries.remove(job.id());
-            job.earlierRunsResolved();
+            job.markResolved();
             long waited = timers.nowMillis() - recovery.offer().sinceMillis();
             observer.recovered(job.origin(), job.id(), ground.get(), waited);
             recovered.accept(job);
@@ -86,8 +86,8 @@
 
     private Optional<RecoveryGround> groundOf(Recovery recovery) {
         PlacedJob job = recovery.job();
-        Offer offer = recovery.offer().at(timers.nowMillis());
-        if (!job.awaitsEarlierRuns()) {
+        Offer offer = recovery.offer().asOf(timers.nowMillis());
+        if (!job.hasUnresolvedTasks()) {
             return Optional.of(RecoveryGround.ALL_FOUND);
         }
         if (offer.earlierRuns().over()) {
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/placing/ReservedRoom.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/placing/ReservedRoom.java
@@ -56,7 +56,7 @@
     /** Returns whether the room of any task is reserved under which an endpoint has crashed. */
     boolean anySuspect() {
         for (Reservation reservation : reservations.values()) {
-            if (reservation.task().isSuspect()) {
+            if (reservation.task().hasCrashed()) {
                 return true;
             }
         }
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/placing/RunOrders.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/placing/RunOrders.java
@@ -46,7 +46,7 @@
     /** Reserves the room of a run. */
     void reserve(Reservation reservation) {
         room.reserve(reservation);
-        reservation.task().placed(host.endpoint(), reservation);
+        reservation.task().setPlacement(host.endpoint(), reservation);
     }
 
     /** Stops a run, which stays reserved until its end is certain. */
@@ -175,7 +175,7 @@
      */
     private void stopTaken(Reservation reservation) {
         long now = link.nowMillis();
-        long stopMillis = link.settings().stopTime();
+        long stopMillis = link.settings().maxStopTime();
         if (reservation.seen()) {
             reservation.stopped(now + stopMillis);
             link.timers().after(stopMillis + 1, poller::pollIfIdle);
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/placing/RunResults.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/placing/RunResults.java
@@ -31,32 +31,32 @@
         if (kind.ownEnd()) {
             endpoint.recordOutcome(kind == EndKind.DONE);
         }
-        if (kind != EndKind.DONE && !job.over()) {
+        if (kind != EndKind.DONE && !job.isOver()) {
             EndpointEntry entry = endpoint.entry();
             listener.runEndedBadly(entry.domain(), reservation.run(), entry.id(), kind);
         }
         if (!task.holds(reservation)) {
             return;
         }
-        if (job.over()) {
-            task.back();
+        if (job.isOver()) {
+            task.clearPlacement();
         } else if (kind == EndKind.DONE) {
             learn(endpoint.speed(), reservation);
-            if (job.finished(task)) {
+            if (job.recordFinished(task)) {
                 host.settle(job, Verdict.DONE);
             }
         } else if (kind.countsAsAttempt()) {
-            task.failed(endpoint.entry().incarnation());
+            task.recordFailure(endpoint.entry().incarnation());
             retryOrFail(job, task);
         } else if (kind == EndKind.CRASHED) {
-            task.crashed();
-            task.lostRun();
+            task.recordCrash();
+            task.recordLostRun();
             retryOrFail(job, task);
         } else if (kind == EndKind.LAPSED) {
-            task.lostRun();
+            task.recordLostRun();
             retryOrFail(job, task);
         } else {
-            task.back();
+            task.clearPlacement();
             retryOrFail(job, task);
         }
         host.capacityReleased(job);
@@ -72,7 +72,7 @@
     @Override
     public void lapsedUnnoticed(HeldEndpoint endpoint, Reservation reservation) {
         PlacedTask task = reservation.task();
-        boolean isOpen = !host.closed() && !task.job().over() && task.holds(reservation);
+        boolean isOpen = !host.closed() && !task.job().isOver() && task.holds(reservation);
         if (isOpen) {
             host.awaitOrigin(task);
         }
@@ -81,9 +81,9 @@
 
     @Override
     public void crashed(HeldEndpoint endpoint, PlacedTask task) {
-        task.crashed();
-        boolean isOpen = !host.closed() && !task.job().over() && !task.done();
-        if (isOpen && task.isCrashing()) {
+        task.recordCrash();
+        boolean isOpen = !host.closed() && !task.job().isOver() && !task.isDone();
+        if (isOpen && task.hasCrashedTooOften()) {
             host.settle(task.job(), Verdict.FAILED);
         }
     }
@@ -101,15 +101,15 @@
 
     @Override
     public void refusedAsOld(HeldEndpoint endpoint, Reservation reservation) {
-        reservation.task().skipOldRuns();
+        reservation.task().skipRunNumbers();
         requeueRefused(reservation);
     }
 
     @Override
     public void unreadable(HeldEndpoint endpoint, Reservation reservation) {
         PlacedJob job = reservation.task().job();
-        reservation.task().back();
-        if (!job.over()) {
+        reservation.task().clearPlacement();
+        if (!job.isOver()) {
             host.settle(job, Verdict.FAILED);
         }
         host.capacityReleased(job);
@@ -147,8 +147,8 @@
     private void requeueRefused(Reservation reservation) {
         PlacedTask task = reservation.task();
         if (task.holds(reservation)) {
-            task.back();
-            if (!task.job().over()) {
+            task.clearPlacement();
+            if (!task.job().isOver()) {
                 host.requeue(task.job());
             }
             host.capacityReleased(task.job());
@@ -156,9 +156,9 @@
     }
 
     private void retryOrFail(PlacedJob job, PlacedTask task) {
-        if (task.failures() >= job.queue().attempts() || task.isCrashing()) {
+        if (task.failures() >= job.queue().attempts() || task.hasCrashedTooOften()) {
             host.settle(job, Verdict.FAILED);
-        } else if (task.isLostTooOften()) {
+        } else if (task.wasLostTooOften()) {
             host.settle(job, Verdict.TOO_LATE);
         } else {
             host.requeue(job);
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/placing/RunTimes.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/placing/RunTimes.java
@@ -8,7 +8,7 @@
     /** What a job without an estimate is taken for: a task of the sub-second kind that this dispatcher serves. */
     private static final long DEFAULT_ESTIMATE_MILLIS = 200;
 
-    private final Map<String, QueueTimes> queues = new HashMap<>();
+    private final Map<String, QueueRunTimes> queues = new HashMap<>();
 
     /** Creates a book that takes every estimate for true. */
     public RunTimes() {}
@@ -28,7 +28,7 @@
         }
     }
 
-    private QueueTimes times(String queue) {
-        return queues.computeIfAbsent(queue, unused -> new QueueTimes());
+    private QueueRunTimes times(String queue) {
+        return queues.computeIfAbsent(queue, unused -> new QueueRunTimes());
     }
 }
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/placing/StallDetector.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/placing/StallDetector.java
@@ -32,7 +32,7 @@
      */
     void restartOverdueRuns(long nowMillis) {
         for (Reservation reservation : room.all()) {
-            long limit = atSpeed(reservation.task().job().longestRunMillis());
+            long limit = atSpeed(reservation.task().job().maxRunMillis());
             boolean showsProgress = progress.areMeaningful() && reservation.advanced();
             boolean isOverdue = reservation.wanted() && nowMillis - reservation.startedAtMillis() > limit;
             if (isOverdue && !showsProgress && reservation.task().restartOverdue()) {
@@ -55,7 +55,8 @@
             return;
         }
         long limit = Math.max(
-                atSpeed(reservation.task().job().stallMillis()), PACE_MULTIPLE * reservation.slowestPercentMillis());
+                atSpeed(reservation.task().job().stallTimeoutMillis()),
+                PACE_MULTIPLE * reservation.slowestPercentMillis());
         boolean isStalled = reservation.withoutProgressMillis(asOfMillis) >= limit;
         if (isStalled
                 && reservation.wanted()
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/placing/StartOrder.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/placing/StartOrder.java
@@ -55,7 +55,7 @@
         for (Cursor cursor : cursors) {
             if (cursor.jobs.anyFitsInto(roomiest)
                     && cursor.has(overdue, roomiest)
-                    && mayStart(cursor.share, cursor.jobs.smallestNeed())
+                    && staysBelowCeiling(cursor.share, cursor.jobs.smallestTaskMilliCores())
                     && (best == null || cursor.precedes(best))) {
                 best = cursor;
             }
@@ -64,7 +64,7 @@
     }
 
     /** Returns whether a share stays within its ceiling if it starts a task that needs so much. */
-    boolean mayStart(ShareId share, long milliCores) {
+    boolean staysBelowCeiling(ShareId share, long milliCores) {
         return !shares.plan().isBounded()
                 || !shares.exceedsCeiling(share, milliCores, capacity.of(share.service(), nowMillis));
     }
@@ -85,7 +85,7 @@
             this.jobs = jobs;
             this.next = jobs.first();
             if (begunFirst) {
-                begun.addAll(jobs.begun());
+                begun.addAll(jobs.started());
             }
             refresh();
         }
@@ -112,7 +112,7 @@
         }
 
         private boolean isPassed(PlacedJob job, long roomiest) {
-            if (job.need().milliCores() > roomiest) {
+            if (job.taskResources().milliCores() > roomiest) {
                 return true;
             }
             if (job.isOverdue(nowMillis)) {
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/placing/TaskStarter.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/placing/TaskStarter.java
@@ -43,7 +43,7 @@
     }
 
     /** Starts what fits once the events at hand are taken in. */
-    void planStart() {
+    void scheduleStart() {
         if (!planned) {
             planned = true;
             timers.after(0, this::startPending);
@@ -87,14 +87,14 @@
      * @return the same after what was started
      */
     private long startIfRoom(PlacedJob job, StartOrder order, long now, long roomiest) {
-        if (job.over() || job.need().milliCores() > roomiest) {
+        if (job.isOver() || job.taskResources().milliCores() > roomiest) {
             return roomiest;
         }
         int waitingBefore = job.waitingTasks();
         if (startWaiting(job, order, now)) {
             pending.remove(job);
         } else if (job.waitingTasks() < waitingBefore) {
-            pending.of(job.share()).begun(job);
+            pending.jobsOf(job.share()).started(job);
         }
         return job.waitingTasks() == waitingBefore ? roomiest : shards.largestFreeMilliCores(now);
     }
@@ -102,17 +102,17 @@
     /** Starts what fits; returns whether nothing of the job waits any more. */
     private boolean startWaiting(PlacedJob job, StartOrder order, long now) {
         for (PlacedTask task : job.tasks()) {
-            if (!task.waiting()) {
+            if (!task.isWaiting()) {
                 continue;
             }
-            if (!order.mayStart(job.share(), job.need().milliCores())) {
+            if (!order.staysBelowCeiling(job.share(), job.taskResources().milliCores())) {
                 return false;
             }
             Optional<HeldEndpoint> endpoint = EndpointChoice.choose(shards.endpoints(), task, now);
             if (endpoint.isEmpty()) {
                 return false;
             }
-            endpoint.get().start(task, task.takeRun(), job.need());
+            endpoint.get().start(task, task.allocateRun(), job.taskResources());
         }
         return true;
     }
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/placing/WaitingOffer.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/placing/WaitingOffer.java
@@ -10,7 +10,7 @@
  */
 record WaitingOffer(Offer offer, long sinceMillis) {
     /** Returns the offer as it would be if it came in now. */
-    Offer at(long nowMillis) {
+    Offer asOf(long nowMillis) {
         return offer.later(nowMillis - sinceMillis);
     }
 }
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/queue/JobQueue.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/queue/JobQueue.java
@@ -59,16 +59,16 @@
         checkArgument(tasks >= 1, "%s tasks are none", tasks);
         checkArgument(expectedNanos >= 0, "expectedNanos %s is negative", expectedNanos);
         TeamQueue<J> queue = teams.computeIfAbsent(team, TeamQueue::new);
-        leave(queue);
-        queue.weigh(weight);
+        removeFromTotals(queue);
+        queue.updateWeight(weight);
         WaitingJob<J> waiting = jobs.get(job);
         if (waiting == null) {
             waiting = new WaitingJob<>(job, queue, sequence++);
             jobs.put(job, waiting);
         }
-        queue.change(waiting, tasks, Math.max(1, expectedNanos));
-        queue.catchUp(virtualNanos);
-        enter(queue);
+        queue.update(waiting, tasks, Math.max(1, expectedNanos));
+        queue.advanceTo(virtualNanos);
+        addToTotals(queue);
     }
 
     /** Returns the job whose next task is to be started, among teams that may start one; takes nothing out. */
@@ -86,14 +86,14 @@
         WaitingJob<J> waiting = jobs.get(job);
         checkState(waiting != null, "no task of %s waits", job);
         TeamQueue<J> queue = waiting.queue();
-        leave(queue);
+        removeFromTotals(queue);
         // A team that was held back by its quota must not save up its turns and then shut the others out.
-        queue.catchUp(virtualNanos);
+        queue.advanceTo(virtualNanos);
         virtualNanos = queue.virtualNanos();
         queue.charge(waiting.expectedNanos());
-        queue.change(waiting, -1, waiting.expectedNanos());
+        queue.update(waiting, -1, waiting.expectedNanos());
         forgetIfEmpty(waiting);
-        enter(queue);
+        addToTotals(queue);
     }
 
     /** Takes all waiting tasks of a job out; a job that has none is passed over. */
@@ -103,10 +103,10 @@
             return;
         }
         TeamQueue<J> queue = waiting.queue();
-        leave(queue);
-        queue.change(waiting, -waiting.tasks(), waiting.expectedNanos());
+        removeFromTotals(queue);
+        queue.update(waiting, -waiting.tasks(), waiting.expectedNanos());
         forgetIfEmpty(waiting);
-        enter(queue);
+        addToTotals(queue);
     }
 
     /** Returns how many tasks wait. */
@@ -125,7 +125,7 @@
      *
      * @param bound the tasks that may wait in all
      */
-    public int fairPart(TeamName team, int weight, int bound) {
+    public int fairShare(TeamName team, int weight, int bound) {
         long others = queuedTasks(team) > 0 ? waitingWeight - weight : waitingWeight;
         return Math.toIntExact((long) bound * weight / (others + weight));
     }
@@ -153,7 +153,7 @@
         return (long) Math.min(queuedNanos, ofTeam * waitingWeight / weight);
     }
 
-    private void leave(TeamQueue<J> queue) {
+    private void removeFromTotals(TeamQueue<J> queue) {
         if (queue.tasks() > 0) {
             waitingTeams.remove(queue);
             waitingWeight -= queue.weight();
@@ -162,7 +162,7 @@
         }
     }
 
-    private void enter(TeamQueue<J> queue) {
+    private void addToTotals(TeamQueue<J> queue) {
         if (queue.tasks() > 0) {
             waitingTeams.add(queue);
             waitingWeight += queue.weight();
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/queue/TeamQueue.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/queue/TeamQueue.java
@@ -12,7 +12,7 @@
 final class TeamQueue<J> {
     private final TeamName team;
     private final TreeSet<WaitingJob<J>> jobs =
-            new TreeSet<>(Comparator.comparingLong(WaitingJob<J>::place).thenComparingLong(WaitingJob::sequence));
+            new TreeSet<>(Comparator.comparingLong(WaitingJob<J>::sortKey).thenComparingLong(WaitingJob::sequence));
     /** Work by the binary order of magnitude of the job's work, so that a sum up to a size needs no walk over jobs. */
     private final long[] nanosByMagnitude = new long[Long.SIZE + 1];
 
@@ -34,7 +34,7 @@
         return weight;
     }
 
-    void weigh(int newWeight) {
+    void updateWeight(int newWeight) {
         weight = newWeight;
     }
 
@@ -55,7 +55,7 @@
     }
 
     /** Moves the team on to a virtual time that the queue has passed, so that idle time earns no credit. */
-    void catchUp(double virtualNow) {
+    void advanceTo(double virtualNow) {
         virtualNanos = Math.max(virtualNanos, virtualNow);
     }
 
@@ -69,12 +69,12 @@
         virtualNanos += (double) expectedNanos / weight;
     }
 
-    void change(WaitingJob<J> job, int addedTasks, long expectedNanos) {
+    void update(WaitingJob<J> job, int addedTasks, long expectedNanos) {
         if (job.tasks() > 0) {
             jobs.remove(job);
             count(job, -1);
         }
-        job.change(addedTasks, expectedNanos);
+        job.update(addedTasks, expectedNanos);
         if (job.tasks() > 0) {
             jobs.add(job);
             count(job, 1);
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/queue/WaitingJob.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/queue/WaitingJob.java
@@ -13,7 +13,7 @@
     private final J job;
     private final TeamQueue<J> queue;
     private final long sequence;
-    private final long arrivedAtWork;
+    private final long teamWorkAtArrival;
     private int tasks;
     private long expectedNanos;
 
@@ -22,7 +22,7 @@
         this.job = job;
         this.queue = queue;
         this.sequence = sequence;
-        this.arrivedAtWork = queue.startedNanos();
+        this.teamWorkAtArrival = queue.startedNanos();
     }
 
     J job() {
@@ -51,11 +51,11 @@
     }
 
     /** Returns the job's place: the job with the least comes first. */
-    long place() {
-        return arrivedAtWork + PASSING_FACTOR * nanosLeft();
+    long sortKey() {
+        return teamWorkAtArrival + PASSING_FACTOR * nanosLeft();
     }
 
-    void change(int addedTasks, long newExpectedNanos) {
+    void update(int addedTasks, long newExpectedNanos) {
         tasks += addedTasks;
         expectedNanos = newExpectedNanos;
     }
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/quota/SharedLimits.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/quota/SharedLimits.java
@@ -54,7 +54,7 @@
      *
      * @param all every node that may use a share, this one among them, also those that are silent
      */
-    public void sharers(ImmutableSet<NodeId> all) {
+    public void setSharers(ImmutableSet<NodeId> all) {
         checkArgument(all.contains(self), "%s is not among the sharers", self);
         if (!all.equals(sharers)) {
             sharers = all;
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/share/ShareAdmission.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/share/ShareAdmission.java
@@ -58,28 +58,28 @@
      * Returns the time until the last task of a job starts.
      *
      * <p>The capacity that its tasks and those ahead of it leave unusable on endpoints counts as needed too; see
-     * {@link PoolPlaces#milliCoresPerPlace}.
+     * {@link TaskSlots#milliCoresPerSlot}.
      *
      * @param aheadMilliCores the need of the share's waiting tasks that start before the job, in thousandths of a core
      * @param aheadWork the sum over these tasks of need times expected run time, in thousandths of a core times
      *     milliseconds
      */
-    public ShareWait waitFor(JobNeed job, PoolPlaces places, long aheadMilliCores, long aheadWork) {
-        long perPlace = places.milliCoresPerPlace();
+    public ShareWait waitFor(JobNeed job, TaskSlots places, long aheadMilliCores, long aheadWork) {
+        long perPlace = places.milliCoresPerSlot();
         double packing = (double) perPlace / job.milliCoresPerTask();
         long wanted = job.tasks() * perPlace;
         long belowCeiling = belowCeilingMilliCores();
-        long missing = Math.max(0, wanted - Math.min(places.freePlaces() * perPlace, belowCeiling));
+        long missing = Math.max(0, wanted - Math.min(places.free() * perPlace, belowCeiling));
         double ahead = packing * aheadMilliCores;
         double work = packing * aheadWork + (double) missing * job.runMillis();
-        long millis = places.places() == 0 ? 0 : waitMillis(ahead + missing, work);
+        long millis = places.total() == 0 ? 0 : waitMillis(ahead + missing, work);
         return new ShareWait(placesBelowCeiling(job, places), millis, ahead + wanted <= belowCeiling, state());
     }
 
-    private long placesBelowCeiling(JobNeed job, PoolPlaces places) {
+    private long placesBelowCeiling(JobNeed job, TaskSlots places) {
         double ceiling = demands.get(index).settings().ceiling();
         long below = (long) (ceiling * capacityMilliCores) / job.milliCoresPerTask();
-        return ceiling < 1 ? Math.min(places.places(), below) : places.places();
+        return ceiling < 1 ? Math.min(places.total(), below) : places.total();
     }
 
     /**
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/share/PoolPlaces.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/share/TaskSlots.java
@@ -4,15 +4,15 @@
  * The capacity of the endpoints of a service in a pool, counted in places for tasks of one size.
  *
  * @param capacityMilliCores the processor time of the endpoints, in thousandths of a core
- * @param places the number of tasks of that size that they hold
- * @param freePlaces the number of places that are free now
+ * @param total the number of tasks of that size that they hold
+ * @param free the number of places that are free now
  */
-public record PoolPlaces(long capacityMilliCores, long places, long freePlaces) {
+public record TaskSlots(long capacityMilliCores, long total, long free) {
     /**
      * Returns the processor time that one task takes up, in thousandths of a core: its own and an equal fraction of
      * what cannot be used on endpoints whose capacity is no multiple of its size.
      */
-    long milliCoresPerPlace() {
-        return Math.max(1, capacityMilliCores / Math.max(1, places));
+    long milliCoresPerSlot() {
+        return Math.max(1, capacityMilliCores / Math.max(1, total));
     }
 }
--- a/tarragonarch-core/src/test/java/org/tarragonarch/core/cluster/CutOffHolderTest.java
+++ b/tarragonarch-core/src/test/java/org/tarragonarch/core/cluster/CutOffHolderTest.java
@@ -47,8 +47,8 @@
         for (int atMillis = 0; atMillis < 200; atMillis += 10) {
             CutOffHolderTest test = new CutOffHolderTest();
             test.partitionAfter(atMillis);
-            if (!test.cluster.ledger.broken().isEmpty()) {
-                broken.add("cut " + atMillis + " ms later: " + test.cluster.ledger.broken());
+            if (!test.cluster.ledger.violations().isEmpty()) {
+                broken.add("cut " + atMillis + " ms later: " + test.cluster.ledger.violations());
             }
         }
         assertEquals(broken.toString(), "[]");
--- a/tarragonarch-core/src/test/java/org/tarragonarch/core/cluster/SeparatePoolsTest.java
+++ b/tarragonarch-core/src/test/java/org/tarragonarch/core/cluster/SeparatePoolsTest.java
@@ -67,7 +67,7 @@
     }
 
     private void assertNeverTwoRuns() {
-        assertEquals(cluster.ledger.broken().toString(), "[]");
+        assertEquals(cluster.ledger.violations().toString(), "[]");
     }
 
     /** Guards against a job that goes on after its withdrawal has arrived. */
--- a/tarragonarch-core/src/test/java/org/tarragonarch/core/placement/FreeSlotIndexTest.java
+++ b/tarragonarch-core/src/test/java/org/tarragonarch/core/placement/FreeSlotIndexTest.java
@@ -13,7 +13,7 @@
 
 public class FreeSlotIndexTest {
     @Test
-    public void testHighest_agreesWithAScan() {
+    public void testHighest_matchesScan() {
         Random random = new Random(5);
         FreeSlotIndex index = new FreeSlotIndex();
         List<EndpointSlots> endpoints = new ArrayList<>();
--- a/tarragonarch-core/src/test/java/org/tarragonarch/core/placing/FakeEndpoint.java
+++ b/tarragonarch-core/src/test/java/org/tarragonarch/core/placing/FakeEndpoint.java
@@ -146,7 +146,7 @@
             started++;
             startedAt.put(order.run(), timers.nowMillis());
             ledger.started(order.run().task(), this);
-            ledger.checkRoom(
+            ledger.checkCapacity(
                     running.values().stream().mapToLong(Long::longValue).sum(), capacity);
             if (!stalls) {
                 after(runMillisOf.applyAsLong(order.run()), () -> end(order.run(), outcome));
--- a/tarragonarch-core/src/test/java/org/tarragonarch/core/placing/JobLifecycleTest.java
+++ b/tarragonarch-core/src/test/java/org/tarragonarch/core/placing/JobLifecycleTest.java
@@ -35,7 +35,7 @@
 
     /** Guards against a client that comes back at once, or after the whole objective, when no endpoint is known. */
     @Test
-    public void testOffer_withoutEndpointsIsDeclined() {
+    public void testOffer_noEndpoints() {
         JobLifecycleTest test = new JobLifecycleTest();
         test.jobs.offer(PlacerFixture.offer(1, 2));
         assertEquals(test.verdicts, ImmutableList.of("declined", "DECLINED, retry after 1000 ms"));
@@ -43,7 +43,7 @@
 
     /** Guards against a client that gets "not run" while runs of an earlier holder may be under way. */
     @Test
-    public void testReturnAll_jobThatMayRunIsNotReturned() {
+    public void testReturnAll_earlierRunsUnresolved() {
         JobLifecycleTest test = new JobLifecycleTest();
         test.jobs.offer(PlacerFixture.repeatedOffer(1, 2, 60));
         test.jobs.returnAll();
@@ -52,7 +52,7 @@
 
     /** Guards against a verdict on a job whose client has left, or on one of a node that is gone. */
     @Test
-    public void testWithdraw_nothingIsSaidAfterwards() {
+    public void testWithdraw_noVerdictAfterwards() {
         JobLifecycleTest test = new JobLifecycleTest();
         test.jobs.offer(PlacerFixture.repeatedOffer(1, 2, 60));
         test.jobs.offer(PlacerFixture.repeatedOffer(2, 2, 60));
--- a/tarragonarch-core/src/test/java/org/tarragonarch/core/placing/Ledger.java
+++ b/tarragonarch-core/src/test/java/org/tarragonarch/core/placing/Ledger.java
@@ -9,7 +9,7 @@
 /** What the endpoints of a test saw, and which promises that breaks. */
 public final class Ledger {
     private final Map<TaskName, FakeEndpoint> running = new HashMap<>();
-    private final List<String> broken = new ArrayList<>();
+    private final List<String> violations = new ArrayList<>();
     private int starts;
 
     /** Creates the ledger of endpoints on which nothing has run. */
@@ -18,7 +18,7 @@
     void started(TaskName task, FakeEndpoint at) {
         starts++;
         if (running.put(task, at) != null) {
-            broken.add("two runs of " + task);
+            violations.add("two runs of " + task);
         }
     }
 
@@ -26,9 +26,9 @@
         running.remove(task, at);
     }
 
-    void checkRoom(long used, long capacity) {
+    void checkCapacity(long used, long capacity) {
         if (used > capacity) {
-            broken.add("over the room: " + used + " of " + capacity);
+            violations.add("over the room: " + used + " of " + capacity);
         }
     }
 
@@ -37,7 +37,7 @@
     }
 
     /** Returns what was seen that must not happen. */
-    public List<String> broken() {
-        return broken;
+    public List<String> violations() {
+        return violations;
     }
 }
--- a/tarragonarch-core/src/test/java/org/tarragonarch/core/placing/LostAnswersTest.java
+++ b/tarragonarch-core/src/test/java/org/tarragonarch/core/placing/LostAnswersTest.java
@@ -48,7 +48,7 @@
             waited++;
         }
         assertTrue(waited <= longestMillis, what + " lost: " + waited + " ms");
-        assertEquals(fixture.ledger.broken(), ImmutableList.of());
+        assertEquals(fixture.ledger.violations(), ImmutableList.of());
     }
 
     /** Guards against a sound run that is stopped although only the answer to its start was lost. */
--- a/tarragonarch-core/src/test/java/org/tarragonarch/core/placing/OfferAdmissionTest.java
+++ b/tarragonarch-core/src/test/java/org/tarragonarch/core/placing/OfferAdmissionTest.java
@@ -40,7 +40,7 @@
 
     /** Guards against a decline that operators see as a refusal, and against a job that is half started. */
     @Test
-    public void testOffer_atOnceWithoutRoomForAllOfIt() {
+    public void testOffer_atOnceBeyondFreeCapacity() {
         OfferAdmissionTest test = opened();
         test.offerAtOnce(1, 5, true);
         assertEquals(test.fixture.verdicts, ImmutableList.of("origin-1 1 NOT_AT_ONCE"));
@@ -50,7 +50,7 @@
 
     /** Guards against a job that its holder has given back once and that it may not have to wait. */
     @Test
-    public void testOffer_againUnderOtherTerms() {
+    public void testOffer_repeatedUnderOtherTerms() {
         OfferAdmissionTest test = opened();
         test.offerAtOnce(1, 5, true);
         test.placer.offer(PlacerFixture.offer(1, 5));
@@ -59,7 +59,7 @@
     }
 
     @Test
-    public void testOffer_atOnceWithRoom() {
+    public void testOffer_atOnceWithinFreeCapacity() {
         OfferAdmissionTest test = opened();
         test.offerAtOnce(1, 4, true);
         assertEquals(test.fixture.ledger.starts(), 4);
@@ -67,7 +67,7 @@
 
     /** Guards against a neighbour whose idle endpoints take nothing for others. */
     @Test
-    public void testOffer_ofAnotherDomainWhileIdle() {
+    public void testOffer_otherDomainWhileIdle() {
         OfferAdmissionTest test = opened();
         test.offerAtOnce(1, 4, false);
         assertEquals(test.fixture.ledger.starts(), 4);
@@ -75,7 +75,7 @@
 
     /** Load: own clients fill the endpoints and wait. Guards against room that then goes to another domain's client. */
     @Test
-    public void testOffer_ofAnotherDomainWhileOwnWait() {
+    public void testOffer_otherDomainWhileOwnJobsWait() {
         OfferAdmissionTest test = opened();
         test.placer.offer(PlacerFixture.offer(1, 3));
         test.placer.offer(PlacerFixture.offer(2, 2));
@@ -90,7 +90,7 @@
      * place in the moment in which none of theirs runs.
      */
     @Test
-    public void testOffer_ofAnotherDomainLeavesRoomForOwnUse() {
+    public void testOffer_otherDomainLeavesReserve() {
         OfferAdmissionTest test = opened();
         for (int i = 0; i < 20; i++) {
             test.placer.offer(PlacerFixture.offer(0x100 + i, 3));
@@ -107,7 +107,7 @@
      * stopped. Were it given back as one that cannot start at once, the next domain would start it.
      */
     @Test
-    public void testOffer_atOnceWhileEarlierRunsAreStopped() {
+    public void testOffer_atOnceWhileRunsAreStopped() {
         OfferAdmissionTest test = opened();
         test.offerAtOnce(1, 4, true);
         test.placer.withdraw(PlacerFixture.ORIGIN, PlacerFixture.id(1));
@@ -122,7 +122,7 @@
     public void testOffer_atOnceBeyondTheCeiling() {
         PlacerFixture fixture = new PlacerFixture(2);
         fixture.plan = SharePlan.of(ImmutableList.of(new ShareSettings(0, 1, 0, 0.5)));
-        Placer holder = fixture.opened(1);
+        Placer holder = fixture.openedPlacer(1);
         holder.offer(atOnce(1, 3, true));
         fixture.timers.pass(5);
         assertEquals(fixture.verdicts, ImmutableList.of("origin-1 1 NOT_AT_ONCE"));
@@ -134,7 +134,7 @@
     public void testOffer_taskLargerThanTheCeiling() {
         PlacerFixture fixture = new PlacerFixture(2);
         fixture.plan = SharePlan.of(ImmutableList.of(new ShareSettings(0, 1, 0, 0.2)));
-        Placer holder = fixture.opened(1);
+        Placer holder = fixture.openedPlacer(1);
         holder.offer(PlacerFixture.offer(1, 1));
         assertEquals(fixture.verdicts, ImmutableList.of("origin-1 1 DECLINED"));
         assertEquals(fixture.settled.get(PlacerFixture.id(1)).retryMillis(), 1_000);
--- a/tarragonarch-core/src/test/java/org/tarragonarch/core/placing/PendingJobsTest.java
+++ b/tarragonarch-core/src/test/java/org/tarragonarch/core/placing/PendingJobsTest.java
@@ -29,7 +29,7 @@
 
     /** What is kept up to date step by step is what adding up the whole queue gives, whatever becomes of its tasks. */
     @Test
-    public void testSums_areThoseOfTheWholeQueue() {
+    public void testSums_matchRecomputation() {
         Random random = new Random(20261203);
         PlacerFixture fixture = new PlacerFixture(1);
         PendingJobs pending = new PendingJobs();
@@ -44,9 +44,9 @@
             switch (random.nextInt(6)) {
                 case 0 -> pending.add(job);
                 case 1 -> pending.remove(job);
-                case 2 -> task.unresolved();
-                case 3 -> task.resolved();
-                case 4 -> task.back();
+                case 2 -> task.markUnresolved();
+                case 3 -> task.markResolved();
+                case 4 -> task.clearPlacement();
                 default -> place(task, endpoint);
             }
             assertSums(pending, random.nextInt(1_000));
@@ -66,9 +66,10 @@
     }
 
     private static void place(PlacedTask task, HeldEndpoint endpoint) {
-        if (task.waiting()) {
-            task.placed(
-                    endpoint, new Reservation(task, task.takeRun(), task.job().need(), 0));
+        if (task.isWaiting()) {
+            task.setPlacement(
+                    endpoint,
+                    new Reservation(task, task.allocateRun(), task.job().taskResources(), 0));
         }
     }
 
@@ -76,7 +77,7 @@
         long tasks = 0;
         long millis = 0;
         for (PlacedJob job : pending.inOrder()) {
-            long waiting = job.tasks().stream().filter(PlacedTask::waiting).count();
+            long waiting = job.tasks().stream().filter(PlacedTask::isWaiting).count();
             tasks += waiting;
             millis += job.isOverdue(nowMillis) ? 0 : waiting * EXPECTED_RUN_MILLIS;
         }
@@ -85,7 +86,7 @@
     }
 
     @Test
-    public void testAfter_jobThatWasRemoved() {
+    public void testAfter_removedJob() {
         PendingJobs pending = new PendingJobs();
         PlacedJob first = job(1, 1);
         PlacedJob second = job(2, 1);
--- a/tarragonarch-core/src/test/java/org/tarragonarch/core/placing/PlacerChaosTest.java
+++ b/tarragonarch-core/src/test/java/org/tarragonarch/core/placing/PlacerChaosTest.java
@@ -34,7 +34,7 @@
         for (int step = 0; step < STEPS; step++) {
             int job = 1 + random.nextInt(15);
             switch (random.nextInt(10)) {
-                case 0 -> fixture.way(1 + random.nextInt(4), drawCut(random));
+                case 0 -> fixture.setWay(1 + random.nextInt(4), drawCut(random));
                 case 3 -> placer.review();
                 case 1 -> placer.withdraw(PlacerFixture.ORIGIN, PlacerFixture.id(job));
                 case 2 -> {
@@ -50,7 +50,7 @@
             fixture.timers.pass(random.nextInt(60));
         }
         fixture.timers.pass(6_000);
-        assertEquals(fixture.ledger.broken(), ImmutableList.of());
+        assertEquals(fixture.ledger.violations(), ImmutableList.of());
     }
 
     /** Guards against a run that is settled by a stop or list of which only a repetition was answered. */
@@ -71,14 +71,14 @@
             fixture.timers.pass(random.nextInt(60));
         }
         fixture.timers.pass(6_000);
-        assertEquals(fixture.ledger.broken(), ImmutableList.of());
+        assertEquals(fixture.ledger.violations(), ImmutableList.of());
     }
 
     /** Guards against runs that are taken for over, or over room, as endpoints restart under their ids. */
     @Test(dataProvider = "seeds")
     public void testNoTaskRunsTwice_endpointsRestart(int seed) {
         Random random = new Random(seed);
-        PlacerFixture fixture = new PlacerFixture(4).tellingStarts();
+        PlacerFixture fixture = new PlacerFixture(4).reportingStarts();
         fixture.orders.startWay = () -> drawWay(random);
         Placer placer = fixture.placer(1);
         for (int step = 0; step < STEPS; step++) {
@@ -86,7 +86,7 @@
             switch (random.nextInt(12)) {
                 case 0, 1 -> fixture.endpoint(number).restart();
                 case 2 -> {
-                    fixture.enter(number, fixture.endpoint(number).startedMillis());
+                    fixture.replaceIncarnation(number, fixture.endpoint(number).startedMillis());
                     placer.update(PlacerFixture.SHARD, fixture.entries);
                 }
                 case 3 -> placer.withdraw(PlacerFixture.ORIGIN, PlacerFixture.id(1 + random.nextInt(15)));
@@ -98,7 +98,7 @@
             fixture.timers.pass(random.nextInt(60));
         }
         fixture.timers.pass(20_000);
-        assertEquals(fixture.ledger.broken(), ImmutableList.of());
+        assertEquals(fixture.ledger.violations(), ImmutableList.of());
     }
 
     private static FakeOrders.Way drawWay(Random random) {
--- a/tarragonarch-core/src/test/java/org/tarragonarch/core/placing/PlacerCrashTest.java
+++ b/tarragonarch-core/src/test/java/org/tarragonarch/core/placing/PlacerCrashTest.java
@@ -17,7 +17,7 @@
     }
 
     private static Placer opened(PlacerFixture fixture) {
-        return fixture.opened(1);
+        return fixture.openedPlacer(1);
     }
 
     private static Placer openedWithTask(PlacerFixture fixture) {
@@ -91,11 +91,11 @@
         PlacerFixture fixture = fixture(4);
         openedWithTask(fixture);
         int silent = endpointThatRuns(fixture);
-        fixture.way(silent, FakeOrders.Way.CUT);
+        fixture.setWay(silent, FakeOrders.Way.CUT);
         fixture.endpoint(silent).crash();
         fixture.timers.pass(LEASE_OVER_MILLIS);
         assertEquals(fixture.ledger.starts(), 2);
-        fixture.way(silent, FakeOrders.Way.CLEAR);
+        fixture.setWay(silent, FakeOrders.Way.CLEAR);
         fixture.timers.pass(700);
         crash(fixture, endpointThatRuns(fixture));
         assertEquals(fixture.verdicts, ImmutableList.of("origin-1 1 FAILED"));
@@ -125,7 +125,7 @@
         openedWithTask(fixture);
         for (int vanished = 0; vanished < 4; vanished++) {
             int number = endpointThatRuns(fixture);
-            fixture.way(number, FakeOrders.Way.CUT);
+            fixture.setWay(number, FakeOrders.Way.CUT);
             fixture.endpoint(number).crash();
             fixture.timers.pass(LEASE_OVER_MILLIS);
         }
--- a/tarragonarch-core/src/test/java/org/tarragonarch/core/placing/PlacerDrainTest.java
+++ b/tarragonarch-core/src/test/java/org/tarragonarch/core/placing/PlacerDrainTest.java
@@ -29,12 +29,12 @@
         placer.update(
                 PlacerFixture.SHARD,
                 fixture.entries.stream()
-                        .map(entry -> PlacerFixture.sized(entry, new Resources(milliCores, 32_768, 0)))
+                        .map(entry -> PlacerFixture.resized(entry, new Resources(milliCores, 32_768, 0)))
                         .toList());
     }
 
     private static Placer opened(PlacerFixture fixture) {
-        return fixture.opened(1);
+        return fixture.openedPlacer(1);
     }
 
     private static Placer openedWithJob(PlacerFixture fixture, int tasks) {
@@ -55,12 +55,12 @@
     }
 
     private static void runLong(PlacerFixture fixture) {
-        fixture.runMillis(LONG_MILLIS);
+        fixture.setRunMillis(LONG_MILLIS);
     }
 
     /** Guards against a drained domain whose running work is thrown away. */
     @Test
-    public void testDrain_whatRunsIsFinished() {
+    public void testDrain_runsAreFinished() {
         PlacerFixture fixture = runningLong(1);
         Placer placer = openedWithJob(fixture, 2);
         drain(fixture, placer);
@@ -71,7 +71,7 @@
 
     /** Guards against a job that is taken for a drained domain and waits there until its deadline. */
     @Test
-    public void testDrain_newJobIsDeclinedAtOnce() {
+    public void testDrain_newJobIsDeclined() {
         PlacerFixture fixture = new PlacerFixture(2);
         Placer placer = opened(fixture);
         drain(fixture, placer);
@@ -81,7 +81,7 @@
 
     /** Guards against a queue of a hundred jobs that waits in a drained domain while others have room. */
     @Test
-    public void testDrain_waitingJobsAreGivenBackAtOnce() {
+    public void testDrain_waitingJobsAreDeclined() {
         PlacerFixture fixture = runningLong(1);
         Placer placer = openedWithJob(fixture, 2);
         for (int job = 2; job <= 101; job++) {
@@ -97,7 +97,7 @@
 
     /** Guards against a job whose last task cannot start any more and whose others run for nothing. */
     @Test
-    public void testDrain_partlyStartedJobIsStoppedAndGivenBack() {
+    public void testDrain_partlyStartedJobIsEvicted() {
         PlacerFixture fixture = runningLong(1);
         Placer placer = openedWithJob(fixture, 3);
         drain(fixture, placer);
@@ -110,7 +110,7 @@
 
     /** Guards against a job that runs here and elsewhere because its client sent it again while it was given back. */
     @Test
-    public void testDrain_jobSentAgainWhileItIsStoppedStaysHere() {
+    public void testDrain_resubmittedWhileRunsStop() {
         PlacerFixture fixture = runningLong(1);
         Placer placer = openedWithJob(fixture, 3);
         drain(fixture, placer);
@@ -121,7 +121,7 @@
 
     /** Guards against a job that is never given back because a node that had it before withdraws it. */
     @Test
-    public void testDrain_withdrawalByAnEarlierNodeChangesNothing() {
+    public void testDrain_withdrawnByEarlierOrigin() {
         PlacerFixture fixture = runningLong(1);
         Placer placer = openedWithJob(fixture, 3);
         drain(fixture, placer);
@@ -132,7 +132,7 @@
 
     /** Guards against a retry that is started in a drained domain. */
     @Test
-    public void testDrain_failedTaskIsNotStartedAgain() {
+    public void testDrain_failedTaskIsNotRetried() {
         PlacerFixture fixture = runningLong(1);
         fixture.endpoint(1).outcome = EndKind.FAILED;
         Placer placer = opened(fixture);
@@ -145,7 +145,7 @@
 
     /** Guards against a new holder that adopts the runs of a drained domain and starts the rest of their jobs there. */
     @Test
-    public void testDrain_nextHolderAdoptsAndStartsNothing() {
+    public void testDrain_nextHolderAdoptsRuns() {
         PlacerFixture fixture = runningLong(1);
         Placer before = opened(fixture);
         offerLong(fixture, before, 1, 2);
@@ -161,14 +161,14 @@
                 ImmutableList.sortedCopyOf(fixture.verdicts),
                 ImmutableList.of("origin-1 1 DONE", "origin-1 2 DECLINED"));
         assertEquals(fixture.ledger.starts(), 2);
-        assertEquals(fixture.ledger.broken(), ImmutableList.of());
+        assertEquals(fixture.ledger.violations(), ImmutableList.of());
     }
 
     /** Guards against a pool whose jobs are given back although another domain of it takes work. */
     @Test
-    public void testDrain_otherDomainOfThePoolTakesTheQueue() {
+    public void testDrain_otherShardTakesWaitingJobs() {
         PlacerFixture fixture = runningLong(2);
-        Placer placer = fixture.pooled(1, 2);
+        Placer placer = fixture.placerOfTwoShards(1, 2);
         fixture.timers.pass(20);
         offerLong(fixture, placer, 1, 4);
         placer.offer(PlacerFixture.patientOffer(2, 2, LONG_MILLIS));
@@ -182,7 +182,7 @@
 
     /** Guards against a domain that stays empty after it was taken back into use. */
     @Test
-    public void testUndrain_takesWorkAgain() {
+    public void testUndrain_acceptsJobs() {
         PlacerFixture fixture = new PlacerFixture(1);
         Placer placer = opened(fixture);
         drain(fixture, placer);
@@ -194,7 +194,7 @@
 
     /** Guards against short tasks on endpoints that are still slow while warm ones are idle. */
     @Test
-    public void testUndrain_warmEndpointsGoBeforeColdOnes() {
+    public void testUndrain_prefersWarmEndpoints() {
         PlacerFixture fixture = new PlacerFixture(2);
         fixture.entries.set(0, PlacerFixture.cold(fixture.entries.get(0)));
         Placer placer = opened(fixture);
@@ -208,7 +208,7 @@
 
     /** Guards against an endpoint that shrinks below what runs: nothing is stopped, and nothing is started over it. */
     @Test
-    public void testResize_belowWhatRuns() {
+    public void testResize_belowCapacityInUse() {
         PlacerFixture fixture = runningLong(1);
         Placer placer = openedWithJob(fixture, 2);
         resize(fixture, placer, 8_000);
@@ -223,7 +223,7 @@
 
     /** Guards against room of a run that is being stopped and is given away before its end is listed. */
     @Test
-    public void testResize_whatIsBeingStoppedStillCounts() {
+    public void testResize_stoppingRunsHoldCapacity() {
         PlacerFixture fixture = runningLong(1);
         Placer placer = openedWithJob(fixture, 2);
         placer.offer(PlacerFixture.patientOffer(2, 1, LONG_MILLIS));
@@ -233,12 +233,12 @@
         assertEquals(fixture.ledger.starts(), 2);
         fixture.timers.pass(60);
         assertEquals(fixture.ledger.starts(), 3);
-        assertEquals(fixture.ledger.broken(), ImmutableList.of());
+        assertEquals(fixture.ledger.violations(), ImmutableList.of());
     }
 
     /** Guards against a start that is under way while its endpoint shrinks: its room counts from when it left. */
     @Test
-    public void testResize_whileAStartIsUnderWay() {
+    public void testResize_startOrderInFlight() {
         PlacerFixture fixture = runningLong(1);
         Placer placer = opened(fixture);
         placer.offer(PlacerFixture.firstOffer(1, 1, LONG_MILLIS));
@@ -250,7 +250,7 @@
 
     /** Guards against a task that waits until its deadline although no endpoint is large enough for it any more. */
     @Test
-    public void testResize_taskThatFitsNowhereIsGivenBackAtOnce() {
+    public void testResize_taskFitsNoEndpoint() {
         PlacerFixture fixture = runningLong(1);
         Placer placer = openedWithJob(fixture, 2);
         placer.offer(PlacerFixture.patientOffer(2, 1, LONG_MILLIS));
@@ -262,7 +262,7 @@
 
     /** Guards against room that came back and is not used until the next end. */
     @Test
-    public void testResize_roomThatGrowsIsUsedAtOnce() {
+    public void testResize_addedCapacityIsUsed() {
         PlacerFixture fixture = runningLong(1);
         Placer placer = opened(fixture);
         resize(fixture, placer, 8_000);
@@ -277,13 +277,13 @@
 
     /** Guards against a next holder that fills an endpoint which shrank to the size that it had before. */
     @Test
-    public void testResize_nextHolderStartsByTheNewSize() {
+    public void testResize_nextHolderUsesNewCapacity() {
         PlacerFixture fixture = runningLong(1);
         Placer before = opened(fixture);
         offerLong(fixture, before, 1, 1);
         before.close();
         Resources shrunk = new Resources(8_000, 32_768, 0);
-        fixture.entries.set(0, PlacerFixture.sized(fixture.entries.get(0), shrunk));
+        fixture.entries.set(0, PlacerFixture.resized(fixture.entries.get(0), shrunk));
         Placer next = fixture.placer(2);
         next.offer(PlacerFixture.repeatedOffer(1, 1, LONG_MILLIS));
         next.offer(PlacerFixture.patientOffer(2, 1, LONG_MILLIS));
--- a/tarragonarch-core/src/test/java/org/tarragonarch/core/placing/PlacerFixture.java
+++ b/tarragonarch-core/src/test/java/org/tarragonarch/core/placing/PlacerFixture.java
@@ -51,7 +51,7 @@
     final List<EndKind> badEnds = new ArrayList<>();
     final List<String> restarted = new ArrayList<>();
     final Map<JobId, Settled> settled = new HashMap<>();
-    final List<String> limits = new ArrayList<>();
+    final List<String> limitChanges = new ArrayList<>();
     SharePlan plan = SharePlan.NONE;
     int fenced;
     boolean listsWhole = true;
@@ -67,26 +67,26 @@
     /** Returns a fixture whose endpoints run every task for that long. */
     static PlacerFixture running(int endpoints, long runMillis) {
         PlacerFixture fixture = new PlacerFixture(endpoints);
-        fixture.runMillis(runMillis);
+        fixture.setRunMillis(runMillis);
         return fixture;
     }
 
     /** Lets every endpoint run each task for that long from now on. */
-    void runMillis(long runMillis) {
+    void setRunMillis(long runMillis) {
         orders.endpoints.values().forEach(endpoint -> endpoint.runMillis = runMillis);
     }
 
     /** Lets every endpoint tell when it started, in its entry and its lists. */
-    PlacerFixture tellingStarts() {
+    PlacerFixture reportingStarts() {
         for (int number = 1; number <= entries.size(); number++) {
             endpoint(number).tellStart(FIRST_START_MILLIS);
-            enter(number, FIRST_START_MILLIS);
+            replaceIncarnation(number, FIRST_START_MILLIS);
         }
         return this;
     }
 
     /** Puts the entry of the incarnation that started then in place of an endpoint's entry. */
-    void enter(int number, long startedMillis) {
+    void replaceIncarnation(int number, long startedMillis) {
         EndpointEntry entry = entries.get(number - 1);
         entries.set(number - 1, entry.withIncarnation(new EndpointIncarnation(entry.id(), startedMillis)));
     }
@@ -95,27 +95,27 @@
         return orders.endpoints.get(EndpointId.of("w-" + number));
     }
 
-    void way(int number, FakeOrders.Way way) {
+    void setWay(int number, FakeOrders.Way way) {
         orders.ways.put(EndpointId.of("w-" + number), way);
     }
 
     /** Returns a placer that holds all endpoints as one shard. */
     Placer placer(long term) {
-        Placer placer = empty();
+        Placer placer = emptyPlacer();
         placer.open(SHARD, token(term), ImmutableList.copyOf(entries));
         return placer;
     }
 
     /** Returns a placer that holds all endpoints as one shard and has read their lists. */
-    Placer opened(long term) {
+    Placer openedPlacer(long term) {
         Placer placer = placer(term);
         timers.pass(20);
         return placer;
     }
 
     /** Returns a placer that holds the first endpoints as one shard and the rest as a second. */
-    Placer pooled(long term, int firstOfSecond) {
-        Placer placer = empty();
+    Placer placerOfTwoShards(long term, int firstOfSecond) {
+        Placer placer = emptyPlacer();
         placer.open(SHARD, token(term), ImmutableList.copyOf(entries.subList(0, firstOfSecond - 1)));
         List<EndpointEntry> second = entries.subList(firstOfSecond - 1, entries.size()).stream()
                 .map(PlacerFixture::inSecondShard)
@@ -125,8 +125,8 @@
     }
 
     /** Returns a placer that holds one endpoint alone. */
-    Placer onlyEndpoint(int number, long term) {
-        Placer placer = empty();
+    Placer placerOfEndpoint(int number, long term) {
+        Placer placer = emptyPlacer();
         placer.open(SHARD, token(term), ImmutableList.of(entries.get(number - 1)));
         return placer;
     }
@@ -147,7 +147,7 @@
     }
 
     /** Returns the entry of an endpoint that has another size now. */
-    static EndpointEntry sized(EndpointEntry entry, Resources capacity) {
+    static EndpointEntry resized(EndpointEntry entry, Resources capacity) {
         return new EndpointEntry(
                 entry.id(), entry.service(), entry.address(), entry.domain(), entry.draining(), capacity, entry.cold());
     }
@@ -158,7 +158,7 @@
                 entry.id(), entry.service(), entry.address(), entry.domain(), entry.draining(), entry.capacity(), true);
     }
 
-    private Placer empty() {
+    private Placer emptyPlacer() {
         PlacerListener listener = new PlacerListener() {
             @Override
             public void settled(NodeId origin, JobId job, Verdict verdict, long retryMillis) {
@@ -183,7 +183,7 @@
 
             @Override
             public void shareLimited(ShareState state, boolean isLimited) {
-                limits.add(state.share().priority() + (isLimited ? " limited" : " free"));
+                limitChanges.add(state.share().priority() + (isLimited ? " limited" : " free"));
             }
 
             @Override
--- a/tarragonarch-core/src/test/java/org/tarragonarch/core/placing/PlacerHandOverTest.java
+++ b/tarragonarch-core/src/test/java/org/tarragonarch/core/placing/PlacerHandOverTest.java
@@ -10,7 +10,7 @@
 public final class PlacerHandOverTest {
     /** Returns a holder that was offered a job as soon as it had read its endpoints. */
     private static Placer holderWithJob(PlacerFixture fixture, int tasks) {
-        Placer holder = fixture.opened(1);
+        Placer holder = fixture.openedPlacer(1);
         holder.offer(PlacerFixture.firstOffer(1, tasks, 900));
         return holder;
     }
@@ -19,19 +19,19 @@
     @Test
     public void testOpen_twoShardsAreOnePool() {
         PlacerFixture fixture = new PlacerFixture(4);
-        Placer placer = fixture.pooled(1, 2);
+        Placer placer = fixture.placerOfTwoShards(1, 2);
         fixture.timers.pass(20);
         placer.offer(PlacerFixture.offer(1, 5));
         fixture.timers.pass(90);
         assertEquals(fixture.verdicts, ImmutableList.of("origin-1 1 DONE"));
-        assertEquals(fixture.ledger.broken(), ImmutableList.of());
+        assertEquals(fixture.ledger.violations(), ImmutableList.of());
     }
 
     /** Guards against tasks of a released shard that start elsewhere before their lease is over. */
     @Test
     public void testRelease_tasksOfTheShardStartElsewhereAfterTheirLease() {
         PlacerFixture fixture = PlacerFixture.running(2, 900);
-        Placer placer = fixture.pooled(1, 2);
+        Placer placer = fixture.placerOfTwoShards(1, 2);
         fixture.timers.pass(20);
         placer.offer(PlacerFixture.firstOffer(1, 4, 900));
         fixture.timers.pass(20);
@@ -40,14 +40,14 @@
         assertEquals(fixture.verdicts, ImmutableList.of());
         fixture.timers.pass(1_900);
         assertEquals(fixture.verdicts, ImmutableList.of("origin-1 1 DONE"));
-        assertEquals(fixture.ledger.broken(), ImmutableList.of());
+        assertEquals(fixture.ledger.violations(), ImmutableList.of());
     }
 
     /** The last shard goes: every job is given back to the node that asked, who offers it to the next holder. */
     @Test
     public void testRelease_lastShardGivesJobsBack() {
         PlacerFixture fixture = new PlacerFixture(2);
-        Placer placer = fixture.pooled(1, 2);
+        Placer placer = fixture.placerOfTwoShards(1, 2);
         fixture.timers.pass(20);
         placer.offer(PlacerFixture.offer(1, 1));
         placer.release(PlacerFixture.SECOND_SHARD);
@@ -61,11 +61,11 @@
     @Test
     public void testOffer_earlierRunsOnAnEndpointThatWasOutOfReach() {
         PlacerFixture fixture = PlacerFixture.running(2, 900);
-        fixture.way(2, FakeOrders.Way.CUT);
+        fixture.setWay(2, FakeOrders.Way.CUT);
         Placer holder = fixture.placer(2);
         fixture.timers.pass(5_000);
-        fixture.way(2, FakeOrders.Way.CLEAR);
-        Placer earlier = fixture.onlyEndpoint(2, 1);
+        fixture.setWay(2, FakeOrders.Way.CLEAR);
+        Placer earlier = fixture.placerOfEndpoint(2, 1);
         fixture.timers.pass(5);
         earlier.offer(PlacerFixture.firstOffer(1, 1, 900));
         fixture.timers.pass(5);
@@ -73,23 +73,23 @@
         holder.offer(PlacerFixture.repeatedOffer(1, 1, 900));
         fixture.timers.pass(3_000);
         assertTrue(fixture.verdicts.contains("origin-1 1 DONE"), fixture.verdicts.toString());
-        assertEquals(fixture.ledger.broken(), ImmutableList.of());
+        assertEquals(fixture.ledger.violations(), ImmutableList.of());
     }
 
     /** Guards against tasks that run twice since the holder released the shard with the earlier runs. */
     @Test
     public void testOffer_earlierRunsInAShardThatWasLetGo() {
         PlacerFixture fixture = PlacerFixture.running(2, 300);
-        Placer inside = fixture.onlyEndpoint(1, 1);
+        Placer inside = fixture.placerOfEndpoint(1, 1);
         fixture.timers.pass(10);
         inside.offer(PlacerFixture.firstOffer(1, 1, 300));
-        Placer outside = fixture.pooled(2, 2);
+        Placer outside = fixture.placerOfTwoShards(2, 2);
         outside.release(PlacerFixture.SHARD);
         fixture.timers.pass(5);
         outside.offer(PlacerFixture.repeatedOffer(1, 1, 300));
         fixture.timers.pass(2_000);
         assertTrue(fixture.verdicts.contains("origin-1 1 DONE"), fixture.verdicts.toString());
-        assertEquals(fixture.ledger.broken(), ImmutableList.of());
+        assertEquals(fixture.ledger.violations(), ImmutableList.of());
     }
 
     /** The stop of a run that an earlier holder left gets no answer: it is sent again, and nothing starts before. */
@@ -105,7 +105,7 @@
         next.offer(PlacerFixture.offer(2, 2));
         fixture.timers.pass(400);
         assertTrue(fixture.verdicts.contains("origin-1 2 DONE"), fixture.verdicts.toString());
-        assertEquals(fixture.ledger.broken(), ImmutableList.of());
+        assertEquals(fixture.ledger.violations(), ImmutableList.of());
         assertEquals(stops[0], 4);
     }
 
@@ -120,7 +120,7 @@
         fixture.timers.pass(450);
         assertTrue(fixture.verdicts.contains("origin-1 1 DONE"), fixture.verdicts.toString());
         assertEquals(fixture.ledger.starts(), 4);
-        assertEquals(fixture.ledger.broken(), ImmutableList.of());
+        assertEquals(fixture.ledger.violations(), ImmutableList.of());
     }
 
     /** Part of the job has ended by then: what is not known to have ended is started again, and only that. */
@@ -138,7 +138,7 @@
         fixture.timers.pass(400);
         assertTrue(fixture.verdicts.contains("origin-1 1 DONE"), fixture.verdicts.toString());
         assertEquals(fixture.ledger.starts(), 4);
-        assertEquals(fixture.ledger.broken(), ImmutableList.of());
+        assertEquals(fixture.ledger.violations(), ImmutableList.of());
     }
 
     /** Nobody asks for the job any more: its runs are stopped soon, and their room goes to others. */
@@ -152,24 +152,24 @@
         next.offer(PlacerFixture.offer(2, 2));
         fixture.timers.pass(250);
         assertTrue(fixture.verdicts.contains("origin-1 2 DONE"), fixture.verdicts.toString());
-        assertEquals(fixture.ledger.broken(), ImmutableList.of());
+        assertEquals(fixture.ledger.violations(), ImmutableList.of());
     }
 
     /** Guards against tasks that run twice since the endpoint with the earlier runs is not listed yet. */
     @Test
     public void testOffer_earlierRunsOnAnEndpointThatIsNotListed() {
         PlacerFixture fixture = PlacerFixture.running(2, 400);
-        Placer inside = fixture.onlyEndpoint(1, 1);
+        Placer inside = fixture.placerOfEndpoint(1, 1);
         fixture.timers.pass(10);
         inside.offer(PlacerFixture.firstOffer(1, 1, 400));
         fixture.timers.pass(5);
         fixture.listsWhole = false;
-        Placer outside = fixture.onlyEndpoint(2, 2);
+        Placer outside = fixture.placerOfEndpoint(2, 2);
         fixture.timers.pass(5);
         outside.offer(PlacerFixture.repeatedOffer(1, 1, 400));
         fixture.timers.pass(2_500);
         assertTrue(fixture.verdicts.contains("origin-1 1 DONE"), fixture.verdicts.toString());
-        assertEquals(fixture.ledger.broken(), ImmutableList.of());
+        assertEquals(fixture.ledger.violations(), ImmutableList.of());
     }
 
     /** Guards against runs that are stopped, not adopted, because another endpoint does not answer. */
@@ -180,13 +180,13 @@
         fixture.endpoint(2).runMillis = 900;
         holderWithJob(fixture, 4);
         fixture.timers.pass(500);
-        fixture.way(3, FakeOrders.Way.CUT);
+        fixture.setWay(3, FakeOrders.Way.CUT);
         Placer next = fixture.placer(2);
         next.offer(PlacerFixture.repeatedOffer(1, 4, 900));
         fixture.timers.pass(450);
         assertTrue(fixture.verdicts.contains("origin-1 1 DONE"), fixture.verdicts.toString());
         assertEquals(fixture.ledger.starts(), 4);
-        assertEquals(fixture.ledger.broken(), ImmutableList.of());
+        assertEquals(fixture.ledger.violations(), ImmutableList.of());
     }
 
     /** Guards against tasks on a silent endpoint that start elsewhere before their lease is over. */
@@ -197,20 +197,20 @@
         fixture.endpoint(2).runMillis = 5_000;
         holderWithJob(fixture, 4);
         fixture.timers.pass(500);
-        fixture.way(2, FakeOrders.Way.CUT);
+        fixture.setWay(2, FakeOrders.Way.CUT);
         Placer next = fixture.placer(2);
         next.offer(PlacerFixture.repeatedOffer(1, 4, 900));
         fixture.timers.pass(2_100);
         assertTrue(fixture.verdicts.contains("origin-1 1 DONE"), fixture.verdicts.toString());
         assertEquals(fixture.ledger.starts(), 6);
-        assertEquals(fixture.ledger.broken(), ImmutableList.of());
+        assertEquals(fixture.ledger.violations(), ImmutableList.of());
     }
 
     /** Guards against jobs that never started and are given back as if they may have run. */
     @Test
     public void testRelease_jobsThatNeverStartedAreReturned() {
         PlacerFixture fixture = new PlacerFixture(1);
-        Placer placer = fixture.opened(1);
+        Placer placer = fixture.openedPlacer(1);
         placer.offer(PlacerFixture.offer(1, 2));
         placer.offer(PlacerFixture.offer(2, 2));
         fixture.timers.pass(5);
@@ -223,7 +223,7 @@
     @Test
     public void testRelease_jobWithEarlierRunsMayRun() {
         PlacerFixture fixture = new PlacerFixture(1);
-        fixture.way(1, FakeOrders.Way.CUT);
+        fixture.setWay(1, FakeOrders.Way.CUT);
         Placer placer = fixture.placer(1);
         placer.offer(PlacerFixture.repeatedOffer(1, 1, 60));
         fixture.timers.pass(20);
--- a/tarragonarch-core/src/test/java/org/tarragonarch/core/placing/PlacerRestartTest.java
+++ b/tarragonarch-core/src/test/java/org/tarragonarch/core/placing/PlacerRestartTest.java
@@ -14,7 +14,7 @@
     private static final long SECOND_START_MILLIS = PlacerFixture.FIRST_START_MILLIS + 1;
 
     private static PlacerFixture fixture(int endpoints, long runMillis) {
-        PlacerFixture fixture = new PlacerFixture(endpoints).tellingStarts();
+        PlacerFixture fixture = new PlacerFixture(endpoints).reportingStarts();
         fixture.orders.endpoints.values().forEach(endpoint -> endpoint.runMillis = runMillis);
         return fixture;
     }
@@ -26,7 +26,7 @@
     }
 
     private static void assertUnbroken(PlacerFixture fixture) {
-        assertEquals(fixture.ledger.broken(), ImmutableList.of());
+        assertEquals(fixture.ledger.violations(), ImmutableList.of());
     }
 
     /** Guards against ends that are dropped because the new incarnation numbers them from 1 again. */
@@ -76,7 +76,7 @@
         fixture.timers.pass(99);
         fixture.orders.listMillis = 1;
         fixture.endpoint(first).restart();
-        fixture.enter(first, SECOND_START_MILLIS);
+        fixture.replaceIncarnation(first, SECOND_START_MILLIS);
         placer.update(PlacerFixture.SHARD, fixture.entries);
         fixture.timers.pass(300);
         assertEquals(fixture.restarted, ImmutableList.of("w-" + first + "@" + SECOND_START_MILLIS));
@@ -99,7 +99,7 @@
         assertEquals(fixture.endpoint(1).running(), 1);
         placer.update(PlacerFixture.SHARD, fixture.entries);
         fixture.timers.pass(20);
-        fixture.enter(1, SECOND_START_MILLIS);
+        fixture.replaceIncarnation(1, SECOND_START_MILLIS);
         placer.update(PlacerFixture.SHARD, fixture.entries);
         fixture.timers.pass(LONG_RUN_MILLIS);
         assertEquals(fixture.restarted.size(), 1);
@@ -187,12 +187,12 @@
         fixture.orders.startWay = () -> FakeOrders.Way.LATE;
         placer.offer(PlacerFixture.offer(1, 1));
         fixture.timers.pass(10);
-        fixture.way(1, FakeOrders.Way.CUT);
+        fixture.setWay(1, FakeOrders.Way.CUT);
         fixture.timers.pass(1_500);
         placer.update(PlacerFixture.SHARD, ImmutableList.of());
         fixture.endpoint(1).restart();
-        fixture.way(1, FakeOrders.Way.CLEAR);
-        fixture.enter(1, SECOND_START_MILLIS);
+        fixture.setWay(1, FakeOrders.Way.CLEAR);
+        fixture.replaceIncarnation(1, SECOND_START_MILLIS);
         placer.update(PlacerFixture.SHARD, fixture.entries);
         fixture.timers.pass(4_000);
         assertEquals(fixture.ledger.starts(), 0);
@@ -210,7 +210,7 @@
         Placer next = fixture.placer(2);
         fixture.timers.pass(10);
         fixture.endpoint(1).restart();
-        fixture.enter(1, SECOND_START_MILLIS);
+        fixture.replaceIncarnation(1, SECOND_START_MILLIS);
         next.update(PlacerFixture.SHARD, fixture.entries);
         next.offer(PlacerFixture.offer(1, 4, 900, PlacerFixture.ORIGIN, true));
         fixture.timers.pass(1_000);
@@ -229,7 +229,7 @@
         fixture.timers.pass(200);
         fixture.endpoint(1).outcome = EndKind.DONE;
         fixture.endpoint(1).restart();
-        fixture.enter(1, SECOND_START_MILLIS);
+        fixture.replaceIncarnation(1, SECOND_START_MILLIS);
         placer.update(PlacerFixture.SHARD, fixture.entries);
         fixture.timers.pass(10);
         placer.offer(PlacerFixture.offer(2, 2));
@@ -249,7 +249,7 @@
         fixture.timers.pass(1_000);
         fixture.endpoint(1).restart();
         fixture.endpoint(1).tellStart(PlacerFixture.FIRST_START_MILLIS);
-        fixture.enter(1, PlacerFixture.FIRST_START_MILLIS);
+        fixture.replaceIncarnation(1, PlacerFixture.FIRST_START_MILLIS);
         placer.update(PlacerFixture.SHARD, fixture.entries);
         placer.offer(PlacerFixture.offer(4, 2));
         fixture.timers.pass(100);
--- a/tarragonarch-core/src/test/java/org/tarragonarch/core/placing/PlacerSpeedTest.java
+++ b/tarragonarch-core/src/test/java/org/tarragonarch/core/placing/PlacerSpeedTest.java
@@ -76,7 +76,7 @@
         double part = partOnFirst(3, fixture, placer, 1_500);
         assertTrue(part < 0.03, "part on slow endpoints " + part);
         assertTrue(placer.speeds().slowest() < 0.65, "slowest " + placer.speeds());
-        assertEquals(fixture.ledger.broken(), ImmutableList.of());
+        assertEquals(fixture.ledger.violations(), ImmutableList.of());
     }
 
     /** Load: bimodal pool. Half of the endpoints are too slow for an answer in time; the other half has room. */
@@ -110,7 +110,7 @@
     @Test
     public void testOffer_oneDomainSlower() {
         PlacerFixture fixture = new PlacerFixture(ENDPOINTS);
-        Placer placer = fixture.pooled(1, 11);
+        Placer placer = fixture.placerOfTwoShards(1, 11);
         fixture.timers.pass(20);
         send(fixture, placer, 1_000);
         runMillis(fixture, 1, 10, 150);
@@ -156,7 +156,7 @@
                 }
                 if (random.nextBoolean()) {
                     PlacedTask other = PendingJobsTest.job(1 + trial, 1).tasks().get(0);
-                    endpoint.start(other, other.takeRun(), other.job().need());
+                    endpoint.start(other, other.allocateRun(), other.job().taskResources());
                 }
             }
             PlacedTask task = PendingJobsTest.job(9, 1).tasks().get(0);
--- a/tarragonarch-core/src/test/java/org/tarragonarch/core/placing/PlacerTest.java
+++ b/tarragonarch-core/src/test/java/org/tarragonarch/core/placing/PlacerTest.java
@@ -11,7 +11,7 @@
 /** One holder and its endpoints, on virtual time. */
 public final class PlacerTest {
     @Test
-    public void testOffer_room() {
+    public void testOffer_withinCapacity() {
         PlacerFixture fixture = new PlacerFixture(2);
         Placer placer = fixture.placer(1);
         fixture.timers.pass(20);
@@ -19,23 +19,23 @@
         fixture.timers.pass(100);
         assertEquals(fixture.verdicts, ImmutableList.of("origin-1 1 DONE"));
         assertEquals(fixture.ledger.starts(), 4);
-        assertEquals(fixture.ledger.broken(), ImmutableList.of());
+        assertEquals(fixture.ledger.violations(), ImmutableList.of());
     }
 
     @Test
-    public void testOffer_moreTasksThanRoomGoInWaves() {
+    public void testOffer_moreTasksThanCapacity() {
         PlacerFixture fixture = new PlacerFixture(1);
         Placer placer = fixture.placer(1);
         fixture.timers.pass(20);
         placer.offer(PlacerFixture.offer(1, 3));
         fixture.timers.pass(200);
         assertEquals(fixture.verdicts, ImmutableList.of("origin-1 1 DONE"));
-        assertEquals(fixture.ledger.broken(), ImmutableList.of());
+        assertEquals(fixture.ledger.violations(), ImmutableList.of());
     }
 
     /** Guards against jobs that cannot be in time and are declined only after a wait or a start. */
     @Test
-    public void testOffer_hopelessIsDeclinedAtOnce() {
+    public void testOffer_cannotMeetObjective() {
         PlacerFixture fixture = new PlacerFixture(1);
         Placer placer = fixture.placer(1);
         fixture.timers.pass(20);
@@ -47,7 +47,7 @@
                 .count();
         assertTrue(declined >= 6, fixture.verdicts.toString());
         assertEquals(fixture.estimates.size(), declined);
-        assertEquals(fixture.estimates.get(0).places(), 2);
+        assertEquals(fixture.estimates.get(0).taskSlots(), 2);
         fixture.timers.pass(1_000);
         assertEquals(fixture.verdicts.size(), 10);
         assertEquals(fixture.ledger.starts(), (10 - declined) * 2);
@@ -55,7 +55,7 @@
 
     /** Guards against a task that runs twice since its lost order arrives three seconds later. */
     @Test
-    public void testOffer_orderCarriedOutLate() {
+    public void testOffer_startOrderArrivesAfterLease() {
         PlacerFixture fixture = new PlacerFixture(2);
         Placer placer = fixture.placer(1);
         fixture.timers.pass(20);
@@ -67,7 +67,7 @@
         fixture.timers.pass(6_000);
         assertEquals(fixture.verdicts, ImmutableList.of("origin-1 1 DONE"));
         assertEquals(fixture.ledger.starts(), 1);
-        assertEquals(fixture.ledger.broken(), ImmutableList.of());
+        assertEquals(fixture.ledger.violations(), ImmutableList.of());
     }
 
     /** Guards against tasks of a cut-off endpoint that start elsewhere before its lease is over, or never. */
@@ -81,9 +81,9 @@
         placer.offer(PlacerFixture.offer(1, 1, 2_000, PlacerFixture.ORIGIN, false));
         fixture.timers.pass(100);
         int first = fixture.endpoint(1).running() > 0 ? 1 : 2;
-        fixture.way(first, FakeOrders.Way.CUT);
+        fixture.setWay(first, FakeOrders.Way.CUT);
         fixture.timers.pass(2_500);
-        assertEquals(fixture.ledger.broken(), ImmutableList.of());
+        assertEquals(fixture.ledger.violations(), ImmutableList.of());
         assertEquals(fixture.verdicts, ImmutableList.of("origin-1 1 DONE"));
     }
 
@@ -100,13 +100,13 @@
         next.offer(PlacerFixture.offer(1, 2, 900, PlacerFixture.ORIGIN, true));
         fixture.timers.pass(3_000);
         assertEquals(fixture.fenced, 1);
-        assertEquals(fixture.ledger.broken(), ImmutableList.of());
+        assertEquals(fixture.ledger.violations(), ImmutableList.of());
         assertTrue(fixture.verdicts.contains("origin-1 1 DONE"), fixture.verdicts.toString());
     }
 
     /** A client hangs up and sends its job again at once: the second must wait until the first's runs are gone. */
     @Test
-    public void testOffer_againWhileItsRunsAreStopped() {
+    public void testOffer_resubmittedWhileRunsStop() {
         PlacerFixture fixture = new PlacerFixture(2);
         Placer placer = fixture.placer(1);
         fixture.timers.pass(20);
@@ -116,12 +116,12 @@
         placer.offer(PlacerFixture.offer(1, 2, 60, NodeId.of("origin-2"), false));
         fixture.timers.pass(500);
         assertEquals(fixture.verdicts, ImmutableList.of("origin-2 1 DONE"));
-        assertEquals(fixture.ledger.broken(), ImmutableList.of());
+        assertEquals(fixture.ledger.violations(), ImmutableList.of());
     }
 
     /** One endpoint fails all it starts, at once; it looks idle and must not swallow every job's attempts. */
     @Test
-    public void testOffer_endpointThatFailsAll() {
+    public void testOffer_endpointFailsAllRuns() {
         PlacerFixture fixture = new PlacerFixture(3);
         fixture.endpoint(1).outcome = EndKind.FAILED;
         fixture.endpoint(1).runMillis = 5;
@@ -140,7 +140,7 @@
 
     /** A job whose tasks fail wherever they run is answered as failed after its attempts, and not tried for ever. */
     @Test
-    public void testOffer_hopelessWork() {
+    public void testOffer_taskFailsEverywhere() {
         PlacerFixture fixture = new PlacerFixture(2);
         fixture.endpoint(1).outcome = EndKind.FAILED;
         fixture.endpoint(2).outcome = EndKind.FAILED;
@@ -155,7 +155,7 @@
 
     /** The node with the client's connection dies: its job is stopped, for the client sends it again elsewhere. */
     @Test
-    public void testAskerGone() {
+    public void testOriginLost() {
         PlacerFixture fixture = new PlacerFixture(1);
         fixture.endpoint(1).runMillis = 900;
         Placer placer = fixture.placer(1);
@@ -170,7 +170,7 @@
 
     /** Guards against jobs refused in the 50 ms in which a new holder reads its endpoints. */
     @Test
-    public void testOffer_whileEndpointsAreBeingOpened() {
+    public void testOffer_endpointsInitializing() {
         PlacerFixture fixture = new PlacerFixture(2);
         Placer placer = fixture.placer(1);
         placer.offer(PlacerFixture.offer(1, 2));
@@ -179,23 +179,23 @@
     }
 
     @Test
-    public void testOutOfReach() {
+    public void testIsUnreachable() {
         PlacerFixture fixture = new PlacerFixture(2);
-        fixture.way(1, FakeOrders.Way.CUT);
-        fixture.way(2, FakeOrders.Way.CUT);
+        fixture.setWay(1, FakeOrders.Way.CUT);
+        fixture.setWay(2, FakeOrders.Way.CUT);
         Placer placer = fixture.placer(1);
         fixture.timers.pass(500);
         assertEquals(placer.isUnreachable(PlacerFixture.SHARD), false);
         fixture.timers.pass(200);
         assertEquals(placer.isUnreachable(PlacerFixture.SHARD), true);
-        fixture.way(2, FakeOrders.Way.CLEAR);
+        fixture.setWay(2, FakeOrders.Way.CLEAR);
         fixture.timers.pass(1_500);
         assertEquals(placer.isUnreachable(PlacerFixture.SHARD), false);
     }
 
     /** Guards against a burst in which jobs already late go first: 60 of 300 were in time. */
     @Test
-    public void testOffer_overdueGoesBehindWhatCanBeInTime() {
+    public void testOffer_overdueJobStartsLast() {
         PlacerFixture fixture = new PlacerFixture(1);
         fixture.endpoint(1).runMillis = 300;
         Placer placer = fixture.placer(1);
@@ -212,7 +212,7 @@
 
     /** Guards against a run that stalls until the deadline on an endpoint that answers every call. */
     @Test
-    public void testReview_taskStandsStill() {
+    public void testReview_stalledRun() {
         PlacerFixture fixture = new PlacerFixture(2);
         fixture.endpoint(1).runMillis = 100_000;
         fixture.endpoint(2).runMillis = 100_000;
@@ -226,12 +226,12 @@
         placer.review();
         fixture.timers.pass(200);
         assertEquals(fixture.verdicts, ImmutableList.of("origin-1 1 DONE"));
-        assertEquals(fixture.ledger.broken(), ImmutableList.of());
+        assertEquals(fixture.ledger.violations(), ImmutableList.of());
     }
 
     /** Guards against a task that stands still for several times its run time, while its progress shows that. */
     @Test
-    public void testListed_taskWithoutProgressIsStartedElsewhere() {
+    public void testRunList_stalledTaskIsRestarted() {
         PlacerFixture fixture = new PlacerFixture(4);
         fixture.orders.endpoints.values().forEach(endpoint -> endpoint.runMillis = 900);
         Placer placer = fixture.placer(1);
@@ -245,12 +245,12 @@
         fixture.timers.pass(1_400);
         assertEquals(fixture.verdicts.get(3), "origin-1 9 DONE");
         assertEquals(fixture.ledger.starts(), 10);
-        assertEquals(fixture.ledger.broken(), ImmutableList.of());
+        assertEquals(fixture.ledger.violations(), ImmutableList.of());
     }
 
     /** Guards against runs that are stopped because their endpoints report no progress of any run. */
     @Test
-    public void testListed_progressThatIsNeverReportedMeansNothing() {
+    public void testRunList_noProgressReported() {
         PlacerFixture fixture = new PlacerFixture(1);
         fixture.endpoint(1).runMillis = 900;
         fixture.endpoint(1).reportsNoProgress = true;
@@ -266,7 +266,7 @@
 
     /** Guards against a withdrawn job that is started once the runs of an earlier holder are gone. */
     @Test
-    public void testWithdraw_whileItWaitsForEarlierRuns() {
+    public void testWithdraw_awaitingEarlierRuns() {
         PlacerFixture fixture = new PlacerFixture(1);
         Placer placer = fixture.placer(1);
         placer.offer(PlacerFixture.offer(1, 1, 60, PlacerFixture.ORIGIN, true));
@@ -279,7 +279,7 @@
 
     /** The same while it waits for its own first runs to be stopped, and when its node is lost. */
     @Test
-    public void testWithdraw_whileItsFirstRunsAreStopped() {
+    public void testWithdraw_resubmittedWhileRunsStop() {
         PlacerFixture fixture = new PlacerFixture(2);
         Placer placer = fixture.placer(1);
         fixture.timers.pass(20);
@@ -299,7 +299,7 @@
 
     /** Guards against ends that are learned half a second late since one call for the list got no answer. */
     @Test
-    public void testOffer_lookIsLost() {
+    public void testOffer_pollLost() {
         PlacerFixture fixture = new PlacerFixture(1);
         Placer placer = fixture.placer(1);
         fixture.timers.pass(20);
@@ -308,12 +308,12 @@
         placer.offer(PlacerFixture.offer(1, 1));
         fixture.timers.pass(155);
         assertEquals(fixture.verdicts, ImmutableList.of("origin-1 1 DONE"));
-        assertEquals(fixture.ledger.broken(), ImmutableList.of());
+        assertEquals(fixture.ledger.violations(), ImmutableList.of());
     }
 
     /** The order to start is delayed by seconds; the task starts elsewhere in time for its caller, and only there. */
     @Test
-    public void testOffer_startIsLate() {
+    public void testOffer_startOrderDelayed() {
         PlacerFixture fixture = new PlacerFixture(2);
         Placer placer = fixture.placer(1);
         fixture.timers.pass(20);
@@ -324,12 +324,12 @@
         assertEquals(fixture.verdicts, ImmutableList.of("origin-1 1 DONE"));
         fixture.timers.pass(5_000);
         assertEquals(fixture.ledger.starts(), 1);
-        assertEquals(fixture.ledger.broken(), ImmutableList.of());
+        assertEquals(fixture.ledger.violations(), ImmutableList.of());
     }
 
     /** Only the answer to the start is lost: the run goes on, and nothing of it is thrown away. */
     @Test
-    public void testOffer_startAnswerIsLost() {
+    public void testOffer_startAnswerLost() {
         PlacerFixture fixture = new PlacerFixture(2);
         fixture.endpoint(1).runMillis = 200;
         fixture.endpoint(2).runMillis = 200;
@@ -345,7 +345,7 @@
 
     /** Guards against a started job that is given up as late while its caller still waits. */
     @Test
-    public void testOffer_startedJobIsFinishedHoweverLate() {
+    public void testOffer_startedJobFinishesLate() {
         PlacerFixture fixture = new PlacerFixture(1);
         fixture.endpoint(1).runMillis = 500;
         Placer placer = fixture.placer(1);
@@ -357,7 +357,7 @@
 
     /** Guards against a late job that is refused while endpoints are idle and its caller still waits. */
     @Test
-    public void testOffer_lateWithRoomFree() {
+    public void testOffer_lateWithFreeCapacity() {
         PlacerFixture fixture = new PlacerFixture(2);
         Placer placer = fixture.placer(1);
         fixture.timers.pass(20);
@@ -368,7 +368,7 @@
 
     /** The same in the moment in which the holder claims, and its endpoints are still being opened. */
     @Test
-    public void testOffer_lateWhileEndpointsAreBeingOpened() {
+    public void testOffer_lateWhileEndpointsInitialize() {
         PlacerFixture fixture = new PlacerFixture(2);
         Placer placer = fixture.placer(1);
         placer.offer(PlacerFixture.offer(1, 2).later(500));
--- a/tarragonarch-core/src/test/java/org/tarragonarch/core/placing/ShareLoad.java
+++ b/tarragonarch-core/src/test/java/org/tarragonarch/core/placing/ShareLoad.java
@@ -15,9 +15,9 @@
 
 /** Streams of jobs of several priorities on one placer with 20 endpoints, which hold two tasks each. */
 final class ShareLoad {
-    static final int PLACES = 40;
+    static final int TASK_SLOTS = 40;
 
-    private static final int ENDPOINTS = PLACES / 2;
+    private static final int ENDPOINTS = TASK_SLOTS / 2;
     private static final int JOB_ID_LENGTH = 16;
     private static final long SETTLING_MILLIS = 20;
     private static final long SAMPLE_MILLIS = 10;
@@ -46,7 +46,7 @@
     }
 
     /** One kind of job; they come at even distances. */
-    record Kind(int priority, int tasks, long runMillis, long everyMillis) {}
+    record Kind(int priority, int tasks, long runMillis, long intervalMillis) {}
 
     private record Sent(Kind kind, long atMillis) {}
 
@@ -54,7 +54,7 @@
 
     /** Has jobs of a kind come from one moment of the load to another. */
     void send(Kind kind, long fromMillis, long toMillis) {
-        for (long at = fromMillis; at < toMillis; at += kind.everyMillis()) {
+        for (long at = fromMillis; at < toMillis; at += kind.intervalMillis()) {
             fixture.timers.after(at, () -> offer(kind));
         }
     }
@@ -69,7 +69,7 @@
         return fixture.timers.nowMillis() - startMillis;
     }
 
-    void play(long millis) {
+    void run(long millis) {
         for (long at = SAMPLE_MILLIS; at < millis; at += SAMPLE_MILLIS) {
             fixture.timers.pass(SAMPLE_MILLIS);
             sample();
@@ -95,7 +95,7 @@
                 .orElseThrow();
     }
 
-    long mostRuns(int priority) {
+    long maxRuns(int priority) {
         return samples.stream()
                 .mapToLong(each -> each.runsByPriority().getOrDefault(priority, 0L))
                 .max()
@@ -109,8 +109,8 @@
     }
 
     /** Returns which part of the jobs of a kind that were sent between two moments was answered in time. */
-    double inTime(Kind kind, long fromMillis, long toMillis) {
-        return part(kind, fromMillis, toMillis, id -> {
+    double inTimeFraction(Kind kind, long fromMillis, long toMillis) {
+        return fraction(kind, fromMillis, toMillis, id -> {
             PlacerFixture.Settled end = fixture.settled.get(id);
             long took = end == null
                     ? Long.MAX_VALUE
@@ -119,12 +119,12 @@
         });
     }
 
-    double refused(Kind kind) {
-        return part(kind, 0, Long.MAX_VALUE, id -> fixture.settled.get(id).verdict() == Verdict.DECLINED);
+    double refusedFraction(Kind kind) {
+        return fraction(kind, 0, Long.MAX_VALUE, id -> fixture.settled.get(id).verdict() == Verdict.DECLINED);
     }
 
     /** Returns which part of the refused jobs of a kind was refused as they came, with a time to come back. */
-    double refusedAtOnce(Kind kind) {
+    double refusedAtOnceFraction(Kind kind) {
         ImmutableList<JobId> refused = sent.keySet().stream()
                 .filter(id -> sent.get(id).kind().equals(kind)
                         && fixture.settled.get(id).verdict() == Verdict.DECLINED)
@@ -136,7 +136,7 @@
         });
     }
 
-    private double part(Kind kind, long fromMillis, long toMillis, Predicate<JobId> wanted) {
+    private double fraction(Kind kind, long fromMillis, long toMillis, Predicate<JobId> wanted) {
         ImmutableList<JobId> ids = sent.keySet().stream()
                 .filter(id -> sent.get(id).kind().equals(kind)
                         && sent.get(id).atMillis() >= fromMillis
--- a/tarragonarch-core/src/test/java/org/tarragonarch/core/placing/SharesUnderLoadTest.java
+++ b/tarragonarch-core/src/test/java/org/tarragonarch/core/placing/SharesUnderLoadTest.java
@@ -31,13 +31,13 @@
     private static final long LENGTH_MILLIS = 8_000;
     private static final long TAIL_MILLIS = 4_000;
 
-    private static ShareLoad play(SharePlan plan, Kind... kinds) {
+    private static ShareLoad run(SharePlan plan, Kind... kinds) {
         ShareLoad load = new ShareLoad(plan);
         for (Kind kind : kinds) {
             load.send(kind, 0, LENGTH_MILLIS);
         }
-        load.play(LENGTH_MILLIS + TAIL_MILLIS);
-        assertEquals(load.fixture.ledger.broken(), ImmutableList.of());
+        load.run(LENGTH_MILLIS + TAIL_MILLIS);
+        assertEquals(load.fixture.ledger.violations(), ImmutableList.of());
         return load;
     }
 
@@ -47,59 +47,60 @@
 
     /** Guards against short jobs that are refused, or late, because long ones came first and fill the queue. */
     @Test
-    public void testFloodOfLongJobs_besideShortOnes() {
-        ShareLoad load = play(WEIGHTED, SHORT, LONG_FLOOD);
-        assertBetween(load.inTime(SHORT, 2_000, LENGTH_MILLIS), 0.99, 1, "short in time");
-        assertBetween(load.refused(LONG_FLOOD), 0.5, 0.8, "long refused");
-        assertBetween(load.refusedAtOnce(LONG_FLOOD), 0.95, 1, "refused at once, with a time to come back");
+    public void testWeights_longFloodWithShortJobs() {
+        ShareLoad load = run(WEIGHTED, SHORT, LONG_FLOOD);
+        assertBetween(load.inTimeFraction(SHORT, 2_000, LENGTH_MILLIS), 0.99, 1, "short in time");
+        assertBetween(load.refusedFraction(LONG_FLOOD), 0.5, 0.8, "long refused");
+        assertBetween(load.refusedAtOnceFraction(LONG_FLOOD), 0.95, 1, "refused at once, with a time to come back");
         assertBetween(load.meanRuns(2, 2_000, LENGTH_MILLIS), 24, 28, "places of long runs");
     }
 
     /** Guards against one flood that pushes the other out: each has its part by weight, 32 and 8 places. */
     @Test
-    public void testTwoFloods_atOnce() {
-        ShareLoad load = play(WEIGHTED, SHORT_FLOOD, LONG_FLOOD);
+    public void testWeights_twoFloods() {
+        ShareLoad load = run(WEIGHTED, SHORT_FLOOD, LONG_FLOOD);
         assertBetween(load.meanRuns(0, 2_000, LENGTH_MILLIS), 29, 34, "places of short runs");
         assertBetween(load.meanRuns(2, 2_000, LENGTH_MILLIS), 6, 10, "places of long runs");
-        assertBetween(load.refusedAtOnce(SHORT_FLOOD), 0.95, 1, "short refused at once");
-        assertBetween(load.refusedAtOnce(LONG_FLOOD), 0.95, 1, "long refused at once");
+        assertBetween(load.refusedAtOnceFraction(SHORT_FLOOD), 0.95, 1, "short refused at once");
+        assertBetween(load.refusedAtOnceFraction(LONG_FLOOD), 0.95, 1, "long refused at once");
         assertEquals(
-                ImmutableList.copyOf(
-                        load.fixture.limits.subList(0, 2).stream().sorted().toList()),
+                ImmutableList.copyOf(load.fixture.limitChanges.subList(0, 2).stream()
+                        .sorted()
+                        .toList()),
                 ImmutableList.of("0 limited", "2 limited"));
-        assertTrue(load.fixture.limits.size() <= 6, load.fixture.limits.toString());
+        assertTrue(load.fixture.limitChanges.size() <= 6, load.fixture.limitChanges.toString());
     }
 
     /** Guards against capacity that stays idle, or stays lent: no run is stopped to get it back. */
     @Test
-    public void testIdleCapacity_isLentAndComesBack() {
+    public void testIdleCapacity_lentAndReturned() {
         ShareLoad load = new ShareLoad(WEIGHTED);
         load.send(LONG_FLOOD, 0, LENGTH_MILLIS);
         load.send(SHORT, 4_000, LENGTH_MILLIS);
-        load.play(LENGTH_MILLIS + TAIL_MILLIS);
-        assertBetween(load.meanRuns(2, 2_000, 4_000), 38, ShareLoad.PLACES, "places lent");
-        assertBetween(load.inTime(SHORT, 5_000, LENGTH_MILLIS), 0.99, 1, "short in time");
+        load.run(LENGTH_MILLIS + TAIL_MILLIS);
+        assertBetween(load.meanRuns(2, 2_000, 4_000), 38, ShareLoad.TASK_SLOTS, "places lent");
+        assertBetween(load.inTimeFraction(SHORT, 5_000, LENGTH_MILLIS), 0.99, 1, "short in time");
         assertEquals(load.fixture.badEnds, ImmutableList.of());
     }
 
     /** Guards against a share that borrows beyond its ceiling while all else is idle. */
     @Test
-    public void testShare_atItsCeiling() {
+    public void testCeiling_idlePool() {
         SharePlan plan = SharePlan.of(ImmutableList.of(new ShareSettings(2, 1, 0, 0.5)));
-        ShareLoad load = play(plan, LONG_FLOOD);
-        long ceiling = (long) (ShareLoad.PLACES / 2 * 16.0 / 14);
-        assertEquals(load.mostRuns(2), ceiling);
+        ShareLoad load = run(plan, LONG_FLOOD);
+        long ceiling = (long) (ShareLoad.TASK_SLOTS / 2 * 16.0 / 14);
+        assertEquals(load.maxRuns(2), ceiling);
         assertBetween(load.meanRuns(2, 2_000, LENGTH_MILLIS), ceiling - 1, ceiling, "places of long runs");
-        assertBetween(load.refusedAtOnce(LONG_FLOOD), 0.95, 1, "refused at once");
+        assertBetween(load.refusedAtOnceFraction(LONG_FLOOD), 0.95, 1, "refused at once");
     }
 
     /** Guards against a flood of a heavy share that leaves a light one less than it was promised. */
     @Test
-    public void testGuaranteedPart_underFlood() {
+    public void testGuarantee_floodOfHeavyShare() {
         SharePlan plan =
                 SharePlan.of(ImmutableList.of(new ShareSettings(0, 1, 0.35, 1), ShareSettings.weighted(2, 100)));
-        ShareLoad load = play(plan, SHORT, LONG_FLOOD);
-        assertBetween(load.inTime(SHORT, 2_000, LENGTH_MILLIS), 0.95, 1, "short in time");
+        ShareLoad load = run(plan, SHORT, LONG_FLOOD);
+        assertBetween(load.inTimeFraction(SHORT, 2_000, LENGTH_MILLIS), 0.95, 1, "short in time");
         assertBetween(load.meanRuns(2, 2_000, LENGTH_MILLIS), 24, 28, "places of long runs");
     }
 
@@ -108,8 +109,8 @@
      * its time, as the code before gave them.
      */
     @Test
-    public void testNothingChanges_withoutShares() {
-        ShareLoad load = play(SharePlan.NONE, SHORT_FLOOD, LONG_FLOOD, new Kind(1, 3, 170, 30));
+    public void testNoShares_verdictsUnchanged() {
+        ShareLoad load = run(SharePlan.NONE, SHORT_FLOOD, LONG_FLOOD, new Kind(1, 3, 170, 30));
         StringBuilder verdicts = new StringBuilder();
         load.fixture.settled.entrySet().stream()
                 .sorted((first, second) ->
@@ -130,7 +131,7 @@
 
     /** Guards against a new holder that takes the runs it adopts for nobody's, and lets a share borrow twice. */
     @Test
-    public void testUse_countsAdoptedRuns() {
+    public void testShareUses_adoptedRuns() {
         PlacerFixture fixture = new PlacerFixture(2);
         fixture.plan = WEIGHTED;
         fixture.orders.endpoints.values().forEach(each -> each.runMillis = 900);
--- a/tarragonarch-core/src/test/java/org/tarragonarch/core/placing/StallDetectorTest.java
+++ b/tarragonarch-core/src/test/java/org/tarragonarch/core/placing/StallDetectorTest.java
@@ -80,10 +80,10 @@
         HeldEndpoint endpoint = PendingJobsTest.endpoint(fixture);
         PlacedTask task = PendingJobsTest.job(1, 1).tasks().get(0);
         Reservation reservation =
-                new Reservation(task, task.takeRun(), task.job().need(), 0);
+                new Reservation(task, task.allocateRun(), task.job().taskResources(), 0);
         ReservedRoom room = new ReservedRoom(fixture.entries.get(0).capacity(), new ShareTally());
         room.reserve(reservation);
-        task.placed(endpoint, reservation);
+        task.setPlacement(endpoint, reservation);
         StallDetector detector = new StallDetector(room, new EndpointHealth(), new EndpointSpeed(), progress);
         detector.followProgress(reservation, 0, 60);
         int percent = 0;
--- a/tarragonarch-core/src/test/java/org/tarragonarch/core/queue/JobQueueTest.java
+++ b/tarragonarch-core/src/test/java/org/tarragonarch/core/queue/JobQueueTest.java
@@ -24,7 +24,7 @@
     }
 
     @Test
-    public void testNext_jobThatCanFinishSoonest() {
+    public void testNext_leastExpectedWork() {
         JobQueue<String> jobs = JobQueue.create();
         jobs.add("long", PRESS, 1, 10, 100 * MILLI);
         jobs.add("short", PRESS, 1, 2, 100 * MILLI);
@@ -38,7 +38,7 @@
 
     /** Guards against a job queued with a long estimate that newer, smaller ones pass until its deadline. */
     @Test
-    public void testNext_largerJobIsNotPassedForEver() {
+    public void testNext_largerJobIsNotStarved() {
         JobQueue<String> jobs = JobQueue.create();
         jobs.add("old", PRESS, 1, 3, 200 * MILLI);
         jobs.add("new-0", PRESS, 1, 3, 100 * MILLI);
@@ -71,7 +71,7 @@
     }
 
     @Test
-    public void testNext_teamHeldBackSavesUpNoTurns() {
+    public void testNext_teamAtQuotaGainsNoCredit() {
         // A team waits at its quota while another one works. Let go, it must not shut the other one out until it has
         // caught up on all that it missed.
         JobQueue<String> jobs = JobQueue.create();
@@ -91,7 +91,7 @@
     }
 
     @Test
-    public void testExpectedNanosAhead_countsOwnTeamAndItsShare() {
+    public void testExpectedNanosAhead() {
         assertEquals(queue.expectedNanosAhead(PRESS, 1), 0);
         queue.add("flood", STUDENTS, 1, 1000, 100 * MILLI);
         assertEquals(queue.expectedNanosAhead(PRESS, 1), 0, "another team's backlog is not ahead of the first job");
@@ -106,7 +106,7 @@
     }
 
     @Test
-    public void testRandomOperations_countsStayTrue() {
+    public void testRandomOperations_countsMatchModel() {
         JobQueue<String> jobs = JobQueue.create();
         Random random = new Random(11);
         Map<String, Integer> model = new HashMap<>();
--- a/tarragonarch-core/src/test/java/org/tarragonarch/core/quota/SharedLimitsTest.java
+++ b/tarragonarch-core/src/test/java/org/tarragonarch/core/quota/SharedLimitsTest.java
@@ -23,7 +23,7 @@
     }
 
     @Test(dataProvider = "limitsAndNodes")
-    public void testShare_sumIsTheLimit(int limit, int nodes) {
+    public void testShare_sumEqualsLimit(int limit, int nodes) {
         // A team may run two tasks in a domain of three nodes. If each node allowed at least one, three would run.
         ImmutableSet<NodeId> all = IntStream.range(0, nodes)
                 .mapToObj(number -> NodeId.of("hobart-" + number))
@@ -31,25 +31,25 @@
         int sum = 0;
         for (NodeId node : all) {
             SharedLimits<TeamName> limits = SharedLimits.create(node, team -> limit);
-            limits.sharers(all);
+            limits.setSharers(all);
             sum += limits.share(TEAM);
         }
         assertEquals(sum, limit);
     }
 
     @Test
-    public void testShare_wholeLimitWhileNoOtherNodeIsKnown() {
+    public void testShare_singleNode() {
         assertEquals(SharedLimits.<TeamName>create(SELF, team -> 200).share(TEAM), 200);
     }
 
     @Test
     public void testSharers_withoutThisNode() {
         SharedLimits<TeamName> limits = SharedLimits.create(SELF, team -> 200);
-        assertThrows(IllegalArgumentException.class, () -> limits.sharers(ImmutableSet.of(NodeId.of("hobart-1"))));
+        assertThrows(IllegalArgumentException.class, () -> limits.setSharers(ImmutableSet.of(NodeId.of("hobart-1"))));
     }
 
     @Test
-    public void testMayStart_untilShareIsUsed() {
+    public void testMayStart() {
         SharedLimits<TeamName> limits = SharedLimits.create(SELF, team -> 2);
         limits.started(TEAM);
         assertTrue(limits.mayStart(TEAM));
--- a/tarragonarch-core/src/test/java/org/tarragonarch/core/shard/ListAtHandOverTest.java
+++ b/tarragonarch-core/src/test/java/org/tarragonarch/core/shard/ListAtHandOverTest.java
@@ -109,8 +109,8 @@
     }
 
     private void assertEachTaskRanOnceAtATime() {
-        String message = ledger.broken() + ", the next holder went on by " + second.grounds();
-        assertEquals(ledger.broken().size(), 0, message);
+        String message = ledger.violations() + ", the next holder went on by " + second.grounds();
+        assertEquals(ledger.violations().size(), 0, message);
     }
 
     /** Guards against a task that runs twice because its endpoint joined after the next holder had read the list. */
--- a/tarragonarch-core/src/test/java/org/tarragonarch/core/share/LimitWatchTest.java
+++ b/tarragonarch-core/src/test/java/org/tarragonarch/core/share/LimitWatchTest.java
@@ -13,7 +13,7 @@
 
     /** Guards against two log lines for each start of a share whose use is about its allotment. */
     @Test
-    public void testUpdate_useAtAllotmentIsNotReported() {
+    public void testUpdate_useAroundAllotment() {
         LimitWatch watch = new LimitWatch();
         for (long now = 0; now < 10_000; now += 100) {
             assertEquals(watch.update(state(now % 200 == 0), now), Optional.empty());
--- a/tarragonarch-core/src/test/java/org/tarragonarch/core/share/WaterFillingTest.java
+++ b/tarragonarch-core/src/test/java/org/tarragonarch/core/share/WaterFillingTest.java
@@ -27,7 +27,7 @@
 
     /** Guards against capacity that one share does not want and no other gets. */
     @Test
-    public void testDivide_whatOneDoesNotWantGoesToTheOthers() {
+    public void testDivide_redistributesUnwantedCapacity() {
         long[] allotted = divide(
                 demand(ShareSettings.weighted(0, 4), 1_000),
                 demand(ShareSettings.weighted(1, 2), 9_000),
@@ -45,7 +45,7 @@
     }
 
     @Test
-    public void testDivide_nobodyWantsMoreThanThereIs() {
+    public void testDivide_demandWithinCapacity() {
         long[] allotted = divide(demand(ShareSettings.weighted(0, 4), 1_000), demand(ShareSettings.weighted(1, 2), 0));
         assertEquals(allotted, new long[] {1_000, 0});
     }
--- a/tarragonarch-core/src/test/java/org/tarragonarch/core/speed/EndpointSpeedTest.java
+++ b/tarragonarch-core/src/test/java/org/tarragonarch/core/speed/EndpointSpeedTest.java
@@ -15,7 +15,7 @@
 
     private final Random random = new Random(20261203);
 
-    private void runs(EndpointSpeed speed, int count, double trueSpeed) {
+    private void recordRuns(EndpointSpeed speed, int count, double trueSpeed) {
         for (int run = 0; run < count; run++) {
             speed.record(EXPECTED_MILLIS, EXPECTED_MILLIS / trueSpeed * Math.exp(SCATTER * random.nextGaussian()));
         }
@@ -29,32 +29,32 @@
 
     /** Load: endpoints of three speeds. */
     @Test
-    public void testRan_threeSpeeds() {
+    public void testRecord_threeSpeeds() {
         for (double trueSpeed : new double[] {0.6, 1.0, 1.6}) {
             EndpointSpeed speed = new EndpointSpeed();
-            runs(speed, 100, trueSpeed);
+            recordRuns(speed, 100, trueSpeed);
             assertEquals(speed.value() / trueSpeed, 1.0, 0.25, "speed " + trueSpeed);
         }
     }
 
     /** Load: an endpoint turns five times slower. Guards against seconds in which tasks still go there. */
     @Test
-    public void testRan_turnsFiveTimesSlower() {
+    public void testRecord_suddenSlowdown() {
         EndpointSpeed speed = new EndpointSpeed();
-        runs(speed, 100, 1);
-        runs(speed, 6, 0.2);
+        recordRuns(speed, 100, 1);
+        recordRuns(speed, 6, 0.2);
         assertTrue(speed.value() < 0.6, "after six slow runs " + speed.value());
-        runs(speed, 30, 1);
+        recordRuns(speed, 30, 1);
         assertTrue(speed.value() > 0.7, "after thirty ordinary runs " + speed.value());
     }
 
     /** Load: 3% of tasks run seven times as long. Guards against an endpoint that counts as slow for them. */
     @Test
-    public void testRan_stragglersDoNotMakeItSlow() {
+    public void testRecord_stragglers() {
         EndpointSpeed speed = new EndpointSpeed();
         double lowest = 1;
         for (int run = 0; run < 2_000; run++) {
-            runs(speed, 1, random.nextDouble() < 0.03 ? 1 / 7.0 : 1);
+            recordRuns(speed, 1, random.nextDouble() < 0.03 ? 1 / 7.0 : 1);
             lowest = Math.min(lowest, speed.value());
         }
         assertTrue(lowest > 0.5, "lowest " + lowest);
@@ -63,17 +63,17 @@
 
     /** Guards against speeds that leave their bounds, on which waits are computed. */
     @Test
-    public void testRan_staysWithinBounds() {
+    public void testRecord_bounds() {
         EndpointSpeed speed = new EndpointSpeed();
-        runs(speed, 200, 0.001);
+        recordRuns(speed, 200, 0.001);
         assertEquals(speed.value(), 0.2, 0.001);
-        runs(speed, 200, 1_000);
+        recordRuns(speed, 200, 1_000);
         assertEquals(speed.value(), 3, 0.001);
     }
 
     /** Guards against decisions that change with noise: within 0.87 to 1.15 all endpoints are of one class. */
     @Test
-    public void testClassSpeed_alikeWithinClass() {
+    public void testClassSpeed_withinClass() {
         for (double trueSpeed : new double[] {0.87, 1.0, 1.15}) {
             EndpointSpeed speed = new EndpointSpeed();
             for (int run = 0; run < 200; run++) {
@@ -86,10 +86,10 @@
 
     /** Guards against speeds that all rise together while the expected run times fall. */
     @Test
-    public void testNormalize_meanStaysAtOne() {
+    public void testNormalize_meanIsOne() {
         ImmutableList<EndpointSpeed> pool = ImmutableList.of(new EndpointSpeed(), new EndpointSpeed());
-        runs(pool.get(0), 200, 1.25);
-        runs(pool.get(1), 200, 1.8);
+        recordRuns(pool.get(0), 200, 1.25);
+        recordRuns(pool.get(1), 200, 1.8);
         double ratio = pool.get(1).value() / pool.get(0).value();
         for (int call = 0; call < 50; call++) {
             PoolSpeeds.normalize(pool);
@@ -99,9 +99,9 @@
     }
 
     @Test
-    public void testSummary_ofSomeAndOfNone() {
+    public void testSummary() {
         EndpointSpeed fast = new EndpointSpeed();
-        runs(fast, 500, 2);
+        recordRuns(fast, 500, 2);
         SpeedSummary summary = SpeedSummary.of(ImmutableList.of(new EndpointSpeed(), fast));
         assertEquals(summary.slowest(), 1.0);
         assertEquals(summary.fastest(), fast.value());
--- a/tarragonarch-entry/src/main/java/org/tarragonarch/entry/cluster/ShardLog.java
+++ b/tarragonarch-entry/src/main/java/org/tarragonarch/entry/cluster/ShardLog.java
@@ -45,9 +45,9 @@
                 "deadline-within-ms",
                 estimate.deadlineWithinMillis(),
                 "places",
-                estimate.places(),
+                estimate.taskSlots(),
                 "free-places",
-                estimate.freePlaces(),
+                estimate.freeTaskSlots(),
                 "waiting-jobs",
                 estimate.waitingJobs()));
         estimate.share().ifPresent(share -> {
@@ -122,7 +122,7 @@
     }
 
     @Override
-    public void notOpen(NodeId origin, int jobs) {
+    public void jobsNotOpen(NodeId origin, int jobs) {
         log.line(NodeEvent.JOBS_NOT_OPEN, "origin", origin, "jobs", jobs);
     }
 
