--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/admission/AdmissionControl.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/admission/AdmissionControl.java
@@ -27,9 +27,10 @@
 import org.tarragonarch.model.service.TeamDefinition;
 
 /**
- * Decides at the door whether a submission is taken, so that what can never run, or not in time, is refused at once.
+ * Decides on arrival whether a submission is admitted, so that one that can never run, or not in time, is refused at
+ * once.
  *
- * <p>Not safe for use by several threads. A decision takes time linear in the submission's tasks.
+ * <p>Not thread-safe. A decision takes time linear in the number of the submission's tasks.
  */
 public final class AdmissionControl {
     private static final String CALLER = "caller";
@@ -44,12 +45,12 @@
         this.endpoints = checkNotNull(endpoints, "endpoints");
     }
 
-    /** Returns an admission control that looks at these queues and estimates. */
+    /** Returns an admission control that decides by the given queues, estimates and endpoints. */
     public static AdmissionControl create(ServiceLanes lanes, WaitEstimates estimates, EndpointDirectory endpoints) {
         return new AdmissionControl(lanes, estimates, endpoints);
     }
 
-    /** Decides upon one submission. */
+    /** Returns the decision on one submission. */
     public AdmissionDecision decide(
             SubmissionArrived arrived, NodePhase phase, Optional<ServiceCatalog> inForce, long nowNanos) {
         if (inForce.isEmpty()) {
@@ -111,9 +112,9 @@
                     submission,
                     ProblemCode.OVER_QUOTA,
                     "the limits of " + submission.team().name() + " and " + service
-                            + " give this node no part; another node may have one");
+                            + " give this node no share; another node may have one");
         }
-        if (queueFull(submission)) {
+        if (isQueueFull(submission)) {
             return refuseUntilDrained(submission, ProblemCode.QUEUE_FULL, "the queue of " + service + " is full");
         }
         if (estimates.cannotFinish(submission, submission.arrivedNanos()) || wouldMissDeadline(submission)) {
@@ -123,18 +124,19 @@
         return new Admitted(submission);
     }
 
-    // A team that fills the queue must not shut the others out: over the bound, each team may still hold its fair part.
-    // The bound is passed by less than as much again, since no team's part is more than the whole.
-    private boolean queueFull(Submission submission) {
+    // A team that fills the queue must not lock out the others: beyond the bound, each team may still queue up to its
+    // fair share. The queue stays below twice the bound, since no team's share exceeds the bound.
+    private boolean isQueueFull(Submission submission) {
         JobQueue<SubmissionId> queue = lanes.of(submission.service().name()).queue();
         TeamDefinition team = submission.team();
         int bound = submission.service().maxQueuedTasks();
         int tasks = submission.arrived().tasks().size();
-        boolean overBound = queue.queuedTasks() + tasks > bound;
-        return overBound && queue.queuedTasks(team.name()) + tasks > queue.fairShare(team.name(), team.weight(), bound);
+        boolean exceedsBound = queue.queuedTasks() + tasks > bound;
+        return exceedsBound && queue.queuedTasks(team.name()) + tasks > queue.fairShare(team.name(), team.weight(), bound);
     }
 
-    // Estimates are often wrong before anything was learnt; with an empty queue the submission is the way to learn.
+    // Estimates are unreliable until runs were recorded; with an empty queue the submission is admitted, so that they
+    // are.
     private boolean wouldMissDeadline(Submission submission) {
         ServiceName service = submission.service().name();
         Duration wait = estimates.expectedWait(submission);
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/admission/AdmissionDecision.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/admission/AdmissionDecision.java
@@ -1,4 +1,4 @@
 package org.tarragonarch.core.admission;
 
-/** Whether a submission is taken. */
+/** The decision whether a submission is admitted. */
 public sealed interface AdmissionDecision permits Admitted, Refused {}
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/admission/Admitted.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/admission/Admitted.java
@@ -3,8 +3,8 @@
 import org.tarragonarch.core.submission.Submission;
 
 /**
- * The submission is taken.
+ * The submission is admitted.
  *
- * @param submission the submission with the definitions that hold for it
+ * @param submission the submission with the definitions of its service, kind and team
  */
 public record Admitted(Submission submission) implements AdmissionDecision {}
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/admission/Refused.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/admission/Refused.java
@@ -3,8 +3,8 @@
 import org.tarragonarch.model.outcome.Problem;
 
 /**
- * The submission is not taken, and nothing of it will run.
+ * The submission is refused, and none of its tasks will run.
  *
- * @param problem why, with a time to come back where that may help
+ * @param problem the reason, with a retry time where a retry may succeed
  */
 public record Refused(Problem problem) implements AdmissionDecision {}
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/admission/package-info.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/admission/package-info.java
@@ -1,2 +1,2 @@
-/** Whether a submission is taken, and when a refused caller should come back. */
+/** Admission of submissions, and retry times for refused callers. */
 package org.tarragonarch.core.admission;
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/placement/EndpointSlots.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/placement/EndpointSlots.java
@@ -6,9 +6,10 @@
 import org.tarragonarch.model.id.EndpointId;
 
 /**
- * The slots of one endpoint as one node sees them: what it uses itself, and what its peers last reported.
+ * The slots of one endpoint as known to this node: those that it uses itself, and those that its peers last reported in
+ * use.
  *
- * <p>Compared by identity. A change to one is passed to each {@link SlotPool} that holds it by {@link SlotPool#put}.
+ * <p>Compared by identity. After a change, {@link SlotPool#put} must be called on each pool that contains it.
  */
 public final class EndpointSlots {
     private final EndpointId endpoint;
@@ -16,98 +17,107 @@
     private int homeSlots;
     private int ownInFlight;
     private int peersInFlight;
-    private int othersSeen;
+    private int refusedInFlight;
     private int vacated;
 
     private EndpointSlots(EndpointId endpoint) {
         this.endpoint = checkNotNull(endpoint, "endpoint");
     }
 
-    /** Returns an endpoint of which nothing is known to be in use. */
+    /** Returns an endpoint without slots and without tasks in flight. */
     public static EndpointSlots create(EndpointId endpoint) {
         return new EndpointSlots(endpoint);
     }
 
-    /** Returns the endpoint. */
+    /** Returns the id of the endpoint. */
     public EndpointId endpoint() {
         return endpoint;
     }
 
     /**
-     * Sets how many slots there are.
+     * Sets the number of slots.
      *
-     * @param all all slots of the endpoint
-     * @param home those among them whose home is this node
+     * @param all the number of slots of the endpoint
+     * @param home the number of these whose home is this node
      */
     public void resize(int all, int home) {
         slots = all;
         homeSlots = home;
     }
 
-    /** Returns all slots of the endpoint. */
+    /** Returns the number of slots of the endpoint. */
     public int slots() {
         return slots;
     }
 
-    /** Returns tasks of this node in flight at the endpoint. */
+    /** Returns the number of tasks of this node in flight at the endpoint. */
     public int ownInFlight() {
         return ownInFlight;
     }
 
-    /** Counts a task of this node that is sent. */
+    /** Records that a task of this node is sent. */
     public void taskSent() {
         ownInFlight++;
         vacated = Math.max(0, vacated - 1);
     }
 
-    /** Counts a task of this node that ended. */
+    /**
+     * Records that a task of this node ended.
+     *
+     * @throws IllegalStateException if no task of this node is in flight
+     */
     public void taskEnded() {
         checkState(ownInFlight > 0, "no task in flight at %s", endpoint);
         ownInFlight--;
     }
 
-    /** Records that a task of this node left a slot, which is free unless a peer has taken it since. */
+    /** Records that a task of this node released a slot, which is free unless a peer has used it since. */
     public void slotVacated() {
         vacated++;
     }
 
-    /** Records that no slot is free: what this node does not use, others do, whatever they last reported. */
+    /**
+     * Records that no slot is free: every slot that this node does not use counts as used by others, whatever peers
+     * last reported.
+     */
     public void markFull() {
         vacated = 0;
-        othersSeen = Math.max(0, slots - ownInFlight);
+        refusedInFlight = Math.max(0, slots - ownInFlight);
     }
 
-    /** Lets one slot more count as free, since a refusal grows old. */
+    /** Counts one more slot as free, as the last refusal ages. */
     public void decayRefusal() {
-        othersSeen = Math.max(0, othersSeen - 1);
+        refusedInFlight = Math.max(0, refusedInFlight - 1);
     }
 
-    /** Returns whether a refusal still counts. */
+    /** Returns whether slots still count as used by others because of a refusal. */
     public boolean hasRecentRefusal() {
-        return othersSeen > 0;
+        return refusedInFlight > 0;
     }
 
-    /** Records a change of what peers report in flight. */
+    /** Adds to the number of tasks that peers report in flight; {@code delta} may be negative. */
     public void addPeersInFlight(int delta) {
         peersInFlight += delta;
     }
 
-    /** Returns the tasks of peers in flight at the endpoint, as they last reported. */
+    /** Returns the number of tasks of peers in flight at the endpoint, as last reported. */
     public int peersInFlight() {
         return peersInFlight;
     }
 
-    /** Returns whether a slot is free by what this node did and met itself, whatever peers report. */
+    /** Returns whether a slot is free according to this node's own tasks and refusals, whatever peers report. */
     boolean hasFreeSlot() {
-        return ownInFlight + othersSeen < slots;
+        return ownInFlight + refusedInFlight < slots;
     }
 
-    /** Returns the slots not in use by this node or, as last reported or seen, by others; may be below 0. */
+    /**
+     * Returns the number of slots not in use by this node or, as last reported or refused, by others; may be negative.
+     */
     public int estimatedFreeSlots() {
-        return slots - ownInFlight - Math.max(peersInFlight, othersSeen);
+        return slots - ownInFlight - Math.max(peersInFlight, refusedInFlight);
     }
 
-    /** Returns whether this node left a slot and has not used it since. */
+    /** Returns whether this node has released a slot and not used it since. */
     boolean hasVacatedSlot() {
         return vacated > 0;
     }
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/placement/FreeSlotIndex.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/placement/FreeSlotIndex.java
@@ -12,16 +12,16 @@
 import org.tarragonarch.model.id.EndpointId;
 
 /**
- * Endpoints by a rank, so that one of the highest is found without looking at the others.
+ * An index of endpoints by rank, which finds one of the highest rank without a scan.
  *
- * <p>A change or choice costs time by the logarithm of the number of distinct ranks, which is at most the number of
- * slots of an endpoint, whatever the number of endpoints.
+ * <p>A change or choice takes time logarithmic in the number of distinct ranks, which is at most the number of slots of
+ * an endpoint, whatever the number of endpoints.
  */
 final class FreeSlotIndex {
     private final TreeMap<Integer, List<EndpointSlots>> buckets = new TreeMap<>(Comparator.reverseOrder());
     private final Map<EndpointSlots, Place> places = new HashMap<>();
 
-    /** Adds an endpoint or moves it to another rank. */
+    /** Adds an endpoint, or changes its rank. */
     void put(EndpointSlots endpoint, int rank) {
         Place place = places.get(endpoint);
         if (place != null && place.rank == rank) {
@@ -33,7 +33,7 @@
         bucket.add(endpoint);
     }
 
-    /** Takes an endpoint out, if it is in. */
+    /** Removes an endpoint, if present. */
     void remove(EndpointSlots endpoint) {
         Place place = places.remove(endpoint);
         if (place == null) {
@@ -50,7 +50,10 @@
         }
     }
 
-    /** Returns a random one of the endpoints of the highest rank that holds one not to be avoided. */
+    /**
+     * Returns a random endpoint of the highest rank that has an endpoint outside {@code avoid}; empty if there is none
+     * of rank {@code atLeast} or higher.
+     */
     Optional<EndpointSlots> highest(int atLeast, Set<EndpointId> avoid, Random random) {
         for (Map.Entry<Integer, List<EndpointSlots>> bucket : buckets.entrySet()) {
             if (bucket.getKey() < atLeast) {
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/placement/PlacementStrategy.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/placement/PlacementStrategy.java
@@ -6,9 +6,9 @@
 import java.util.Set;
 import org.tarragonarch.model.id.EndpointId;
 
-/** The ways to choose among the endpoints of a pool. {@code docs/design/placement.md} has their figures. */
+/** The strategies for the choice among the endpoints of a pool. */
 public enum PlacementStrategy {
-    /** Any endpoint that this node does not fill by itself. */
+    /** Any endpoint that this node has not filled itself. */
     RANDOM {
         @Override
         int rank(EndpointSlots endpoint) {
@@ -21,7 +21,7 @@
             return candidates(pool, mayRisk).highest(Integer.MIN_VALUE, avoid, random);
         }
     },
-    /** Of two random endpoints the one with fewer tasks of this node. */
+    /** The one of two random endpoints that has fewer tasks of this node. */
     TWO_CHOICES {
         @Override
         int rank(EndpointSlots endpoint) {
@@ -36,7 +36,7 @@
             return first.map(one -> one.ownInFlight() <= second.get().ownInFlight() ? one : second.get());
         }
     },
-    /** The endpoint with most slots free by this node's count and its peers' last reports. */
+    /** The endpoint with the most free slots by this node's count and its peers' last reports. */
     LEAST_LOADED {
         @Override
         int rank(EndpointSlots endpoint) {
@@ -50,10 +50,11 @@
         }
     },
     /**
-     * A slot whose home is this node; failing that, one that seems idle, with as many left over as asked.
+     * A slot whose home is this node; without one, an endpoint that appears to have {@code slotsLeft} more free slots
+     * than the one needed.
      *
-     * <p>Peers keep to their own slots while those last, so a choice among the own ones is seldom refused however old
-     * the peers' reports are.
+     * <p>Peers use their own slots as long as some are free, so a task sent to an own slot is seldom refused, however
+     * old the peers' reports are.
      */
     SLOT_SHARES {
         @Override
@@ -77,15 +78,17 @@
         }
     };
 
-    /** Returns the word that stands for this in settings. */
+    /** Returns the value that denotes this strategy in settings. */
     public String word() {
         return Ascii.toLowerCase(name()).replace('_', '-');
     }
 
-    /** Returns where an endpoint stands in the pool's index; a higher one is preferred. */
+    /** Returns the rank of an endpoint in the pool's index; higher ranks are preferred. */
     abstract int rank(EndpointSlots endpoint);
 
-    /** Returns whether a task sent to an endpoint will hardly be refused: here, if this node left a slot there. */
+    /**
+     * Returns whether an endpoint will probably accept a task; by default, whether this node has released a slot there.
+     */
     boolean isLikelyAccepted(EndpointSlots endpoint) {
         return endpoint.hasVacatedSlot();
     }
@@ -93,7 +96,7 @@
     abstract Optional<EndpointSlots> choose(
             SlotPool pool, int slotsLeft, boolean mayRisk, Set<EndpointId> avoid, Random random);
 
-    /** Returns the endpoints to choose among: without risk only the sure ones. */
+    /** Returns the endpoints to choose among; unless {@code mayRisk}, only those that will probably accept a task. */
     private static FreeSlotIndex candidates(SlotPool pool, boolean mayRisk) {
         return mayRisk ? pool.all() : pool.likelyAccepted();
     }
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/placement/RendezvousHash.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/placement/RendezvousHash.java
@@ -6,35 +6,35 @@
 import org.tarragonarch.model.id.NodeId;
 
 /**
- * Ranks nodes for a thing that is shared among them, in the same order on every node, without a message.
+ * Ranks nodes for a shared resource, in the same order on every node, without messages.
  *
- * <p>Each pair of node and thing has a hash; the node with the highest comes first. A node that comes or goes moves no
- * other two nodes past each other.
+ * <p>Each pair of node and resource has a hash; the node with the highest hash comes first. Adding or removing a node
+ * does not change the relative order of the other nodes.
  */
 public final class RendezvousHash {
     private RendezvousHash() {}
 
     /**
-     * Returns how many of the nodes come before one of them for a thing; costs time in proportion to the nodes.
+     * Returns the number of nodes that come before a node for a resource; takes time linear in the number of nodes.
      *
-     * @param node the node asked about, which need not be among {@code nodes}
-     * @param nodes all nodes that share the thing
-     * @param thing the name of what is shared
+     * @param node the node to rank, which need not be among {@code nodes}
+     * @param nodes all nodes that share the resource
+     * @param resource the name of the resource
      */
-    public static int rank(NodeId node, Set<NodeId> nodes, String thing) {
-        long own = weight(node, thing);
-        int before = 0;
+    public static int rank(NodeId node, Set<NodeId> nodes, String resource) {
+        long own = weight(node, resource);
+        int preceding = 0;
         for (NodeId other : nodes) {
-            if (!other.equals(node) && comesFirst(weight(other, thing), other, own, node)) {
-                before++;
+            if (!other.equals(node) && comesFirst(weight(other, resource), other, own, node)) {
+                preceding++;
             }
         }
-        return before;
+        return preceding;
     }
 
     /**
-     * Returns how many of {@code units} equal parts fall to the node of a rank: an even deal, whose remainder goes to
-     * the first ranks. The parts of all ranks add up to {@code units}.
+     * Returns the share of the node of a rank in {@code units}: an even division whose remainder goes to the first
+     * ranks. The shares of all ranks add up to {@code units}.
      */
     public static int share(int rank, int nodes, int units) {
         return units / nodes + (rank < units % nodes ? 1 : 0);
@@ -44,9 +44,9 @@
         return weight == otherWeight ? node.compareTo(otherNode) < 0 : weight > otherWeight;
     }
 
-    private static long weight(NodeId node, String thing) {
+    private static long weight(NodeId node, String resource) {
         return Hashing.farmHashFingerprint64()
-                .hashString(node.value() + '\n' + thing, StandardCharsets.UTF_8)
+                .hashString(node.value() + '\n' + resource, StandardCharsets.UTF_8)
                 .asLong();
     }
 }
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/placement/SendPace.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/placement/SendPace.java
@@ -4,22 +4,23 @@
 import org.tarragonarch.model.service.ServiceObjective;
 
 /**
- * Spaces out the sends to one failure domain that may well be refused.
+ * Paces the sends to one failure domain that are likely to be refused.
  *
- * <p>Guards against a full service drawing ever more sends: a refused task that goes out again at once finds the next
- * endpoint full too, which shows as several refused sends for each start while nothing starts any sooner. A refusal
- * doubles the gap between such sends and a start shortens it, by so much that the two balance at the part of refusals
- * that the favour bears. The least gap lets a refusal come back before a burst has gone out whole.
+ * <p>Guards against a growing number of sends when a service is full: a refused task that is sent again at once finds
+ * the next endpoint full too, so that there are several refused sends for each start and no task starts sooner. A
+ * refusal doubles the gap between such sends and a start shortens it, so that the two balance at the fraction of
+ * refusals that the service's objective tolerates. The minimum gap lets the first refusal of a burst arrive before the
+ * whole burst is sent.
  */
 final class SendPace {
-    private static final double LEAST_GAP_NANOS = 500_000;
-    private static final double LONGEST_GAP_NANOS = Duration.ofSeconds(2).toNanos();
+    private static final double MIN_GAP_NANOS = 500_000;
+    private static final double MAX_GAP_NANOS = Duration.ofSeconds(2).toNanos();
     private static final double GROWTH = 2;
 
-    private double gapNanos = LEAST_GAP_NANOS;
+    private double gapNanos = MIN_GAP_NANOS;
     private long nextNanos;
 
-    /** Returns when the next send may be made. */
+    /** Returns the time of the next permitted send. */
     long nextNanos() {
         return nextNanos;
     }
@@ -28,13 +29,13 @@
         nextNanos = nowNanos + (long) gapNanos;
     }
 
-    void started(ServiceObjective favour) {
-        double borne = favour.refusedPartOfRiskySends();
-        gapNanos = Math.max(LEAST_GAP_NANOS, gapNanos * Math.pow(GROWTH, -borne / (1 - borne)));
+    void started(ServiceObjective objective) {
+        double tolerated = objective.refusedPartOfRiskySends();
+        gapNanos = Math.max(MIN_GAP_NANOS, gapNanos * Math.pow(GROWTH, -tolerated / (1 - tolerated)));
     }
 
     void refused(long nowNanos) {
-        gapNanos = Math.min(LONGEST_GAP_NANOS, gapNanos * GROWTH);
+        gapNanos = Math.min(MAX_GAP_NANOS, gapNanos * GROWTH);
         sent(nowNanos);
     }
 }
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/placement/SlotPool.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/placement/SlotPool.java
@@ -9,16 +9,16 @@
 import org.tarragonarch.model.service.ServiceObjective;
 
 /**
- * The endpoints of one service in one failure domain that may get a task now.
+ * The endpoints of one service in one failure domain that can be sent a task now.
  *
- * <p>Not safe for use by several threads.
+ * <p>Not thread-safe.
  */
 public final class SlotPool {
     private final PlacementStrategy strategy;
     private final FreeSlotIndex all = new FreeSlotIndex();
     private final FreeSlotIndex likelyAccepted = new FreeSlotIndex();
     private final SendPace pace = new SendPace();
-    private ServiceObjective lastFavour = ServiceObjective.FEW_MESSAGES;
+    private ServiceObjective lastObjective = ServiceObjective.FEW_MESSAGES;
 
     private SlotPool(PlacementStrategy strategy) {
         this.strategy = checkNotNull(strategy, "strategy");
@@ -29,7 +29,7 @@
         return new SlotPool(strategy);
     }
 
-    /** Adds an endpoint, or updates one whose load changed; one that this node knows to be full is left out. */
+    /** Adds an endpoint, or updates one whose load has changed; removes one that this node knows to be full. */
     public void put(EndpointSlots endpoint) {
         if (!endpoint.hasFreeSlot()) {
             remove(endpoint);
@@ -44,20 +44,20 @@
         }
     }
 
-    /** Takes an endpoint out, if it is in. */
+    /** Removes an endpoint, if present. */
     public void remove(EndpointSlots endpoint) {
         all.remove(endpoint);
         likelyAccepted.remove(endpoint);
     }
 
     /**
-     * Returns the endpoint that the strategy prefers, or nothing if it would rather wait.
+     * Returns the endpoint that the strategy prefers; empty if the task should wait.
      *
-     * @param slotsLeft how many slots must seem free beyond one whose home is not this node
+     * @param slotsLeft the number of slots that must appear free beyond the one needed if its home is not this node
      */
     public Optional<EndpointSlots> choose(
-            ServiceObjective favour, int slotsLeft, Set<EndpointId> avoid, Random random, long nowNanos) {
-        lastFavour = favour;
+            ServiceObjective objective, int slotsLeft, Set<EndpointId> avoid, Random random, long nowNanos) {
+        lastObjective = objective;
         Optional<EndpointSlots> chosen = strategy.choose(this, slotsLeft, allowsRiskySend(nowNanos), avoid, random);
         if (chosen.isPresent() && !strategy.isLikelyAccepted(chosen.get())) {
             pace.sent(nowNanos);
@@ -65,22 +65,22 @@
         return chosen;
     }
 
-    /** Returns whether a send may be made now that may well be refused. */
+    /** Returns whether a send that is likely to be refused is permitted now. */
     public boolean allowsRiskySend(long nowNanos) {
         return nowNanos >= pace.nextNanos();
     }
 
-    /** Returns from when on such a send may be made. */
+    /** Returns the time from which a send that is likely to be refused is permitted. */
     public long nextRiskySendNanos() {
         return pace.nextNanos();
     }
 
     /** Records that an endpoint started a task. */
     public void started() {
-        pace.started(lastFavour);
+        pace.started(lastObjective);
     }
 
-    /** Records that an endpoint, whose slot was given back already, refused a task as full. */
+    /** Records that an endpoint refused a task as full; its slot must have been released before. */
     public void refused(EndpointSlots endpoint, long nowNanos) {
         if (!strategy.isLikelyAccepted(endpoint)) {
             pace.refused(nowNanos);
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/placement/package-info.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/placement/package-info.java
@@ -1,2 +1,2 @@
-/** Which endpoint a task is sent to. */
+/** The choice of the endpoint to which a task is sent. */
 package org.tarragonarch.core.placement;
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/placing/CancellingJobs.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/placing/CancellingJobs.java
@@ -10,14 +10,14 @@
 import org.tarragonarch.model.task.Offer;
 
 /**
- * Jobs that are over while runs of theirs still take room.
+ * Jobs that have ended while some of their runs still hold capacity.
  *
- * <p>Guards against a job that is sent again while its first runs are being stopped: its tasks would run twice. Such an
- * offer waits here until the last run is gone.
+ * <p>Guards against a job that is resubmitted while its first runs are being stopped: its tasks would run twice. Such
+ * an offer waits here until the last run has ended.
  */
 final class CancellingJobs {
     private final Map<JobId, PlacedJob> cancelling = new HashMap<>();
-    /** What follows the last run of a job: the offer that waits for it, or none if the job is to be given back. */
+    /** The action after the last run of a job: the offer to admit, or empty if the job is to be evicted. */
     private final Map<JobId, Optional<WaitingOffer>> afterwards = new HashMap<>();
 
     void add(PlacedJob job) {
@@ -26,15 +26,15 @@
         }
     }
 
-    /** Notes that a job which is still ending is to be given back to its origin afterwards. */
+    /** Marks a job for eviction: it is returned to its origin after its last run has ended. */
     void markEvicted(PlacedJob job) {
         afterwards.put(job.id(), Optional.empty());
     }
 
     /**
-     * Keeps the offer if its job is still ending; returns whether it was kept.
+     * Defers the offer if runs of its job are still being stopped; returns whether it was deferred.
      *
-     * <p>A job that was to be given back stays here after all, so that it is not offered elsewhere at the same time.
+     * <p>A job that was marked for eviction stays here instead, so that it is not offered elsewhere at the same time.
      */
     boolean defer(Offer offer, long nowMillis) {
         JobId id = offer.job().id();
@@ -45,7 +45,7 @@
         return true;
     }
 
-    /** Forgets an offer that waits, and that a job is to be given back. */
+    /** Removes the deferred offer or the eviction mark of a job if it belongs to the origin. */
     void withdraw(NodeId origin, JobId id) {
         Optional<WaitingOffer> next = afterwards.get(id);
         if (next != null && originOf(id, next).equals(origin)) {
@@ -53,7 +53,7 @@
         }
     }
 
-    /** Forgets every waiting offer of a node. */
+    /** Removes every deferred offer of an origin. */
     void originLost(NodeId origin) {
         afterwards
                 .values()
@@ -62,7 +62,7 @@
                                 .isPresent());
     }
 
-    /** Forgets a node's waiting offers, and that jobs are to be given back to it, but for those still open there. */
+    /** Removes the deferred offers and eviction marks of an origin, except those of jobs that it still has open. */
     void retain(NodeId origin, Set<JobId> open) {
         for (JobId id : ImmutableList.copyOf(afterwards.keySet())) {
             if (!open.contains(id)) {
@@ -71,7 +71,7 @@
         }
     }
 
-    /** Forgets every job that was to be given back, and returns them. */
+    /** Removes all eviction marks and returns their jobs. */
     ImmutableList<PlacedJob> removeEvicted() {
         ImmutableList<PlacedJob> jobs = afterwards.entrySet().stream()
                 .filter(entry -> entry.getValue().isEmpty())
@@ -81,14 +81,14 @@
         return jobs;
     }
 
-    /** Returns whether the job, of which nothing takes room any more, was to be given back; it is no longer. */
+    /** Removes the eviction mark of a job that holds no capacity; returns whether it had one. */
     boolean removeIfEvicted(PlacedJob job) {
         return !job.hasReservations()
                 && cancelling.get(job.id()) == job
                 && afterwards.remove(job.id(), Optional.empty());
     }
 
-    /** Forgets every waiting offer, and returns them. */
+    /** Removes and returns all deferred offers. */
     ImmutableList<Offer> removeDeferred() {
         ImmutableList<Offer> offers = afterwards.values().stream()
                 .flatMap(Optional::stream)
@@ -98,7 +98,7 @@
         return offers;
     }
 
-    /** Forgets the job if nothing of it takes room; returns the offer that waited for that. */
+    /** Removes the job if it holds no capacity; returns the offer that was deferred until then. */
     Optional<WaitingOffer> removeIfStopped(PlacedJob job) {
         if (job.hasReservations() || !cancelling.remove(job.id(), job)) {
             return Optional.empty();
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/placing/CompletionEstimate.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/placing/CompletionEstimate.java
@@ -4,19 +4,19 @@
 import org.tarragonarch.core.share.ShareState;
 
 /**
- * What a holder expects of a job as it comes in, and from which inputs.
+ * A holder's estimate of when an offered job would complete, with the values that it was computed from.
  *
- * @param waitMillis how long its tasks would wait for room
- * @param expectedRunMillis how long one of its tasks should run
- * @param slowestRunMillis how long the slowest of its tasks should run
- * @param inTimeWithinMillis how long from now its answer still counts in full, or until its client leaves if that is
- *     sooner
- * @param deadlineWithinMillis how long from now its client waits
- * @param taskSlots how many tasks of its size the usable endpoints hold, within the ceiling of its share
- * @param freeTaskSlots how many places of the usable endpoints are free, whatever the ceiling
- * @param waitingJobs how many jobs wait before it
- * @param hasCapacityForAll whether there is room for it and for all that wait, now or as soon as the endpoints that are just
- *     being opened are known
+ * @param waitMillis the expected time until its tasks start
+ * @param expectedRunMillis the expected run time of one of its tasks
+ * @param slowestRunMillis the expected run time of its slowest task
+ * @param inTimeWithinMillis the time left until its objective or its client's deadline, whichever is sooner
+ * @param deadlineWithinMillis the time left until its client's deadline
+ * @param taskSlots the number of tasks of its size that the usable endpoints can run at a time, within the ceiling of
+ *     its share
+ * @param freeTaskSlots the number of these that could start now, regardless of the ceiling
+ * @param waitingJobs the number of pending jobs of its share
+ * @param hasCapacityForAll whether there is capacity for it and all waiting tasks, counting endpoints that are still
+ *     initializing
  * @param share the state of the job's share; empty where no shares are configured
  */
 public record CompletionEstimate(
@@ -31,12 +31,13 @@
         boolean hasCapacityForAll,
         Optional<ShareState> share) {
     /**
-     * Returns whether the job is worth taking.
+     * Returns whether the job should be admitted.
      *
-     * <p>Under load only what should be answered in time is: work on the rest would make others late. Where there is
-     * room for everything that waits, a late answer is still better than none. That is how it is in the seconds
-     * after all nodes were without power, when jobs have waited for a holder and every endpoint is idle. A job of which
-     * the slowest task most likely outlasts its client, even if started now, is taken only where there is such room.
+     * <p>Under load, only jobs that are expected to be answered in time are admitted, since work on other jobs would
+     * make these late. Where there is capacity for all waiting tasks, a late answer is still better than none: for
+     * instance in the seconds after a power loss of all nodes, when jobs have waited for a holder and every endpoint is
+     * idle. A job whose slowest task would probably run beyond the client's deadline, even if started now, is admitted
+     * only where there is such capacity.
      */
     boolean isAdmissible() {
         boolean inTime =
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/placing/CompletionEstimator.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/placing/CompletionEstimator.java
@@ -8,7 +8,7 @@
 import org.tarragonarch.core.share.ShareWait;
 import org.tarragonarch.core.share.TaskSlots;
 
-/** Says what to expect of a job that would be taken now. */
+/** Estimates when a job would complete if it were admitted now. */
 final class CompletionEstimator {
     private final Iterable<HeldEndpoint> endpoints;
     private final PendingShares pending;
@@ -21,24 +21,24 @@
     }
 
     /**
-     * Returns what to expect of a job.
+     * Returns the estimate for a job.
      *
-     * <p>An endpoint that is just being opened counts as room that is taken: right after a takeover or a restart every
-     * endpoint is, for some 50 ms, and a job that waits that long is mostly still in time.
+     * <p>An endpoint that is initializing counts as capacity in use. After a takeover or a restart every endpoint is
+     * initializing for some 50 ms, and a job that waits for that time is usually still answered in time.
      */
     CompletionEstimate estimate(PlacedJob job, long now) {
         CapacityCount capacity = CapacityCount.of(endpoints, job, now);
         PendingJobs own = pending.jobsOf(job.share());
-        boolean roomForAll =
+        boolean hasCapacityForAll =
                 pending.waitingTasks() + job.step().count() <= capacity.freePlaces() + capacity.initializingPlaces();
         long wait;
-        long places = capacity.places();
+        long taskSlots = capacity.places();
         Optional<ShareState> share = Optional.empty();
         if (shares.plan().isConfigured()) {
             ShareWait inShare = waitInShare(job, own, capacity.toPoolPlaces(), now);
             wait = Math.round(inShare.millis() / capacity.meanSpeed());
-            places = inShare.taskSlots();
-            roomForAll &= inShare.fitsBelowCeiling();
+            taskSlots = inShare.taskSlots();
+            hasCapacityForAll &= inShare.fitsBelowCeiling();
             share = Optional.of(inShare.state());
         } else {
             wait = waitInOrder(job, own, capacity, now);
@@ -51,14 +51,14 @@
                 job.slowestRunMillis(),
                 inTimeWithin,
                 deadlineWithin,
-                places,
+                taskSlots,
                 capacity.freePlaces(),
                 own.size(),
-                roomForAll,
+                hasCapacityForAll,
                 share);
     }
 
-    /** Returns how long the job's tasks wait for what goes before them in its queue. */
+    /** Returns the expected wait for the tasks ahead of the job where no shares are configured. */
     private static long waitInOrder(PlacedJob job, PendingJobs own, CapacityCount capacity, long now) {
         long missing = Math.max(0, job.step().count() - capacity.freePlaces());
         boolean startsNow = missing == 0 && own.isEmpty();
@@ -69,11 +69,11 @@
         return (long) (ahead / capacity.weightedPlaces());
     }
 
-    private ShareWait waitInShare(PlacedJob job, PendingJobs own, TaskSlots places, long now) {
+    private ShareWait waitInShare(PlacedJob job, PendingJobs own, TaskSlots slots, long now) {
         PendingJobs.Ahead ahead = own.ahead(now);
-        ShareAdmission admission = shares.admission(job.share(), places.capacityMilliCores());
+        ShareAdmission admission = shares.admission(job.share(), slots.capacityMilliCores());
         JobNeed need =
                 new JobNeed(job.step().count(), Math.max(1, job.taskResources().milliCores()), job.expectedRunMillis());
-        return admission.waitFor(need, places, ahead.milliCores(), ahead.work());
+        return admission.waitFor(need, slots, ahead.milliCores(), ahead.work());
     }
 }
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/placing/ForwardingPlacementObserver.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/placing/ForwardingPlacementObserver.java
@@ -11,7 +11,7 @@
 import org.tarragonarch.model.task.JobId;
 import org.tarragonarch.model.task.TaskRun;
 
-/** An observer that forwards every call to another one. */
+/** An observer that forwards every call to another observer. */
 public abstract class ForwardingPlacementObserver implements PlacementObserver {
     private final PlacementObserver delegate;
 
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/placing/JobLifecycle.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/placing/JobLifecycle.java
@@ -17,8 +17,8 @@
 
 /** The jobs of one placer, from their offer through admission or recovery to the verdict. */
 final class JobLifecycle {
-    /** When to come back to a shard without endpoints: about what a takeover or a restart takes. */
-    private static final long IMPOSSIBLE_RETRY_MILLIS = 1_000;
+    /** The retry time where no endpoint can take the job: about the duration of a takeover or a restart. */
+    private static final long NO_ENDPOINT_RETRY_MILLIS = 1_000;
 
     private final HeldShards shards;
     private final PendingShares pending;
@@ -54,7 +54,7 @@
         this.starter = new TaskStarter(shards, pending, poolShares, capacity, timers, this::giveUp);
     }
 
-    /** Takes a job, or declines it at once; see {@link Placer#offer}. */
+    /** Admits or declines a job; see {@link Placer#offer}. */
     void offer(Offer offer) {
         PlacedJob known = jobs.get(offer.job().id());
         if (known != null) {
@@ -65,11 +65,11 @@
             return;
         }
         if (!cancelling.defer(offer, timers.nowMillis())) {
-            take(offer, 1);
+            recoverOrAdmit(offer, 1);
         }
     }
 
-    /** Ends a job whose client has left or cancelled it. */
+    /** Ends a job whose client has disconnected or cancelled it. */
     void withdraw(NodeId origin, JobId id) {
         cancelling.withdraw(origin, id);
         PlacedJob job = jobs.get(id);
@@ -79,7 +79,7 @@
         }
     }
 
-    /** Ends every job of a node that is gone; see {@link Placer#originLost}. */
+    /** Ends every job of an origin that is lost; see {@link Placer#originLost}. */
     void originLost(NodeId origin) {
         cancelling.originLost(origin);
         int ended = endAllOf(origin, ImmutableSet.of());
@@ -88,7 +88,7 @@
         }
     }
 
-    /** Ends every job of a node but those that it still has open; see {@link Placer#retain}. */
+    /** Ends every job of an origin except those that it still has open; see {@link Placer#retain}. */
     void retain(NodeId origin, Set<JobId> open) {
         cancelling.retain(origin, open);
         int ended = endAllOf(origin, open);
@@ -109,13 +109,13 @@
         return ended;
     }
 
-    /** Keeps a task from starting until the node of its job is heard. */
+    /** Keeps a task from starting until a message from the origin of its job arrives. */
     void awaitOrigin(PlacedTask task) {
         task.markUnresolved();
         awaitingOrigin.add(task);
     }
 
-    /** Lets the tasks start that wait for a node to be heard. */
+    /** Releases the tasks that wait for a message from this origin. */
     void originHeard(NodeId origin) {
         if (awaitingOrigin.isEmpty()) {
             return;
@@ -133,11 +133,11 @@
         starter.scheduleStart();
     }
 
-    /** Gives all jobs back, because this node holds no shard any more; see {@link Placer#close}. */
+    /** Returns all jobs to their origins, because this node no longer holds a shard; see {@link Placer#close}. */
     void returnAll() {
-        ImmutableList<PlacedJob> givenBack = ImmutableList.copyOf(jobs.values());
-        givenBack.forEach(this::forget);
-        for (PlacedJob job : givenBack) {
+        ImmutableList<PlacedJob> returned = ImmutableList.copyOf(jobs.values());
+        returned.forEach(this::forget);
+        for (PlacedJob job : returned) {
             boolean mayRun = job.wasStarted() || job.hasUnresolvedTasks();
             listener.settled(job.origin(), job.id(), mayRun ? Verdict.HOLD_LOST : Verdict.RETURNED, 0);
         }
@@ -149,7 +149,7 @@
         }
     }
 
-    /** Lets jobs adopt the runs found on an endpoint whose lists were read for the first time. */
+    /** Lets jobs adopt the runs found on an endpoint whose run list was read for the first time. */
     void adoptFrom(HeldEndpoint endpoint) {
         recovering.adoptFrom(endpoint);
     }
@@ -161,7 +161,7 @@
         }
         cancelling
                 .removeIfStopped(job)
-                .ifPresent(deferred -> take(deferred.asOf(timers.nowMillis()), job.lastRunNumber() + 1));
+                .ifPresent(deferred -> recoverOrAdmit(deferred.asOf(timers.nowMillis()), job.lastRunNumber() + 1));
         starter.scheduleStart();
     }
 
@@ -170,7 +170,7 @@
         starter.scheduleStart();
     }
 
-    private void take(Offer offer, int firstRun) {
+    private void recoverOrAdmit(Offer offer, int firstRun) {
         String queue = offer.queue().name();
         TaskStep step = offer.job().step();
         long expected = runTimes.expectedMillis(queue, step.estimateMillis());
@@ -198,7 +198,9 @@
         starter.startPending();
     }
 
-    /** Goes on with a job whose earlier runs are known or over; what had begun is finished, however late. */
+    /**
+     * Continues a job whose earlier runs are adopted or over; a job that has made progress is finished even if late.
+     */
     private void resume(PlacedJob job) {
         if (job.allFinished()) {
             settle(job, Verdict.DONE);
@@ -211,23 +213,23 @@
         }
     }
 
-    /** Returns a job to the pending ones, because a task of it has to be started again. */
+    /** Adds a job to the pending jobs again, because one of its tasks has to be restarted. */
     void requeue(PlacedJob job) {
         pending.add(job);
         evictIfUnplaceable(job);
     }
 
-    /** Gives the pending jobs back that no listed endpoint may take. */
+    /** Returns the pending jobs to their origins that no listed endpoint can run. */
     void evictUnplaceable() {
         pending.inOrder().forEach(this::evictIfUnplaceable);
     }
 
     /**
-     * Gives a job back if no listed endpoint may take the tasks that wait, however idle it were.
+     * Returns a job to its origin if no listed endpoint could run its waiting tasks, even if idle.
      *
      * <p>Guards against a job that waits until its deadline because its failure domain was drained, or every endpoint
-     * that is large enough has shrunk or left. What runs of it is stopped first, so that it may go to any other holder.
-     * While a run of an earlier holder may be under way, the job stays until that is known.
+     * that is large enough has shrunk or left. Its runs are stopped first, so that it can be offered to any other
+     * holder. While a run of an earlier holder may be under way, the job stays here until this is resolved.
      */
     private void evictIfUnplaceable(PlacedJob job) {
         boolean waits = !job.isOver() && job.waitingTasks() > 0 && !job.hasUnresolvedTasks();
@@ -247,7 +249,10 @@
         }
     }
 
-    /** Gives back what is not taken; a job that could have waited is declined, and one that could not is no refusal. */
+    /**
+     * Settles a job that is not admitted. Only a job that was offered on terms that allow it to wait counts as
+     * declined.
+     */
     private void refuse(PlacedJob job, CompletionEstimate estimate) {
         Verdict verdict = job.offer().terms().refusal();
         if (verdict == Verdict.DECLINED) {
@@ -259,11 +264,14 @@
 
     private void decline(PlacedJob job, CompletionEstimate estimate) {
         listener.declined(job.origin(), job.id(), estimate);
-        long retry = estimate.taskSlots() == 0 ? IMPOSSIBLE_RETRY_MILLIS : estimate.waitMillis();
+        long retry = estimate.taskSlots() == 0 ? NO_ENDPOINT_RETRY_MILLIS : estimate.waitMillis();
         listener.settled(job.origin(), job.id(), Verdict.DECLINED, retry);
     }
 
-    /** Gives up a job whose answer would come too late; what never started is declined, for that is the truth. */
+    /**
+     * Ends a job whose answer would come too late; a job that never started is declined, so that its client learns that
+     * it has not run.
+     */
     private void giveUp(PlacedJob job) {
         if (job.wasStarted()) {
             settle(job, Verdict.TOO_LATE);
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/placing/JobTimes.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/placing/JobTimes.java
@@ -3,19 +3,19 @@
 import org.tarragonarch.model.task.Offer;
 
 /**
- * When a job has to be answered, on the holder's clock, in milliseconds.
+ * The times by which a job has to be answered, on the holder's clock, in milliseconds.
  *
- * @param inTimeMillis by when it counts in full
- * @param lateMillis by when it still counts for something; a while from now if that is over already
- * @param deadlineMillis when its client leaves
+ * @param inTimeMillis the end of its objective
+ * @param lateMillis the time until which a late answer still has value; at least shortly after now
+ * @param deadlineMillis its client's deadline
  */
 record JobTimes(long inTimeMillis, long lateMillis, long deadlineMillis) {
-    /** A late answer still counts up to this multiple of the objective; the users' rules say so. */
+    /** A late answer has value up to this multiple of the objective, as defined by the users. */
     private static final int LATE_MULTIPLE = 3;
 
     /**
-     * How long a job that was late when it was offered may wait for room that is about to be known. Endpoints are
-     * opened within 50 ms; after this it is better given back than held.
+     * The time for which a job that is offered late may wait for endpoints that are initializing. They take up to 50
+     * ms; a job that waits for longer should go to another holder.
      */
     private static final long LATE_PATIENCE_MILLIS = 250;
 
@@ -27,7 +27,7 @@
         return new JobTimes(arrived + objective, late, nowMillis + offer.deadlineMillis());
     }
 
-    /** Returns the time after which an answer is worth nothing to the client. */
+    /** Returns the time after which an answer has no value to the client. */
     long expiryMillis() {
         return Math.min(lateMillis, deadlineMillis);
     }
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/placing/PendingJobs.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/placing/PendingJobs.java
@@ -9,13 +9,13 @@
 import java.util.TreeSet;
 
 /**
- * The jobs that have tasks to start, the most urgent first.
+ * The jobs that have tasks to start, ordered by urgency.
  *
- * <p>Urgent is what must start first to be in time: the time by which its answer counts in full, less its run time. A
- * job that is partly started stays in its place, so it is finished rather than left behind by newer ones.
+ * <p>The most urgent job is the one with the earliest latest start: the end of its objective less its expected run
+ * time. A partly started job keeps its position, so that newer jobs do not delay it.
  *
- * <p>Sums over the queue are kept up to date as it changes: in a burst they are asked for with each job that comes, and
- * the queue is long.
+ * <p>Sums over the queue are updated with each change, since they are read with every offer and the queue is long in a
+ * burst.
  */
 final class PendingJobs {
     private static final Comparator<PlacedJob> BY_LATEST_START = Comparator.comparingLong(PlacedJob::latestStartMillis)
@@ -49,7 +49,7 @@
         }
     }
 
-    /** Takes in that so many tasks more, or less, of a job in this queue wait. */
+    /** Adds to the number of waiting tasks of a job in this queue; {@code by} may be negative. */
     void adjustWaitingTasks(PlacedJob job, int by) {
         count(job, by);
     }
@@ -61,19 +61,19 @@
         waitingWork += tasks * job.taskResources().milliCores() * job.expectedRunMillis();
     }
 
-    /** Records that some tasks of a job in this queue were started. */
+    /** Records that some tasks of a job in this queue have started. */
     void started(PlacedJob job) {
         if (jobs.contains(job)) {
             started.add(job);
         }
     }
 
-    /** Returns the jobs of which something was started, as they are now. */
+    /** Returns a snapshot of the jobs of which some tasks have started. */
     ImmutableList<PlacedJob> started() {
         return ImmutableList.copyOf(started);
     }
 
-    /** Returns the jobs as they are now; they may be removed meanwhile. */
+    /** Returns a snapshot of the jobs in order of urgency; jobs may be removed during its iteration. */
     ImmutableList<PlacedJob> inOrder() {
         return ImmutableList.copyOf(jobs);
     }
@@ -83,7 +83,7 @@
         return jobs.isEmpty() ? Optional.empty() : Optional.of(jobs.first());
     }
 
-    /** Returns the job that comes after another, which need not be in the queue any more. */
+    /** Returns the job that follows the given one, which need not be in the queue any longer. */
     Optional<PlacedJob> after(PlacedJob job) {
         return Optional.ofNullable(jobs.higher(job));
     }
@@ -96,12 +96,15 @@
         return jobs.isEmpty();
     }
 
-    /** Returns whether a task of any job fits into so much processor time, in thousandths of a core. */
+    /** Returns whether a task of any job needs at most this processor time, in thousandths of a core. */
     boolean anyFitsInto(long milliCores) {
         return !needs.isEmpty() && needs.firstEntry().getElement() <= milliCores;
     }
 
-    /** Returns the least processor time that a task of any job needs, in thousandths of a core; there must be a job. */
+    /**
+     * Returns the least processor time that a task of any job needs, in thousandths of a core. The queue must not be
+     * empty.
+     */
     long smallestTaskMilliCores() {
         return needs.firstEntry().getElement();
     }
@@ -111,12 +114,12 @@
         return waitingMilliCores;
     }
 
-    /** Returns how many tasks wait. */
+    /** Returns the number of waiting tasks. */
     long waitingTasks() {
         return waitingTasks;
     }
 
-    /** Returns the run times of the waiting tasks that a new job has to let pass, added up. */
+    /** Returns the sum of the expected run times of the waiting tasks that start before a new job. */
     long waitingTaskMillis(long nowMillis) {
         long work = waitingTaskMillis;
         for (PlacedJob job : overdue(nowMillis)) {
@@ -125,7 +128,7 @@
         return work;
     }
 
-    /** Returns what the waiting tasks that a new job has to let pass need, and for how long. */
+    /** Returns the demand of the waiting tasks that start before a new job. */
     Ahead ahead(long nowMillis) {
         long milliCores = waitingMilliCores;
         long work = waitingWork;
@@ -151,10 +154,10 @@
     }
 
     /**
-     * Waiting tasks, added up.
+     * The total demand of waiting tasks.
      *
      * @param milliCores the processor time that they need, in thousandths of a core
-     * @param work the same times the expected run time of each in milliseconds
+     * @param work the sum over the tasks of need times expected run time, in thousandths of a core times milliseconds
      */
     record Ahead(long milliCores, long work) {}
 }
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/placing/PlacedJob.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/placing/PlacedJob.java
@@ -12,22 +12,31 @@
 import org.tarragonarch.model.task.TaskRun;
 import org.tarragonarch.model.task.TaskStep;
 
-/** A job that this holder took, from its offer to its verdict. */
+/** A job at this holder, from its offer to its verdict. */
 final class PlacedJob {
-    /** The part of an expected run time by which it may be wrong before a job is taken for overdue. */
-    private static final int ESTIMATE_SLACK_PARTS = 4;
+    /** The divisor of the expected run time that gives the tolerance before a job counts as overdue. */
+    private static final int ESTIMATE_SLACK_DIVISOR = 4;
 
-    /** A smaller multiple stops tasks that are merely long; a larger one finds stalled ones later. */
-    private static final int STUCK_MULTIPLE = 4;
+    /**
+     * The multiple of the expected run time after which a run counts as stalled. A smaller multiple stops tasks that
+     * are merely long; a larger one detects stalled runs later.
+     */
+    private static final int STALL_MULTIPLE = 4;
 
-    /** The part of the longest run time within which a healthy run shows progress; reports are in whole percents. */
-    private static final double PROGRESS_PART = 0.04;
+    /**
+     * The fraction of the maximum run time within which a healthy run shows progress, which is reported in whole
+     * percents.
+     */
+    private static final double PROGRESS_FRACTION = 0.04;
 
-    /** The least time without progress after which a run is taken to stall: two reports apart, and some slack. */
-    private static final long LEAST_STALL_MILLIS = 150;
+    /**
+     * The minimum time without progress after which a run counts as stalled: the distance of two reports and some
+     * slack.
+     */
+    private static final long MIN_STALL_TIMEOUT_MILLIS = 150;
 
     /** Covers the round trips of orders and polls, which matter for the shortest tasks. */
-    private static final long STUCK_SLACK_MILLIS = 100;
+    private static final long STALL_SLACK_MILLIS = 100;
 
     private final Offer offer;
     private final ImmutableList<PlacedTask> tasks;
@@ -43,9 +52,10 @@
     private int lastRunNumber;
 
     /**
-     * Creates a job whose tasks are all to be started.
+     * Creates a job none of whose tasks has started.
      *
-     * @param slowestFactor the factor by which its slowest task should exceed the expected run time
+     * @param slowestFactor the factor by which the run time of its slowest task is expected to exceed {@code
+     *     expectedRunMillis}
      */
     PlacedJob(Offer offer, int firstRun, long expectedRunMillis, double slowestFactor, JobTimes times, ShareId share) {
         this.offer = offer;
@@ -97,7 +107,7 @@
         return tasks;
     }
 
-    /** Returns the task of a name, if the job has one. */
+    /** Returns the task with the given name. */
     Optional<PlacedTask> task(TaskName name) {
         return tasks.stream().filter(task -> task.name().equals(name)).findFirst();
     }
@@ -106,31 +116,31 @@
         return times;
     }
 
-    /** Returns the run time that the estimate of this job's tasks and experience lead to expect. */
+    /** Returns the expected run time of a task, from the job's estimate and the recorded runs of its queue. */
     long expectedRunMillis() {
         return expectedRunMillis;
     }
 
-    /** Returns the run time to expect of the slowest of this job's tasks. */
+    /** Returns the expected run time of the slowest task. */
     long slowestRunMillis() {
         return Math.round(slowestFactor * expectedRunMillis);
     }
 
     /** Returns the run time beyond which a task counts as stalled. */
     long maxRunMillis() {
-        return STUCK_MULTIPLE * expectedRunMillis + STUCK_SLACK_MILLIS;
+        return STALL_MULTIPLE * expectedRunMillis + STALL_SLACK_MILLIS;
     }
 
-    /** Returns how long a run may show no progress before it is taken to stall. */
+    /** Returns the time without progress after which a run counts as stalled. */
     long stallTimeoutMillis() {
-        return Math.max(LEAST_STALL_MILLIS, Math.round(PROGRESS_PART * maxRunMillis()));
+        return Math.max(MIN_STALL_TIMEOUT_MILLIS, Math.round(PROGRESS_FRACTION * maxRunMillis()));
     }
 
     NodeId origin() {
         return origin;
     }
 
-    /** The client sent the job again, by another node. */
+    /** Sets the origin after the client has resubmitted the job through another node. */
     void updateOrigin(NodeId later) {
         origin = later;
     }
@@ -139,7 +149,7 @@
         return over;
     }
 
-    /** Ends the job; nothing of it is started any more, and what runs is stopped. */
+    /** Ends the job: stops its runs and starts no more of its tasks. */
     void end() {
         over = true;
         for (PlacedTask task : tasks) {
@@ -147,12 +157,12 @@
         }
     }
 
-    /** Returns whether any task of the job was ever started by this holder. */
+    /** Returns whether this holder has started or adopted a run of the job. */
     boolean wasStarted() {
         return lastRunNumber() > 0;
     }
 
-    /** Returns whether a run of the job still takes room somewhere. */
+    /** Returns whether a run of the job holds capacity at an endpoint. */
     boolean hasReservations() {
         for (PlacedTask task : tasks) {
             if (task.reservation().isPresent()) {
@@ -162,29 +172,29 @@
         return false;
     }
 
-    /** Returns the highest number of a run of any task. */
+    /** Returns the highest run number of any task; 0 if none was started or adopted. */
     int lastRunNumber() {
         return lastRunNumber;
     }
 
-    /** Notes the number of a run that is about to be started. */
+    /** Records a run that is about to start or was adopted. */
     void recordRun(TaskRun run) {
         lastRunNumber = Math.max(lastRunNumber, run.run());
     }
 
-    /** Notes that a task is done; returns whether it was the last. */
+    /** Records that a task is done; returns whether it was the last. */
     boolean recordFinished(PlacedTask task) {
         task.markDone();
         unfinished--;
         return allFinished();
     }
 
-    /** Notes that any task may have a run of an earlier holder under way. */
+    /** Marks every task as one that may have a run of an earlier holder under way. */
     void markUnresolved() {
         tasks.forEach(PlacedTask::markUnresolved);
     }
 
-    /** Returns whether a task may have a run of an earlier holder under way that was not found yet. */
+    /** Returns whether any task may have a run of an earlier holder under way that has not been found yet. */
     boolean hasUnresolvedTasks() {
         for (PlacedTask task : tasks) {
             if (task.isUnresolved()) {
@@ -194,12 +204,12 @@
         return false;
     }
 
-    /** Notes that no earlier run is under way but those that were adopted. */
+    /** Records that no run of an earlier holder is under way except those that were adopted. */
     void markResolved() {
         tasks.forEach(PlacedTask::markResolved);
     }
 
-    /** Returns whether some of the job was done or is under way as it comes in. */
+    /** Returns whether any task is done or was started or adopted here. */
     boolean hasProgress() {
         return wasStarted() || unfinished < tasks.size();
     }
@@ -209,51 +219,51 @@
         return unfinished == 0;
     }
 
-    /** Returns the run times of the tasks that wait, added up. */
+    /** Returns the sum of the expected run times of the waiting tasks. */
     long waitingTaskMillis() {
         return waitingTasks * expectedRunMillis;
     }
 
-    /** Returns when the last task has to start if the answer is to be in time. */
+    /** Returns the latest start of the last task for an answer in time. */
     long latestStartMillis() {
         return times.inTimeMillis() - expectedRunMillis;
     }
 
     /**
-     * Returns whether the answer will not be in time even if all starts now.
+     * Returns whether the answer would be late even if all tasks started now.
      *
-     * <p>Such a job goes behind those that still can be. In the order of urgency it would stand before them, so that in
-     * a burst each job would wait for one that is late already, and come late itself. Estimates are off by a third or
-     * so, which is why a job counts as overdue only somewhat after its time. A job that is partly started is finished:
-     * what is left of it costs little against what it has taken.
+     * <p>An overdue job starts after those that can still be in time. In order of urgency it would come before them, so
+     * that in a burst each job would wait for one that is late already and be late itself. Estimates are off by about a
+     * third, so a job counts as overdue only some time after its latest start. A partly started job is never overdue:
+     * what remains of it costs little compared with what has run already.
      */
     boolean isOverdue(long nowMillis) {
-        return !wasStarted() && nowMillis > latestStartMillis() + expectedRunMillis / ESTIMATE_SLACK_PARTS;
+        return !wasStarted() && nowMillis > latestStartMillis() + expectedRunMillis / ESTIMATE_SLACK_DIVISOR;
     }
 
     /**
-     * Returns whether an answer would most likely come when it is of no use any more.
+     * Returns whether the answer would probably come when it no longer has any value.
      *
-     * <p>A job that was started is worth finishing until its client leaves, however late: its caller still gets the
-     * whole answer, and not the word that it may have run.
+     * <p>A started job is finished until its client's deadline, however late it is: its caller then gets the complete
+     * answer instead of an error saying that the job may have run.
      */
     boolean isExpired(long nowMillis) {
         long lastUse = wasStarted() ? times.deadlineMillis() : times.expiryMillis();
         return !over && nowMillis + expectedRunMillis / 2 > lastUse;
     }
 
-    /** Returns how many tasks wait to be started. */
+    /** Returns the number of tasks that wait to be started. */
     int waitingTasks() {
         return waitingTasks;
     }
 
-    /** Records that so many tasks more, or less, wait to be started. */
+    /** Adds to the number of waiting tasks; {@code by} may be negative. */
     void adjustWaitingTasks(int by) {
         waitingTasks += by;
         pending.ifPresent(jobs -> jobs.adjustWaitingTasks(this, by));
     }
 
-    /** Notes among which pending jobs this one waits, if it does. */
+    /** Sets the queue that this job waits in; empty if it does not wait. */
     void setPendingJobs(Optional<PendingJobs> jobs) {
         pending = jobs;
     }
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/placing/PlacedTask.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/placing/PlacedTask.java
@@ -5,17 +5,20 @@
 import org.tarragonarch.model.task.TaskName;
 import org.tarragonarch.model.task.TaskRun;
 
-/** One task of a job on its way from waiting to its end. */
+/** The state of one task of a job: waiting, placed on an endpoint, or done. */
 final class PlacedTask {
-    /** Room for the numbers that an earlier holder may have used since the offer was made. */
-    private static final int OLD_RUN_SKIP = 16;
+    /** Covers the run numbers that an earlier holder may have used since the offer was made. */
+    private static final int SKIPPED_RUN_NUMBERS = 16;
 
-    private static final int CRASHES_TO_GIVE_UP = 2;
+    private static final int MAX_CRASHES = 2;
 
-    private static final int MOST_STALLED_RUNS = 3;
+    private static final int MAX_RESTARTS = 3;
 
-    /** Endpoints also vanish because they are cut off, which says little of the task that ran there. */
-    private static final int LOST_RUNS_TO_GIVE_UP = 4;
+    /**
+     * The limit is higher than that for crashes, since endpoints are also lost when the network is cut, whatever runs
+     * there.
+     */
+    private static final int MAX_LOST_RUNS = 4;
 
     private final PlacedJob job;
     private final TaskName name;
@@ -26,7 +29,7 @@
     private boolean done;
     private int restarts;
     private boolean unresolved;
-    private Optional<HeldEndpoint> at = Optional.empty();
+    private Optional<HeldEndpoint> endpoint = Optional.empty();
     private Optional<Reservation> reservation = Optional.empty();
     private Optional<EndpointIncarnation> lastFailedAt = Optional.empty();
 
@@ -48,22 +51,22 @@
         return !done && !unresolved && reservation.isEmpty();
     }
 
-    /** Notes that a run of an earlier holder may be under way somewhere, so that the task must not start. */
+    /** Records that a run of an earlier holder may be under way, so that the task must not start. */
     void markUnresolved() {
         change(() -> unresolved = true);
     }
 
-    /** Returns whether a run of an earlier holder may be under way on an endpoint that was not read yet. */
+    /** Returns whether a run of an earlier holder may be under way that has not been found yet. */
     boolean isUnresolved() {
         return unresolved;
     }
 
-    /** Notes that no run of an earlier holder is under way, but one that this task has adopted. */
+    /** Records that no run of an earlier holder is under way except one that this task has adopted. */
     void markResolved() {
         change(() -> unresolved = false);
     }
 
-    /** Changes the task, and tells its job if it waits now and did not before, or the other way round. */
+    /** Applies a change and updates the job's number of waiting tasks if the task starts or stops waiting. */
     private void change(Runnable change) {
         boolean waitedBefore = isWaiting();
         change.run();
@@ -76,8 +79,8 @@
         return failures;
     }
 
-    boolean hasFailedAt(EndpointIncarnation endpoint) {
-        return lastFailedAt.isPresent() && lastFailedAt.get().equals(endpoint);
+    boolean hasFailedAt(EndpointIncarnation candidate) {
+        return lastFailedAt.isPresent() && lastFailedAt.get().equals(candidate);
     }
 
     TaskRun allocateRun() {
@@ -86,7 +89,7 @@
         return run;
     }
 
-    /** Notes that a run of an earlier holder goes on as this task's. */
+    /** Adopts a run of an earlier holder as the current run of this task. */
     void adopt(TaskRun run) {
         change(() -> unresolved = false);
         nextRun = Math.max(nextRun, run.run() + 1);
@@ -98,12 +101,12 @@
     }
 
     void skipRunNumbers() {
-        nextRun += OLD_RUN_SKIP;
+        nextRun += SKIPPED_RUN_NUMBERS;
     }
 
-    void setPlacement(HeldEndpoint endpoint, Reservation placed) {
-        at = Optional.of(endpoint);
-        change(() -> reservation = Optional.of(placed));
+    void setPlacement(HeldEndpoint at, Reservation reserved) {
+        endpoint = Optional.of(at);
+        change(() -> reservation = Optional.of(reserved));
     }
 
     boolean holds(Reservation candidate) {
@@ -111,40 +114,42 @@
     }
 
     void clearPlacement() {
-        at = Optional.empty();
+        endpoint = Optional.empty();
         change(() -> reservation = Optional.empty());
     }
 
-    void recordFailure(EndpointIncarnation endpoint) {
+    void recordFailure(EndpointIncarnation at) {
         failures++;
-        lastFailedAt = Optional.of(endpoint);
+        lastFailedAt = Optional.of(at);
         clearPlacement();
     }
 
-    /** Notes that the endpoint of a run was lost: it fell silent, or crashed. */
+    /** Records that the endpoint of the current run was lost: it became silent or crashed. */
     void recordLostRun() {
         lostRuns++;
         clearPlacement();
     }
 
-    /** Notes that an endpoint has crashed under a run of the task. */
+    /** Records that an endpoint crashed during a run of the task. */
     void recordCrash() {
         crashes++;
     }
 
-    /** Returns whether an endpoint has crashed under a run of the task, which may be the cause. */
+    /** Returns whether an endpoint has crashed during a run of the task, which may be the cause. */
     boolean hasCrashed() {
         return crashes > 0;
     }
 
-    /** Returns whether the task is not to be started again, because endpoints crash under it. */
+    /** Returns whether so many endpoints crashed during its runs that the task must not be started again. */
     boolean hasCrashedTooOften() {
-        return crashes >= CRASHES_TO_GIVE_UP;
+        return crashes >= MAX_CRASHES;
     }
 
-    /** Returns whether so many of its endpoints were lost that it is not to be started again; it may have run. */
+    /**
+     * Returns whether so many endpoints of its runs were lost that the task must not be started again; it may have run.
+     */
     boolean wasLostTooOften() {
-        return lostRuns >= LOST_RUNS_TO_GIVE_UP;
+        return lostRuns >= MAX_LOST_RUNS;
     }
 
     void markDone() {
@@ -154,31 +159,31 @@
     }
 
     /**
-     * Stops a run that takes far longer than expected, so that the task starts elsewhere; returns whether it had one to
-     * stop. Where the work itself is long, the second run is left alone.
+     * Stops a run that takes far longer than expected, so that the task starts elsewhere; returns whether a run was
+     * stopped. Does nothing after an earlier restart, since the work itself may be long.
      */
     boolean restartOverdue() {
         return restarts == 0 && restart();
     }
 
-    /** Stops a run that shows no progress, so that the task starts elsewhere; returns whether it had one to stop. */
+    /** Stops a run that shows no progress, so that the task starts elsewhere; returns whether a run was stopped. */
     boolean restartStalled() {
-        return restarts < MOST_STALLED_RUNS && restart();
+        return restarts < MAX_RESTARTS && restart();
     }
 
     private boolean restart() {
-        if (at.isEmpty()) {
+        if (endpoint.isEmpty()) {
             return false;
         }
         restarts++;
-        lastFailedAt = Optional.of(at.get().entry().incarnation());
+        lastFailedAt = Optional.of(endpoint.get().entry().incarnation());
         stop();
         return true;
     }
 
-    /** Stops the run if there is one. */
+    /** Stops the current run, if any. */
     void stop() {
-        at.ifPresent(endpoint -> endpoint.stop(reservation.orElseThrow()));
+        endpoint.ifPresent(placed -> placed.stop(reservation.orElseThrow()));
     }
 
     Optional<Reservation> reservation() {
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/placing/PlacementObserver.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/placing/PlacementObserver.java
@@ -10,45 +10,45 @@
 import org.tarragonarch.model.task.TaskRun;
 
 /**
- * Listener for decisions on jobs and for what a holder finds of its endpoints, for logs and metrics.
+ * Listener for a holder's decisions on jobs and for events at its endpoints, for logs and metrics.
  *
- * <p>Every method does nothing unless it is overridden.
+ * <p>The default methods do nothing.
  */
 public interface PlacementObserver {
-    /** A job is declined because of the estimate. */
+    /** A job was declined because of its estimate. */
     default void declined(NodeId origin, JobId job, CompletionEstimate estimate) {}
 
     /**
-     * A job that an earlier holder had goes on, since no run of it is under way but those that were adopted.
+     * A job of an earlier holder continues, since none of its runs is under way except those that were adopted.
      *
-     * @param ground how that is known
-     * @param waitedMillis how long it has waited here for that
+     * @param ground how this is known
+     * @param waitedMillis the time for which the job has waited here, in milliseconds
      */
     default void recovered(NodeId origin, JobId job, RecoveryGround ground, long waitedMillis) {}
 
-    /** A job that is placed here was sent again by its client, through another node. */
+    /** A client resubmitted a job that is placed here through another node. */
     default void resubmitted(JobId job, NodeId before, NodeId now) {}
 
-    /** Jobs are ended because the node that had offered them is lost. */
+    /** Jobs were ended because their origin is lost. */
     default void originLost(NodeId origin, int jobs) {}
 
-    /** Jobs are ended because the node that had offered them has them open here no longer. */
+    /** Jobs were ended because their origin no longer has them open at this holder. */
     default void jobsNotOpen(NodeId origin, int jobs) {}
 
-    /** A share becomes limited by its allotment, or no longer is. */
+    /** A share became limited by its allotment, or is no longer limited. */
     default void shareLimited(ShareState state, boolean isLimited) {}
 
     /**
-     * An endpoint is of another class of speed than before.
+     * The speed class of an endpoint changed.
      *
-     * @param from the speed in the middle of its earlier class; 1 is the mean of its pool
-     * @param to the speed in the middle of its class now
+     * @param from the speed in the middle of its earlier class; 1 is the mean of the pool
+     * @param to the speed in the middle of its present class
      */
     default void speedChanged(FailureDomain shard, EndpointId endpoint, double from, double to) {}
 
-    /** A run ended without having done its work. */
+    /** A run ended without success. */
     default void runEndedBadly(FailureDomain shard, TaskRun run, EndpointId endpoint, EndKind kind) {}
 
-    /** An endpoint has restarted under its id; what ran there is over. */
+    /** An endpoint has restarted under its id; the runs of its earlier incarnation are over. */
     default void endpointRestarted(FailureDomain shard, EndpointIncarnation later) {}
 }
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/placing/Placer.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/placing/Placer.java
@@ -28,7 +28,7 @@
 /**
  * Places the tasks of jobs on the endpoints of the shards that this node holds, as one pool.
  *
- * <p>One thread calls every method, and every reply of the ports comes on it.
+ * <p>Not thread-safe: all methods must be called, and all replies of the ports delivered, on one thread.
  */
 public final class Placer {
     private final PlacingSettings settings;
@@ -45,8 +45,8 @@
     /**
      * Creates a placer that holds no shard yet.
      *
-     * @param runTimes what is known of run times; outlives this placer
-     * @param wholeList tells whether a shard's list of endpoints can be taken for whole
+     * @param runTimes the recorded run times of every queue; outlives this placer
+     * @param wholeList returns whether the list of a shard's endpoints is known to be complete
      */
     public Placer(
             PlacingSettings settings,
@@ -73,17 +73,17 @@
     }
 
     /**
-     * Adds a shard.
+     * Starts to hold a shard.
      *
      * @param token the token under which this node holds the shard's endpoints
      */
     public void open(FailureDomain shard, FencingToken token, Collection<EndpointEntry> listed) {
-        checkState(!closed && shards.find(shard).isEmpty(), "%s is open", shard);
+        checkState(!closed && shards.find(shard).isEmpty(), "shard %s is already held, or the placer is closed", shard);
         shards.add(shard, new PlacedShard(token, settings, orders, timers, results, progress));
         update(shard, listed);
     }
 
-    /** Returns the token under which this node holds the shard, if it does. */
+    /** Returns the token under which this node holds the shard; empty if it does not hold it. */
     public Optional<FencingToken> token(FailureDomain shard) {
         return shards.token(shard);
     }
@@ -101,8 +101,8 @@
     }
 
     /**
-     * Releases one shard. What runs there is not renewed any more, and starts elsewhere when its lease has certainly
-     * run out; without another shard the whole placer closes, and its jobs are given back.
+     * Releases one shard. The leases of its runs are no longer renewed, and their tasks start elsewhere when these have
+     * certainly expired. If no other shard is held, the placer is closed and its jobs are returned.
      */
     public void release(FailureDomain shard) {
         if (shards.domains().equals(Set.of(shard))) {
@@ -116,46 +116,49 @@
     }
 
     /**
-     * Takes a job, or declines it at once.
+     * Admits or declines a job.
      *
-     * <p>A job that is known already was sent again by its client; it goes on, and the node that offers it now gets the
-     * verdict.
+     * <p>An offer of a job that is placed here already means that its client resubmitted it: the job continues, and the
+     * node that offers it now gets the verdict.
      */
     public void offer(Offer offer) {
         jobs.offer(offer);
     }
 
-    /** Ends a job whose client has left or cancelled it; nothing is said of it any more. */
+    /** Ends a job whose client has disconnected or cancelled it; no verdict is sent. */
     public void withdraw(NodeId origin, JobId id) {
         jobs.withdraw(origin, id);
     }
 
     /**
-     * Ends every job that a node has offered but those that it still has open here.
+     * Ends every job of an origin except those that it still has open at this holder.
      *
-     * <p>Guards against a job that runs on after its withdrawal was lost with a connection, or after its node took this
-     * holder for lost: it is offered elsewhere, and its tasks would run twice.
+     * <p>Guards against a job that continues to run after its withdrawal was lost with a connection, or after its
+     * origin took this holder for lost: the job is offered elsewhere, and its tasks would run twice.
      */
     public void retain(NodeId origin, Set<JobId> open) {
         jobs.retain(origin, open);
     }
 
     /**
-     * Ends every job of a node that is gone.
+     * Ends every job of an origin that is lost.
      *
-     * <p>Guards against a job that its client sends again, to another node, while it still runs here: the node's death
-     * breaks the client's connection, and the client comes back after its pause.
+     * <p>Guards against a job that still runs here while its client resubmits it through another node, after the
+     * connection to the lost origin broke.
      */
     public void originLost(NodeId origin) {
         jobs.originLost(origin);
     }
 
-    /** Notes that a node was heard, so that it still has open here what it has not withdrawn. */
+    /** Records a message from a node, which shows that it still has open every job that it has not withdrawn. */
     public void originHeard(NodeId origin) {
         jobs.originHeard(origin);
     }
 
-    /** Looks for runs that stall, and compares the speeds of endpoints; to be called a few times a second. */
+    /**
+     * Restarts stalled runs and updates the states of shares and the speeds of endpoints; to be called a few times a
+     * second.
+     */
     public void review() {
         shards.endpoints().forEach(HeldEndpoint::restartOverdueRuns);
         shareReview.review();
@@ -165,10 +168,10 @@
     }
 
     /**
-     * Releases every shard. What runs is left to the next holder, or to its lease.
+     * Releases every shard. Runs are left to the next holder or to the end of their leases.
      *
-     * <p>A job of which nothing was started is given back as such: it may go anywhere at once, and its client may be
-     * told that it has not run.
+     * <p>A job that never started is returned with a verdict that says so: it can be offered anywhere at once, and its
+     * client can be told that it has not run.
      */
     public void close() {
         if (closed) {
@@ -179,7 +182,7 @@
         jobs.returnAll();
     }
 
-    /** Returns the processor time that is free in a shard on endpoints that take tasks, in thousandths of a core. */
+    /** Returns the free processor time of the endpoints of a shard that accept tasks, in thousandths of a core. */
     public long freeMilliCores(FailureDomain shard) {
         return shards.find(shard).map(PlacedShard::freeMilliCores).orElse(0L);
     }
@@ -196,7 +199,7 @@
                 : ImmutableList.of();
     }
 
-    /** Returns whether no endpoint of the shard has answered although this node has asked them for long enough. */
+    /** Returns whether no endpoint of the shard has answered for longer than the timeout. */
     public boolean isUnreachable(FailureDomain shard) {
         return shards.find(shard).filter(PlacedShard::isUnreachable).isPresent();
     }
@@ -215,7 +218,7 @@
         return SpeedSummary.of(Iterables.transform(shards.endpoints(), HeldEndpoint::speed));
     }
 
-    /** What becomes of jobs by the ends of their runs. */
+    /** Applies the results of runs to their jobs. */
     private final class Results implements RunResults.Host {
         @Override
         public boolean closed() {
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/placing/PlacerListener.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/placing/PlacerListener.java
@@ -6,16 +6,16 @@
 import org.tarragonarch.model.task.JobId;
 import org.tarragonarch.model.task.Verdict;
 
-/** Learns what becomes of jobs and of the hold itself. */
+/** Listener for the verdicts on jobs and for the loss of a shard. */
 public interface PlacerListener extends PlacementObserver {
     /**
-     * A job is settled.
+     * A job was settled.
      *
-     * @param origin the node to tell
-     * @param retryMillis when there should be room again, in milliseconds; 0 unless the job was declined
+     * @param origin the node to send the verdict to
+     * @param retryMillis the time after which capacity is expected, in milliseconds; 0 unless the job was declined
      */
     void settled(NodeId origin, JobId job, Verdict verdict, long retryMillis);
 
-    /** An endpoint obeys a higher token: another node holds its shard, and this one has released it. */
+    /** An endpoint accepted a higher token: another node holds its shard, and this node has released it. */
     void fenced(FailureDomain shard, FencingToken token);
 }
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/placing/PlacingSettings.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/placing/PlacingSettings.java
@@ -6,51 +6,58 @@
 import org.tarragonarch.model.share.SharePlan;
 
 /**
- * How a holder works with its endpoints; all times are in milliseconds.
+ * The settings of a holder for its endpoints; all times are in milliseconds.
  *
- * @param lease how long what runs on an endpoint goes on without a renewal; the longest that endpoints allow
- * @param pollWait how long an endpoint may keep a poll waiting for an end; a tenth of the lease, since the ends that a
- *     lost poll would have listed are seen only after this and {@code answerTime}
- * @param maxStopTime the longest that a stop takes on an endpoint
- * @param answerTimeout how long the answer to an order may take before it counts as lost
- * @param shares how capacity is divided among priorities
+ * @param lease the time for which a run continues without a renewal; the maximum that endpoints allow
+ * @param pollWait the maximum time for which an endpoint delays the answer to a poll until a run ends; a tenth of the
+ *     lease, since the ends that a lost poll would have listed are seen only after this and {@code answerTimeout}
+ * @param maxStopTime the maximum time that an endpoint takes to stop a run
+ * @param answerTimeout the time after which the answer to an order counts as lost
+ * @param shares the division of capacity among priorities
  */
 public record PlacingSettings(long lease, long pollWait, long maxStopTime, long answerTimeout, SharePlan shares) {
-    /** Endpoints' clocks may run slow by two parts in a hundred. */
+    /** The clocks of endpoints may be slow by 2%. */
     private static final double SLOWEST_CLOCK = 1.02;
 
-    /** Covers the way of an order and rounding. */
+    /** Covers the transmission of an order and rounding. */
     private static final long CERTAINTY_MARGIN_MILLIS = 30;
 
-    /** How many polls fit into a lease. */
-    private static final int LOOKS_PER_LEASE = 10;
+    /** The number of polls during a lease. */
+    private static final int POLLS_PER_LEASE = 10;
 
     /**
-     * Endpoints answer within a few milliseconds, and a node that is slowed down sees it within some tens. What is
-     * taken for lost too early costs one more poll; too late, a short task is late for it.
+     * Endpoints answer within a few milliseconds; a slow node sees the answer within a few tens of milliseconds. A
+     * timeout that is too short costs one more poll; one that is too long makes short tasks late.
      */
-    private static final long ANSWER_MILLIS = 50;
+    private static final long ANSWER_TIMEOUT_MILLIS = 50;
 
-    /** Checks that every time is positive. */
+    /**
+     * Validates the settings.
+     *
+     * @throws IllegalArgumentException if a time is not positive or {@code pollWait} is not below the lease
+     */
     public PlacingSettings {
         checkArgument(lease > 0, "lease %s is not positive", lease);
-        checkArgument(pollWait > 0 && pollWait < lease, "holdWait %s is not within the lease", pollWait);
-        checkArgument(answerTimeout > 0, "answerTime %s is not positive", answerTimeout);
-        checkArgument(maxStopTime > 0, "stopTime %s is not positive", maxStopTime);
+        checkArgument(pollWait > 0 && pollWait < lease, "pollWait %s is not positive and below the lease", pollWait);
+        checkArgument(answerTimeout > 0, "answerTimeout %s is not positive", answerTimeout);
+        checkArgument(maxStopTime > 0, "maxStopTime %s is not positive", maxStopTime);
         checkNotNull(shares, "shares");
     }
 
-    /** Returns the same settings with another division of capacity. */
+    /** Returns these settings with another division of capacity. */
     public PlacingSettings withShares(SharePlan plan) {
         return new PlacingSettings(lease, pollWait, maxStopTime, answerTimeout, plan);
     }
 
-    /** Returns the settings for endpoints that allow this lease and take this long to stop a run. */
+    /** Returns the settings for endpoints with this lease and this maximum time to stop a run. */
     public static PlacingSettings of(long lease, long stopTime) {
-        return new PlacingSettings(lease, lease / LOOKS_PER_LEASE, stopTime, ANSWER_MILLIS, SharePlan.NONE);
+        return new PlacingSettings(lease, lease / POLLS_PER_LEASE, stopTime, ANSWER_TIMEOUT_MILLIS, SharePlan.NONE);
     }
 
-    /** Returns how long after an order was sent everything that it extended has certainly ended, if nothing follows. */
+    /**
+     * Returns the time after the sending of an order at which every lease that it renewed has certainly expired, unless
+     * another order renews it.
+     */
     public long certainExpiryMillis() {
         return Math.round(lease * SLOWEST_CLOCK) + CERTAINTY_MARGIN_MILLIS;
     }
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/placing/QueueRunTimes.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/placing/QueueRunTimes.java
@@ -1,21 +1,22 @@
 package org.tarragonarch.core.placing;
 
 /**
- * The run times of one queue's tasks against what their callers declared: a line through the logarithms of both,
- * learned run by run.
+ * Estimates the run times of one queue's tasks from the run times that their callers declared, by linear regression on
+ * the logarithms of both, updated with each run.
  *
- * <p>Where declared times scatter as much as the true ones, a job with a short estimate is most likely not as short as
- * that. Believing it, such jobs looked hopeless and were refused while endpoints were free. The slope of the line says
- * how much an estimate is worth: 1 where estimates are exact up to a factor, 0 where they say nothing.
+ * <p>Where declared times scatter as much as the true ones, a job with a short declared time is probably longer than
+ * declared. Trusting the declared time would make such jobs seem unable to meet their objective, and they would be
+ * refused while endpoints are free. The slope of the regression is the weight of the declared time: 1 where declared
+ * times are exact up to a common factor, 0 where they are uncorrelated with the true ones.
  */
 final class QueueRunTimes {
-    /** The weight of the newest run: what is learned follows a change within fifty runs, a second of a busy queue. */
+    /** The weight of the newest run: estimates follow a change within fifty runs, a second of a busy queue. */
     private static final double WEIGHT = 0.02;
 
-    /** How many runs it takes before the slope is believed; until then only the common factor is. */
-    private static final int RUNS_FOR_SLOPE = 30;
+    /** The number of runs from which the slope is used; before, only the common factor is. */
+    private static final int MIN_RUNS_FOR_SLOPE = 30;
 
-    private static final double SMALLEST_VARIANCE = 0.001;
+    private static final double MIN_VARIANCE = 0.001;
 
     private final RunTimeSpread spread = new RunTimeSpread();
     private int runs;
@@ -30,7 +31,7 @@
         return Math.max(1, Math.round(runs == 0 ? declaredMillis : Math.exp(expected)));
     }
 
-    /** Returns how far true run times lie from the expected ones. */
+    /** Returns the spread of the true run times around the expected ones. */
     RunTimeSpread spread() {
         return spread;
     }
@@ -49,7 +50,7 @@
     }
 
     private double slope() {
-        if (runs < RUNS_FOR_SLOPE || variance < SMALLEST_VARIANCE) {
+        if (runs < MIN_RUNS_FOR_SLOPE || variance < MIN_VARIANCE) {
             return 1;
         }
         return Math.min(1, Math.max(0, covariance / variance));
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/placing/RecoveringJobs.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/placing/RecoveringJobs.java
@@ -10,14 +10,14 @@
 import org.tarragonarch.model.task.Timers;
 
 /**
- * Jobs of which runs of an earlier holder may be under way that were not found yet.
+ * Jobs that may have runs of an earlier holder under way that have not been found yet.
  *
- * <p>Their runs are adopted one by one, as the endpoints are read, so that a change of holder costs nothing of what
- * runs. A task whose run was not found starts only when it cannot run anywhere: an endpoint that does not answer delays
- * the tasks that may be there and no others.
+ * <p>Their runs are adopted as the run lists of the endpoints are read, so that a change of holder loses no run. A task
+ * whose run was not found starts only when it is certain that it runs nowhere: an endpoint that does not answer delays
+ * the tasks that may run there and no others.
  */
 final class RecoveringJobs {
-    /** How often the jobs are checked: a fraction of the time that a stop takes. */
+    /** The interval between checks of the jobs: a fraction of the time that a stop takes. */
     private static final long CHECK_MILLIS = 10;
 
     private final HeldShards shards;
@@ -25,13 +25,13 @@
     private final PlacementObserver observer;
     private final Consumer<PlacedJob> recovered;
     private final Map<JobId, Recovery> recoveries = new LinkedHashMap<>();
-    private boolean checkPlanned;
+    private boolean checkScheduled;
 
     /**
      * Creates the recovery of a placer's jobs.
      *
-     * @param observer is notified of each job that goes on
-     * @param recovered goes on with a job none of whose runs is unknown any more
+     * @param observer is notified of each recovered job
+     * @param recovered continues a job whose earlier runs are all adopted or over
      */
     RecoveringJobs(HeldShards shards, Timers timers, PlacementObserver observer, Consumer<PlacedJob> recovered) {
         this.shards = shards;
@@ -40,36 +40,36 @@
         this.recovered = recovered;
     }
 
-    /** Takes a job, and lets it adopt what was found of it already. */
+    /** Adds a job and lets it adopt its runs that have been found already. */
     void add(PlacedJob job, Offer offer) {
         job.markUnresolved();
         recoveries.put(job.id(), new Recovery(job, new WaitingOffer(offer, timers.nowMillis())));
         shards.endpoints().forEach(endpoint -> endpoint.adopt(job));
         check(job);
-        planCheck();
+        scheduleCheck();
     }
 
-    /** Lets the jobs adopt what was found on an endpoint that was just read for the first time. */
+    /** Lets the jobs adopt the runs found on an endpoint whose run list was read for the first time. */
     void adoptFrom(HeldEndpoint endpoint) {
         jobs().forEach(endpoint::adopt);
     }
 
-    /** Forgets a job that is over. */
+    /** Removes a job that has ended. */
     void remove(PlacedJob job) {
         recoveries.remove(job.id());
     }
 
-    private void planCheck() {
-        if (!checkPlanned && !recoveries.isEmpty()) {
-            checkPlanned = true;
+    private void scheduleCheck() {
+        if (!checkScheduled && !recoveries.isEmpty()) {
+            checkScheduled = true;
             timers.after(CHECK_MILLIS, this::checkAll);
         }
     }
 
     private void checkAll() {
-        checkPlanned = false;
+        checkScheduled = false;
         jobs().forEach(this::check);
-        planCheck();
+        scheduleCheck();
     }
 
     private void check(PlacedJob job) {
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/placing/ShareReview.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/placing/ShareReview.java
@@ -6,7 +6,7 @@
 import org.tarragonarch.core.share.ShareState;
 import org.tarragonarch.model.task.Timers;
 
-/** Reports when a share of a pool becomes limited and when it no longer is. */
+/** Reports when a share of a pool becomes limited and when it is no longer limited. */
 final class ShareReview {
     private final PoolShares shares;
     private final PoolCapacity capacity;
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/placing/StartOrder.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/placing/StartOrder.java
@@ -10,7 +10,7 @@
 import org.tarragonarch.model.share.ShareId;
 
 /**
- * The order in which one pass over the pending jobs tries to start them.
+ * The order in which one pass tries to start the pending jobs.
  *
  * <p>Jobs that can be in time go before those that cannot. Among the shares that have such a job, one below its
  * guaranteed fraction comes first, then the one with the least processor time in use for its weight. Within a share,
@@ -36,25 +36,26 @@
     }
 
     /**
-     * Returns the job to try next, after the one before was tried.
+     * Returns the job to try next; to be called after the previous one was tried.
      *
-     * @param roomiest the most processor time that one endpoint has free; jobs that need more are passed over
+     * @param largestFree the largest free processor time of one endpoint, in thousandths of a core; jobs that need more
+     *     per task are skipped
      */
-    Optional<PlacedJob> next(long roomiest) {
+    Optional<PlacedJob> next(long largestFree) {
         tried.ifPresent(Cursor::refresh);
-        tried = first(roomiest, false);
+        tried = first(largestFree, false);
         if (tried.isPresent()) {
             return Optional.of(tried.get().takeInTime());
         }
-        tried = first(roomiest, true);
+        tried = first(largestFree, true);
         return tried.map(Cursor::takeOverdue);
     }
 
-    private Optional<Cursor> first(long roomiest, boolean overdue) {
+    private Optional<Cursor> first(long largestFree, boolean overdue) {
         Cursor best = null;
         for (Cursor cursor : cursors) {
-            if (cursor.jobs.anyFitsInto(roomiest)
-                    && cursor.has(overdue, roomiest)
+            if (cursor.jobs.anyFitsInto(largestFree)
+                    && cursor.has(overdue, largestFree)
                     && staysBelowCeiling(cursor.share, cursor.jobs.smallestTaskMilliCores())
                     && (best == null || cursor.precedes(best))) {
                 best = cursor;
@@ -63,7 +64,10 @@
         return Optional.ofNullable(best);
     }
 
-    /** Returns whether a share stays within its ceiling if it starts a task that needs so much. */
+    /**
+     * Returns whether a share stays within its ceiling if it starts a task that needs this processor time, in
+     * thousandths of a core.
+     */
     boolean staysBelowCeiling(ShareId share, long milliCores) {
         return !shares.plan().isBounded()
                 || !shares.exceedsCeiling(share, milliCores, capacity.of(share.service(), nowMillis));
@@ -101,18 +105,18 @@
             return isBelowGuaranteed == other.isBelowGuaranteed ? usedByWeight < other.usedByWeight : isBelowGuaranteed;
         }
 
-        boolean has(boolean wantsOverdue, long roomiest) {
+        boolean has(boolean wantsOverdue, long largestFree) {
             if (wantsOverdue) {
                 return !overdue.isEmpty();
             }
-            while (next.isPresent() && isPassed(next.get(), roomiest)) {
+            while (next.isPresent() && isSkipped(next.get(), largestFree)) {
                 next = jobs.after(next.get());
             }
             return !begun.isEmpty() || next.isPresent();
         }
 
-        private boolean isPassed(PlacedJob job, long roomiest) {
-            if (job.taskResources().milliCores() > roomiest) {
+        private boolean isSkipped(PlacedJob job, long largestFree) {
+            if (job.taskResources().milliCores() > largestFree) {
                 return true;
             }
             if (job.isOverdue(nowMillis)) {
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/placing/TaskStarter.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/placing/TaskStarter.java
@@ -5,13 +5,13 @@
 import org.tarragonarch.core.share.PoolShares;
 import org.tarragonarch.model.task.Timers;
 
-/** Starts the tasks of pending jobs wherever there is room, in the order of {@link StartOrder}. */
+/** Starts the tasks of pending jobs on endpoints with free capacity, in the order of {@link StartOrder}. */
 final class TaskStarter {
     /**
-     * How often every pending job is checked for whether it is still of use, in milliseconds. Ends come far more often
-     * in a burst, and the queue is long then.
+     * The minimum interval between checks of all pending jobs for expiry. In a burst, runs end far more often than this
+     * and the queue is long.
      */
-    private static final long EXPIRY_MILLIS = 5;
+    private static final long EXPIRY_CHECK_MILLIS = 5;
 
     private final HeldShards shards;
     private final PendingShares pending;
@@ -19,8 +19,8 @@
     private final PoolCapacity capacity;
     private final Timers timers;
     private final Consumer<PlacedJob> giveUp;
-    private boolean planned;
-    private long expiredAtMillis = Long.MIN_VALUE / 2;
+    private boolean scheduled;
+    private long lastExpiryCheckMillis = Long.MIN_VALUE / 2;
 
     /**
      * Creates the starter of a placer.
@@ -42,20 +42,20 @@
         this.giveUp = giveUp;
     }
 
-    /** Starts what fits once the events at hand are taken in. */
+    /** Schedules a start of pending tasks after the events at hand are processed. */
     void scheduleStart() {
-        if (!planned) {
-            planned = true;
+        if (!scheduled) {
+            scheduled = true;
             timers.after(0, this::startPending);
         }
     }
 
-    /** Starts what fits now. */
+    /** Starts the pending tasks that fit now. */
     void startPending() {
-        planned = false;
+        scheduled = false;
         long now = timers.nowMillis();
-        if (now - expiredAtMillis >= EXPIRY_MILLIS) {
-            expiredAtMillis = now;
+        if (now - lastExpiryCheckMillis >= EXPIRY_CHECK_MILLIS) {
+            lastExpiryCheckMillis = now;
             expirePending(now);
         }
         startInOrder(now);
@@ -69,26 +69,27 @@
         }
     }
 
-    /** Starts what can be in time first, and then what cannot; ends as soon as there is room for no job at all. */
+    /** Starts jobs that can be in time first, then the others; stops as soon as no job fits. */
     private void startInOrder(long now) {
-        long roomiest = shards.largestFreeMilliCores(now);
+        long largestFree = shards.largestFreeMilliCores(now);
         StartOrder order = new StartOrder(pending, poolShares, capacity, now);
-        Optional<PlacedJob> next = order.next(roomiest);
+        Optional<PlacedJob> next = order.next(largestFree);
         while (next.isPresent()) {
-            roomiest = startIfRoom(next.get(), order, now, roomiest);
-            next = order.next(roomiest);
+            largestFree = startIfFits(next.get(), order, now, largestFree);
+            next = order.next(largestFree);
         }
     }
 
     /**
-     * Starts what fits of a job.
+     * Starts the tasks of a job that fit.
      *
-     * @param roomiest the most processor time that one endpoint has free; most of a long queue needs no closer check
-     * @return the same after what was started
+     * @param largestFree the largest free processor time of one endpoint, which rules out most of a long queue at little
+     *     cost
+     * @return the largest free processor time after these starts
      */
-    private long startIfRoom(PlacedJob job, StartOrder order, long now, long roomiest) {
-        if (job.isOver() || job.taskResources().milliCores() > roomiest) {
-            return roomiest;
+    private long startIfFits(PlacedJob job, StartOrder order, long now, long largestFree) {
+        if (job.isOver() || job.taskResources().milliCores() > largestFree) {
+            return largestFree;
         }
         int waitingBefore = job.waitingTasks();
         if (startWaiting(job, order, now)) {
@@ -96,10 +97,10 @@
         } else if (job.waitingTasks() < waitingBefore) {
             pending.jobsOf(job.share()).started(job);
         }
-        return job.waitingTasks() == waitingBefore ? roomiest : shards.largestFreeMilliCores(now);
+        return job.waitingTasks() == waitingBefore ? largestFree : shards.largestFreeMilliCores(now);
     }
 
-    /** Starts what fits; returns whether nothing of the job waits any more. */
+    /** Starts the tasks that fit; returns whether no task of the job waits any longer. */
     private boolean startWaiting(PlacedJob job, StartOrder order, long now) {
         for (PlacedTask task : job.tasks()) {
             if (!task.isWaiting()) {
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/placing/package-info.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/placing/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Placing the tasks of jobs on the endpoints of one shard: who holds an endpoint under which token, what room is left,
- * what runs, and what waits in which order.
+ * Placement of the tasks of jobs on the endpoints of the shards that a node holds: admission, start order,
+ * reservations, runs and their recovery after a change of holder.
  */
 package org.tarragonarch.core.placing;
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/queue/JobQueue.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/queue/JobQueue.java
@@ -13,17 +13,17 @@
 import org.tarragonarch.model.id.TeamName;
 
 /**
- * The waiting tasks of one service, in the order in which they are to be started.
+ * The waiting tasks of one service, in the order in which they start.
  *
- * <p>Between teams it is start-time fair queueing by weight: each team has a virtual time, which a started task moves
- * on by its expected run time over the team's weight, and the team that is furthest behind comes next. Within a team
- * the job with the least expected work left comes next, since a job is answered by its last task; a larger job is
- * passed by a bounded amount of work only.
+ * <p>Teams are served by start-time fair queueing: each team has a virtual time, which every started task advances by
+ * its expected run time divided by the team's weight, and the team with the lowest virtual time comes next. Within a
+ * team, the job with the least expected remaining work comes next, since a job is answered when its last task ends;
+ * only a bounded amount of later work may overtake a larger job.
  *
- * <p>Not safe for use by several threads. A change costs time by the logarithm of the number of jobs and teams;
- * {@link #next} looks at one team more than are held back.
+ * <p>Not thread-safe. A change takes time logarithmic in the number of jobs and teams; {@link #next} takes time linear
+ * in the number of teams that may not start a task.
  *
- * @param <J> what identifies a job; compared by {@code equals}
+ * @param <J> the type of job identifiers, compared by {@code equals}
  */
 public final class JobQueue<J> {
     private final Map<J, WaitingJob<J>> jobs = new HashMap<>();
@@ -45,18 +45,18 @@
     }
 
     /**
-     * Adds waiting tasks of a job, which may have some already.
+     * Adds waiting tasks of a job, which may already have some.
      *
-     * @param job the job
-     * @param team the team it belongs to
+     * @param job the identifier of the job
+     * @param team the team of the job
      * @param weight the team's weight
-     * @param tasks how many tasks wait
-     * @param expectedNanos the expected run time of one of them
+     * @param tasks the number of tasks to add
+     * @param expectedNanos the expected run time of one task, in nanoseconds
      */
     public void add(J job, TeamName team, int weight, int tasks, long expectedNanos) {
         checkNotNull(job, "job");
         checkArgument(weight >= 1, "weight %s of %s is below 1", weight, team);
-        checkArgument(tasks >= 1, "%s tasks are none", tasks);
+        checkArgument(tasks >= 1, "tasks %s is below 1", tasks);
         checkArgument(expectedNanos >= 0, "expectedNanos %s is negative", expectedNanos);
         TeamQueue<J> queue = teams.computeIfAbsent(team, TeamQueue::new);
         removeFromTotals(queue);
@@ -71,7 +71,7 @@
         addToTotals(queue);
     }
 
-    /** Returns the job whose next task is to be started, among teams that may start one; takes nothing out. */
+    /** Returns the job whose task should start next, among the teams that may start one; the queue is unchanged. */
     public Optional<J> next(Predicate<TeamName> mayStart) {
         for (TeamQueue<J> queue : waitingTeams) {
             if (mayStart.test(queue.team())) {
@@ -81,22 +81,26 @@
         return Optional.empty();
     }
 
-    /** Takes one waiting task of a job out, because it is started. */
+    /**
+     * Removes one waiting task of a job, because it was started.
+     *
+     * @throws IllegalStateException if no task of the job waits
+     */
     public void taskStarted(J job) {
         WaitingJob<J> waiting = jobs.get(job);
         checkState(waiting != null, "no task of %s waits", job);
         TeamQueue<J> queue = waiting.queue();
         removeFromTotals(queue);
-        // A team that was held back by its quota must not save up its turns and then shut the others out.
+        // A team that was limited by its quota must not accumulate credit and then lock out the others.
         queue.advanceTo(virtualNanos);
         virtualNanos = queue.virtualNanos();
         queue.charge(waiting.expectedNanos());
         queue.update(waiting, -1, waiting.expectedNanos());
-        forgetIfEmpty(waiting);
+        removeIfEmpty(waiting);
         addToTotals(queue);
     }
 
-    /** Takes all waiting tasks of a job out; a job that has none is passed over. */
+    /** Removes all waiting tasks of a job, if any. */
     public void remove(J job) {
         WaitingJob<J> waiting = jobs.get(job);
         if (waiting == null) {
@@ -105,44 +109,47 @@
         TeamQueue<J> queue = waiting.queue();
         removeFromTotals(queue);
         queue.update(waiting, -waiting.tasks(), waiting.expectedNanos());
-        forgetIfEmpty(waiting);
+        removeIfEmpty(waiting);
         addToTotals(queue);
     }
 
-    /** Returns how many tasks wait. */
+    /** Returns the number of waiting tasks. */
     public int queuedTasks() {
         return queuedTasks;
     }
 
-    /** Returns how many tasks of a team wait. */
+    /** Returns the number of waiting tasks of a team. */
     public int queuedTasks(TeamName team) {
         TeamQueue<J> queue = teams.get(team);
         return queue == null ? 0 : queue.tasks();
     }
 
     /**
-     * Returns how many of so many waiting tasks are a team's part by weight, among the teams that wait and itself.
+     * Returns a team's share by weight of the tasks that may wait, among this team and all teams with waiting tasks.
      *
-     * @param bound the tasks that may wait in all
+     * @param bound the number of tasks of all teams that may wait
      */
     public int fairShare(TeamName team, int weight, int bound) {
         long others = queuedTasks(team) > 0 ? waitingWeight - weight : waitingWeight;
         return Math.toIntExact((long) bound * weight / (others + weight));
     }
 
-    /** Returns the expected run time of all that waits ahead of a new job of a team, in nanoseconds of one slot. */
+    /**
+     * Returns the expected run time of the tasks ahead of a new job of a team, in nanoseconds of one slot, if the job
+     * is larger than all others of its team.
+     */
     public long expectedNanosAhead(TeamName team, int weight) {
         return expectedNanosAhead(team, weight, Long.MAX_VALUE);
     }
 
     /**
-     * Returns the expected run time of what waits ahead of a new job of a team, in nanoseconds of one slot.
+     * Returns the expected run time of the tasks ahead of a new job of a team, in nanoseconds of one slot.
      *
-     * <p>That is the work of the team's jobs that are no larger, to within a factor of two, and what the other waiting
-     * teams are served meanwhile by their weights.
+     * <p>This is the work of the team's jobs that are no larger, to within a factor of two, and the work that other
+     * teams with waiting tasks get by their weights in the same time.
      *
      * @param weight the team's weight
-     * @param jobNanos the expected work of the new job
+     * @param jobNanos the expected work of the new job, in nanoseconds of one slot
      */
     public long expectedNanosAhead(TeamName team, int weight, long jobNanos) {
         TeamQueue<J> queue = teams.get(team);
@@ -171,7 +178,7 @@
         }
     }
 
-    private void forgetIfEmpty(WaitingJob<J> waiting) {
+    private void removeIfEmpty(WaitingJob<J> waiting) {
         if (waiting.tasks() == 0) {
             jobs.remove(waiting.job());
         }
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/queue/TeamQueue.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/queue/TeamQueue.java
@@ -7,13 +7,17 @@
 /**
  * The waiting jobs of one team, and the team's virtual time.
  *
- * <p>A job with less work left comes before one with more, but passes it only for a while: see {@link WaitingJob}.
+ * <p>A job with less remaining work comes before one with more, but overtakes it only for a limited time; see {@link
+ * WaitingJob#sortKey}.
  */
 final class TeamQueue<J> {
     private final TeamName team;
     private final TreeSet<WaitingJob<J>> jobs =
             new TreeSet<>(Comparator.comparingLong(WaitingJob<J>::sortKey).thenComparingLong(WaitingJob::sequence));
-    /** Work by the binary order of magnitude of the job's work, so that a sum up to a size needs no walk over jobs. */
+    /**
+     * Sums of work by the binary order of magnitude of the job's work, so that a sum over the jobs up to a given size
+     * needs no iteration over all jobs.
+     */
     private final long[] nanosByMagnitude = new long[Long.SIZE + 1];
 
     private int weight = 1;
@@ -54,12 +58,12 @@
         return jobs.first();
     }
 
-    /** Moves the team on to a virtual time that the queue has passed, so that idle time earns no credit. */
+    /** Advances the team to at least the queue's virtual time, so that idle time earns no credit. */
     void advanceTo(double virtualNow) {
         virtualNanos = Math.max(virtualNanos, virtualNow);
     }
 
-    /** Returns the expected work of all tasks that the team has started: the clock by which its jobs grow old. */
+    /** Returns the expected work of all tasks that the team has started, which is the clock by which its jobs age. */
     long startedNanos() {
         return startedNanos;
     }
@@ -81,7 +85,7 @@
         }
     }
 
-    /** Returns the work of jobs of at most this much work, to within a factor of two. */
+    /** Returns the total work of the jobs whose work is at most {@code jobNanos}, to within a factor of two. */
     long nanosUpTo(long jobNanos) {
         long sum = 0;
         for (int magnitude = 0; magnitude <= magnitude(jobNanos); magnitude++) {
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/queue/WaitingJob.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/queue/WaitingJob.java
@@ -1,14 +1,14 @@
 package org.tarragonarch.core.queue;
 
-/** The waiting tasks of one job, and its place among the jobs of its team. */
+/** The waiting tasks of one job, and its position among the jobs of its team. */
 final class WaitingJob<J> {
     /**
-     * How much later work may pass a job, as a multiple of the work by which the later job is smaller.
+     * The amount of later work that may overtake a job, as a multiple of the work by which the later job is smaller.
      *
-     * <p>Without a bound the smallest job always comes first, and under steady load a job that is larger, or was only
-     * thought to be when run times were not learnt yet, is passed until its deadline.
+     * <p>Without a bound the smallest job would always come first, and under steady load a job that is larger, or was
+     * estimated to be before run times were recorded, would be overtaken until its deadline.
      */
-    private static final long PASSING_FACTOR = 4;
+    private static final long OVERTAKING_FACTOR = 4;
 
     private final J job;
     private final TeamQueue<J> queue;
@@ -17,7 +17,7 @@
     private int tasks;
     private long expectedNanos;
 
-    /** Creates a job without tasks that arrives now, by the work that its team has started. */
+    /** Creates a job without tasks that arrives now, as measured by the work that its team has started. */
     WaitingJob(J job, TeamQueue<J> queue, long sequence) {
         this.job = job;
         this.queue = queue;
@@ -45,14 +45,14 @@
         return expectedNanos;
     }
 
-    /** Returns the expected run time of all that waits, in nanoseconds of one slot. */
+    /** Returns the expected run time of the waiting tasks, in nanoseconds of one slot. */
     long nanosLeft() {
         return tasks * expectedNanos;
     }
 
-    /** Returns the job's place: the job with the least comes first. */
+    /** Returns the sort key of the job within its team: the job with the lowest key comes first. */
     long sortKey() {
-        return teamWorkAtArrival + PASSING_FACTOR * nanosLeft();
+        return teamWorkAtArrival + OVERTAKING_FACTOR * nanosLeft();
     }
 
     void update(int addedTasks, long newExpectedNanos) {
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/queue/package-info.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/queue/package-info.java
@@ -1,2 +1,2 @@
-/** The order in which waiting jobs get their next task started. */
+/** Queues of waiting tasks, which determine the order of starts between teams and jobs. */
 package org.tarragonarch.core.queue;
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/quota/LimitUse.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/quota/LimitUse.java
@@ -1,11 +1,11 @@
 package org.tarragonarch.core.quota;
 
 /**
- * How a key uses its limit on this node.
+ * The use of one limit on this node.
  *
- * @param key what is limited
- * @param running tasks that run from this node
- * @param share how many may run from this node at once
- * @param limit how many may run in the failure domain at once
+ * @param key the team or service that is limited
+ * @param running the number of running tasks that this node has sent
+ * @param share the number of tasks of this node that may run at a time
+ * @param limit the number of tasks that may run at a time in the failure domain
  */
 public record LimitUse<K>(K key, int running, int share, int limit) {}
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/quota/SharedLimits.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/quota/SharedLimits.java
@@ -14,21 +14,21 @@
 import org.tarragonarch.model.id.NodeId;
 
 /**
- * Keeps the running tasks of each team, or each service, within this node's share of a failure domain's limit.
+ * Limits the running tasks of each team, or each service, to this node's share of a failure domain's limit.
  *
- * <p>The limit of a failure domain is dealt evenly to its nodes; what is left over goes to the nodes that rendezvous
- * hashing ranks first for the key, so nodes that agree on who shares never exceed the limit together and need no
- * message for it. Where a limit is lower than the number of nodes, some nodes have no share.
+ * <p>The limit of a failure domain is divided evenly among its nodes; the remainder goes to the nodes that rendezvous
+ * hashing ranks first for the key. Nodes that agree on the set of sharing nodes never exceed the limit together and
+ * need no messages for it. If a limit is lower than the number of nodes, some nodes have no share.
  *
- * <p>Not safe for use by several threads.
+ * <p>Not thread-safe.
  *
- * @param <K> what is limited; its text form ranks the nodes
+ * @param <K> the type of what is limited; its {@code toString} is hashed to rank the nodes
  */
 public final class SharedLimits<K extends Comparable<K>> {
     private final NodeId self;
     private final ToIntFunction<K> limit;
     private final Multiset<K> running = HashMultiset.create();
-    /** This node's rank for each key, since a share is asked for at every start. */
+    /** This node's rank for each key, cached because the share is read with every start. */
     private final Map<K, Integer> ranks = new HashMap<>();
 
     private ImmutableSet<NodeId> sharers;
@@ -40,7 +40,7 @@
     }
 
     /**
-     * Returns limits with nothing running, all of which this node has to itself.
+     * Returns limits without running tasks, of which this node has the whole share.
      *
      * @param self this node
      * @param limit returns the limit of a key in the failure domain
@@ -50,9 +50,10 @@
     }
 
     /**
-     * Sets which nodes of the failure domain share the limits.
+     * Sets the nodes of the failure domain that share the limits.
      *
-     * @param all every node that may use a share, this one among them, also those that are silent
+     * @param all every node that may use a share, including this node and silent nodes
+     * @throws IllegalArgumentException if {@code all} does not contain this node
      */
     public void setSharers(ImmutableSet<NodeId> all) {
         checkArgument(all.contains(self), "%s is not among the sharers", self);
@@ -62,28 +63,28 @@
         }
     }
 
-    /** Returns whether one more task may start from this node. */
+    /** Returns whether this node may start one more task. */
     public boolean mayStart(K key) {
         return running.count(key) < share(key);
     }
 
-    /** Counts a task that started. */
+    /** Records the start of a task. */
     public void started(K key) {
         running.add(key);
     }
 
-    /** Counts a task that ended. */
+    /** Records the end of a task. */
     public void ended(K key) {
         running.remove(key);
     }
 
-    /** Returns how many tasks may run from this node at once; may be 0. */
+    /** Returns the number of tasks of this node that may run at a time; may be 0. */
     public int share(K key) {
         int rank = ranks.computeIfAbsent(key, added -> RendezvousHash.rank(self, sharers, added.toString()));
         return RendezvousHash.share(rank, sharers.size(), limit.applyAsInt(key));
     }
 
-    /** Returns how each key that runs something uses its limit, in the order of the keys. */
+    /** Returns the use of the limit of each key that has running tasks, in the order of the keys. */
     public ImmutableList<LimitUse<K>> uses() {
         return running.elementSet().stream()
                 .sorted()
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/quota/package-info.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/quota/package-info.java
@@ -1,2 +1,2 @@
-/** How many tasks of a team may run at once on this node. */
+/** Limits of running tasks by team and service, divided among the nodes of a failure domain. */
 package org.tarragonarch.core.quota;
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/share/LimitWatch.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/share/LimitWatch.java
@@ -8,11 +8,11 @@
 /**
  * Detects when a share becomes limited and when it no longer is, with hysteresis.
  *
- * <p>Guards against a change that is reported with every start of a share whose use is about its allotment: a state is
- * reported only after it has lasted.
+ * <p>Guards against a report with every start of a share whose use is close to its allotment: a state is reported only
+ * after it has lasted for some time.
  */
 public final class LimitWatch {
-    /** Longer than the tasks of a wide job ordinarily wait for places. */
+    /** Longer than the tasks of a job with many tasks usually wait for capacity. */
     private static final long LIMITED_AFTER_MILLIS = 300;
 
     private static final long UNLIMITED_AFTER_MILLIS = 1_000;
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/share/PoolShares.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/share/PoolShares.java
@@ -11,13 +11,13 @@
 import org.tarragonarch.model.share.SharePlan;
 import org.tarragonarch.model.share.ShareSettings;
 
-/** The shares of a pool: the capacity that each uses and wants, and their order of starts. */
+/** The shares of a pool: the capacity that each uses and wants, and the values that determine the order of starts. */
 public final class PoolShares {
     private final SharePlan plan;
     private final Iterable<ShareTally> tallies;
     private final ToLongFunction<ShareId> waitingMilliCores;
     private final Set<ShareId> known = new LinkedHashSet<>();
-    /** Kept because the plan creates the settings of a priority that it does not name with every call. */
+    /** Cached because the plan creates new settings with every call for a priority that it does not name. */
     private final Map<ShareId, ShareSettings> settings = new HashMap<>();
 
     /**
@@ -32,7 +32,7 @@
         this.waitingMilliCores = waitingMilliCores;
     }
 
-    /** Returns the plan. */
+    /** Returns the configured division of capacity. */
     public SharePlan plan() {
         return plan;
     }
@@ -79,7 +79,7 @@
         return guaranteed > 0 && usedMilliCores(share) < guaranteed * capacityMilliCores;
     }
 
-    /** Returns whether a share would exceed its ceiling if it started a task that needs so much. */
+    /** Returns whether a share would exceed its ceiling if it started a task that needs {@code neededMilliCores}. */
     public boolean exceedsCeiling(ShareId share, long neededMilliCores, long capacityMilliCores) {
         double ceiling = settingsOf(share).ceiling();
         return ceiling < 1 && usedMilliCores(share) + neededMilliCores > ceiling * capacityMilliCores;
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/share/ShareAdmission.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/share/ShareAdmission.java
@@ -8,8 +8,8 @@
  * Estimates how long a job waits for capacity within its share.
  *
  * <p>The wait has up to three phases. While the share uses more than its allotment, its own runs have to end. While it
- * uses less, it gets the places that runs of any share free, until it reaches its allotment. From then on each of its
- * tasks takes the place of one of its own runs. Capacity that is free now can be used at once up to the share's
+ * uses less, it gets the capacity that ending runs of any share release, until it reaches its allotment. From then on
+ * each of its tasks replaces one of its own runs. Capacity that is free now can be used at once up to the share's
  * ceiling, since idle capacity is lent.
  */
 public final class ShareAdmission {
@@ -64,22 +64,22 @@
      * @param aheadWork the sum over these tasks of need times expected run time, in thousandths of a core times
      *     milliseconds
      */
-    public ShareWait waitFor(JobNeed job, TaskSlots places, long aheadMilliCores, long aheadWork) {
-        long perPlace = places.milliCoresPerSlot();
-        double packing = (double) perPlace / job.milliCoresPerTask();
-        long wanted = job.tasks() * perPlace;
+    public ShareWait waitFor(JobNeed job, TaskSlots slots, long aheadMilliCores, long aheadWork) {
+        long perSlot = slots.milliCoresPerSlot();
+        double packing = (double) perSlot / job.milliCoresPerTask();
+        long wanted = job.tasks() * perSlot;
         long belowCeiling = belowCeilingMilliCores();
-        long missing = Math.max(0, wanted - Math.min(places.free() * perPlace, belowCeiling));
+        long missing = Math.max(0, wanted - Math.min(slots.free() * perSlot, belowCeiling));
         double ahead = packing * aheadMilliCores;
         double work = packing * aheadWork + (double) missing * job.runMillis();
-        long millis = places.total() == 0 ? 0 : waitMillis(ahead + missing, work);
-        return new ShareWait(placesBelowCeiling(job, places), millis, ahead + wanted <= belowCeiling, state());
+        long millis = slots.total() == 0 ? 0 : waitMillis(ahead + missing, work);
+        return new ShareWait(slotsBelowCeiling(job, slots), millis, ahead + wanted <= belowCeiling, state());
     }
 
-    private long placesBelowCeiling(JobNeed job, TaskSlots places) {
+    private long slotsBelowCeiling(JobNeed job, TaskSlots slots) {
         double ceiling = demands.get(index).settings().ceiling();
         long below = (long) (ceiling * capacityMilliCores) / job.milliCoresPerTask();
-        return ceiling < 1 ? Math.min(places.total(), below) : places.total();
+        return ceiling < 1 ? Math.min(slots.total(), below) : slots.total();
     }
 
     /**
@@ -103,7 +103,8 @@
 
     /**
      * Returns the rate at which the share grows towards its allotment, in thousandths of a core per millisecond.
-     * Capacity that runs free is divided among the shares in proportion to how far each is below its allotment.
+     * Capacity that ending runs release is divided among the shares in proportion to how far each is below its
+     * allotment.
      */
     private double growthPerMilli(long gap) {
         if (gap <= 0) {
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/share/ShareTally.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/share/ShareTally.java
@@ -8,9 +8,9 @@
 import org.tarragonarch.model.share.ShareUse;
 
 /**
- * The processor time that runs under way take on the endpoints of one failure domain, by share.
+ * The processor time in use on the endpoints of one failure domain, by share.
  *
- * <p>It is updated as capacity is reserved and released, so that reading it with every start is cheap.
+ * <p>Updated as capacity is reserved and released, so that reading it with every start is cheap.
  */
 public final class ShareTally {
     /**
@@ -26,7 +26,7 @@
     /**
      * Adds a run.
      *
-     * @param milliCores the processor time that it takes, in thousandths of a core
+     * @param milliCores the processor time that it occupies, in thousandths of a core
      * @param expectedRunMillis its expected run time, in milliseconds
      */
     public void reserved(ShareId share, long milliCores, long expectedRunMillis) {
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/share/WaterFilling.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/share/WaterFilling.java
@@ -5,8 +5,8 @@
 /**
  * Weighted max-min fair division of a capacity among shares, by progressive filling.
  *
- * <p>Each share gets its guaranteed fraction first, as far as it wants it. The rest goes to the share that has the
- * least by weight, until each has what it wants or its ceiling.
+ * <p>Each share first gets its guaranteed fraction, as far as it wants it. The rest goes to the share with the least
+ * capacity divided by weight, until each has what it wants or reaches its ceiling.
  */
 final class WaterFilling {
     /** Bisection steps for the level: exact to a thousandth of a core in pools of any size. */
@@ -60,7 +60,7 @@
                 guaranteed, Math.min(upperBound, level * demand.settings().weight()));
     }
 
-    /** Returns the most that a share can use: what it wants, up to its ceiling. */
+    /** Returns the maximum that a share can use: what it wants, up to its ceiling. */
     private static double upperBound(long capacity, ShareDemand demand) {
         return Math.min(demand.wantedMilliCores(), capacity * demand.settings().ceiling());
     }
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/share/package-info.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/share/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Shares of a pool's capacity: what each has in use, what it may use while others want theirs, and how long a job of it
- * would wait.
+ * Shares of a pool's capacity: their use, their allotments under the demand of all shares, and the expected waits of
+ * their jobs.
  */
 package org.tarragonarch.core.share;
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/speed/EndpointSpeed.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/speed/EndpointSpeed.java
@@ -8,8 +8,8 @@
  * one sign in a row are taken for a sudden change, which is followed with a larger gain.
  *
  * <p>Decisions compare classes of speed, 28% wide, and not the estimate itself, so that noise in the estimates changes
- * no decision where all endpoints are about alike. An endpoint leaves its class only if its estimate is clearly outside
- * (hysteresis).
+ * no decision where the speeds of all endpoints are similar. An endpoint leaves its class only if its estimate is
+ * clearly outside (hysteresis).
  */
 public final class EndpointSpeed {
     private static final double MIN_SPEED = 0.2;
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/speed/PoolSpeeds.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/speed/PoolSpeeds.java
@@ -4,9 +4,9 @@
  * Keeps the mean speed of a pool at 1.
  *
  * <p>Run times determine only the product of an endpoint's speed and its queue's expected run time. Without a fixed
- * mean all speeds could rise together while the expected run times fall, or the other way round. The mean is geometric,
- * and the influence of each endpoint is bounded to a factor of 1.6, so that a few very slow ones do not shift the
- * speeds of all others.
+ * mean, all speeds could rise together while the expected run times fall, or vice versa. The mean is geometric, and the
+ * influence of each endpoint is bounded to a factor of 1.6, so that a few very slow ones do not shift the speeds of all
+ * others.
  */
 public final class PoolSpeeds {
     /** The bound of one endpoint's deviation in the logarithm, a factor of 1.6. */
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/speed/SpeedSummary.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/speed/SpeedSummary.java
@@ -8,7 +8,7 @@
  * @param fastest the highest
  */
 public record SpeedSummary(double slowest, double mean, double fastest) {
-    /** The summary where no endpoint is held. */
+    /** The summary if no endpoint is held. */
     public static final SpeedSummary NONE = new SpeedSummary(1, 1, 1);
 
     /** Returns the summary of the given speeds; {@link #NONE} without any. */
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/speed/package-info.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/speed/package-info.java
@@ -1,2 +1,2 @@
-/** How fast endpoints are, learned from how long their runs take against what was expected. */
+/** Estimates of the relative speeds of endpoints, from the ratio of expected to true run times. */
 package org.tarragonarch.core.speed;
