--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/admission/AdmissionControl.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/admission/AdmissionControl.java
@@ -132,7 +132,8 @@
         int bound = submission.service().maxQueuedTasks();
         int tasks = submission.arrived().tasks().size();
         boolean exceedsBound = queue.queuedTasks() + tasks > bound;
-        return exceedsBound && queue.queuedTasks(team.name()) + tasks > queue.fairShare(team.name(), team.weight(), bound);
+        return exceedsBound
+                && queue.queuedTasks(team.name()) + tasks > queue.fairShare(team.name(), team.weight(), bound);
     }
 
     // Estimates are unreliable until runs were recorded; with an empty queue the submission is admitted, so that they
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/placing/OfferAdmission.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/placing/OfferAdmission.java
@@ -42,7 +42,8 @@
         if (offer.fromOwnDomain()) {
             return pending.waitingTasks() <= remainingSlots;
         }
-        double remainingMilliCores = remainingSlots * (double) offer.job().step().perTask().milliCores();
+        double remainingMilliCores =
+                remainingSlots * (double) offer.job().step().perTask().milliCores();
         double reserve = ownUse.within(RESERVE_MILLIS, nowMillis);
         return pending.waitingTasks() == 0 && remainingSlots >= 0 && remainingMilliCores >= reserve;
     }
--- a/tarragonarch-core/src/test/java/org/tarragonarch/core/placing/JobLifecycleTest.java
+++ b/tarragonarch-core/src/test/java/org/tarragonarch/core/placing/JobLifecycleTest.java
@@ -18,7 +18,7 @@
 import org.tarragonarch.model.task.Verdict;
 import org.testng.annotations.Test;
 
-/** The verdicts on jobs at a holder without endpoints; {@link PlacerTest} has those with runs. */
+/** Verdicts of a holder without endpoints; {@link PlacerTest} tests those on jobs with runs. */
 public final class JobLifecycleTest {
     private final VirtualTimers timers = new VirtualTimers();
     private final List<String> verdicts = new ArrayList<>();
@@ -33,7 +33,7 @@
                 shards, pending, poolShares, capacity, new RunTimes(), timers, new RecordingListener(verdicts));
     }
 
-    /** Guards against a client that comes back at once, or after the whole objective, when no endpoint is known. */
+    /** Guards against a client that retries at once, or only after its whole objective, while no endpoint is known. */
     @Test
     public void testOffer_noEndpoints() {
         JobLifecycleTest test = new JobLifecycleTest();
@@ -41,7 +41,7 @@
         assertEquals(test.verdicts, ImmutableList.of("declined", "DECLINED, retry after 1000 ms"));
     }
 
-    /** Guards against a client that gets "not run" while runs of an earlier holder may be under way. */
+    /** Guards against the answer "not run" to a client while runs of an earlier holder may be under way. */
     @Test
     public void testReturnAll_earlierRunsUnresolved() {
         JobLifecycleTest test = new JobLifecycleTest();
@@ -50,7 +50,7 @@
         assertEquals(test.verdicts, ImmutableList.of("HOLD_LOST, retry after 0 ms"));
     }
 
-    /** Guards against a verdict on a job whose client has left, or on one of a node that is gone. */
+    /** Guards against a verdict on a job that was withdrawn or whose origin is lost. */
     @Test
     public void testWithdraw_noVerdictAfterwards() {
         JobLifecycleTest test = new JobLifecycleTest();
--- a/tarragonarch-core/src/test/java/org/tarragonarch/core/placing/Ledger.java
+++ b/tarragonarch-core/src/test/java/org/tarragonarch/core/placing/Ledger.java
@@ -6,13 +6,13 @@
 import java.util.Map;
 import org.tarragonarch.model.task.TaskName;
 
-/** What the endpoints of a test saw, and which promises that breaks. */
+/** Records the runs at all endpoints of a test, and every violation of a guarantee. */
 public final class Ledger {
     private final Map<TaskName, FakeEndpoint> running = new HashMap<>();
     private final List<String> violations = new ArrayList<>();
     private int starts;
 
-    /** Creates the ledger of endpoints on which nothing has run. */
+    /** Creates an empty ledger. */
     public Ledger() {}
 
     void started(TaskName task, FakeEndpoint at) {
@@ -28,7 +28,7 @@
 
     void checkCapacity(long used, long capacity) {
         if (used > capacity) {
-            violations.add("over the room: " + used + " of " + capacity);
+            violations.add("over capacity: " + used + " of " + capacity);
         }
     }
 
@@ -36,7 +36,7 @@
         return starts;
     }
 
-    /** Returns what was seen that must not happen. */
+    /** Returns the violations: two runs of a task at a time, or an endpoint used beyond its capacity. */
     public List<String> violations() {
         return violations;
     }
--- a/tarragonarch-core/src/test/java/org/tarragonarch/core/placing/OfferAdmissionTest.java
+++ b/tarragonarch-core/src/test/java/org/tarragonarch/core/placing/OfferAdmissionTest.java
@@ -9,7 +9,7 @@
 import org.tarragonarch.model.task.OfferTerms;
 import org.testng.annotations.Test;
 
-/** A holder of four places that is offered jobs to start at once, by its own clients' nodes and by others. */
+/** A holder with four task slots that is offered jobs to start at once, from its own failure domain and from others. */
 public final class OfferAdmissionTest {
     private final PlacerFixture fixture = new PlacerFixture(2);
     private final Placer placer = fixture.placer(1);
@@ -38,7 +38,7 @@
         fixture.timers.pass(5);
     }
 
-    /** Guards against a decline that operators see as a refusal, and against a job that is half started. */
+    /** Guards against a partly started job, and against a decline that operators would see as a refusal. */
     @Test
     public void testOffer_atOnceBeyondFreeCapacity() {
         OfferAdmissionTest test = opened();
@@ -48,7 +48,9 @@
         assertEquals(test.fixture.estimates, ImmutableList.of());
     }
 
-    /** Guards against a job that its holder has given back once and that it may not have to wait. */
+    /**
+     * Guards against a holder that refuses a job on terms that allow it to wait, because it returned the job before.
+     */
     @Test
     public void testOffer_repeatedUnderOtherTerms() {
         OfferAdmissionTest test = opened();
@@ -65,7 +67,7 @@
         assertEquals(test.fixture.ledger.starts(), 4);
     }
 
-    /** Guards against a neighbour whose idle endpoints take nothing for others. */
+    /** Guards against idle endpoints that accept no jobs of other failure domains. */
     @Test
     public void testOffer_otherDomainWhileIdle() {
         OfferAdmissionTest test = opened();
@@ -73,7 +75,9 @@
         assertEquals(test.fixture.ledger.starts(), 4);
     }
 
-    /** Load: own clients fill the endpoints and wait. Guards against room that then goes to another domain's client. */
+    /**
+     * Jobs of own clients fill the endpoints and wait. Guards against a job of another domain that starts before them.
+     */
     @Test
     public void testOffer_otherDomainWhileOwnJobsWait() {
         OfferAdmissionTest test = opened();
@@ -86,8 +90,8 @@
     }
 
     /**
-     * Load: own clients take three places of four every 70 ms. Guards against a neighbour's burst that takes the last
-     * place in the moment in which none of theirs runs.
+     * Own clients use three of four slots every 70 ms. Guards against a burst of another domain that takes all slots at
+     * a moment when no own job runs.
      */
     @Test
     public void testOffer_otherDomainLeavesReserve() {
@@ -103,8 +107,8 @@
     }
 
     /**
-     * Guards against a task that runs twice: its client left and sends the job again while the first runs are being
-     * stopped. Were it given back as one that cannot start at once, the next domain would start it.
+     * Guards against a task that runs twice: its client disconnects and resubmits the job while the first runs are
+     * being stopped. If the job were returned because it cannot start at once, the next domain would start it.
      */
     @Test
     public void testOffer_atOnceWhileRunsAreStopped() {
@@ -117,7 +121,7 @@
         assertEquals(test.fixture.verdicts, ImmutableList.of("origin-1 1 DONE"));
     }
 
-    /** Guards against a job that is taken to start at once and then waits at its share's ceiling. */
+    /** Guards against a job that is admitted to start at once and then waits because its share is at its ceiling. */
     @Test
     public void testOffer_atOnceBeyondTheCeiling() {
         PlacerFixture fixture = new PlacerFixture(2);
@@ -129,7 +133,7 @@
         assertEquals(fixture.ledger.starts(), 0);
     }
 
-    /** Guards against a job that waits for its whole time although its share may not run one task of it. */
+    /** Guards against a job that waits until its deadline although one of its tasks exceeds its share's ceiling. */
     @Test
     public void testOffer_taskLargerThanTheCeiling() {
         PlacerFixture fixture = new PlacerFixture(2);
--- a/tarragonarch-core/src/test/java/org/tarragonarch/core/placing/PendingJobsTest.java
+++ b/tarragonarch-core/src/test/java/org/tarragonarch/core/placing/PendingJobsTest.java
@@ -15,7 +15,7 @@
 import org.tarragonarch.model.task.Offer;
 import org.testng.annotations.Test;
 
-/** The queue of jobs in a burst: long, added up with each job that comes, changed with each run that ends. */
+/** The queue of pending jobs, whose sums are read with every offer and updated with every change. */
 public final class PendingJobsTest {
     private static final int JOBS = 60;
     private static final int STEPS = 20_000;
@@ -27,7 +27,7 @@
                 offer, 1, EXPECTED_RUN_MILLIS, 1, JobTimes.of(offer, EXPECTED_RUN_MILLIS, 10L * number), ShareId.ALL);
     }
 
-    /** What is kept up to date step by step is what adding up the whole queue gives, whatever becomes of its tasks. */
+    /** Guards against sums that drift from the contents of the queue as jobs and tasks change in any order. */
     @Test
     public void testSums_matchRecomputation() {
         Random random = new Random(20261203);
--- a/tarragonarch-core/src/test/java/org/tarragonarch/core/placing/PlacerDrainTest.java
+++ b/tarragonarch-core/src/test/java/org/tarragonarch/core/placing/PlacerDrainTest.java
@@ -11,7 +11,7 @@
 import org.tarragonarch.model.task.Resources;
 import org.testng.annotations.Test;
 
-/** One holder whose endpoints are drained, or change their size, while jobs run and wait. */
+/** One holder whose endpoints are drained, or change their capacity, while jobs run and wait. */
 public final class PlacerDrainTest {
     private static final int LONG_MILLIS = 600;
 
@@ -58,7 +58,7 @@
         fixture.setRunMillis(LONG_MILLIS);
     }
 
-    /** Guards against a drained domain whose running work is thrown away. */
+    /** Guards against runs that are stopped because their domain is drained. */
     @Test
     public void testDrain_runsAreFinished() {
         PlacerFixture fixture = runningLong(1);
@@ -69,7 +69,7 @@
         assertEquals(fixture.ledger.starts(), 2);
     }
 
-    /** Guards against a job that is taken for a drained domain and waits there until its deadline. */
+    /** Guards against a job that is admitted in a drained domain and waits there until its deadline. */
     @Test
     public void testDrain_newJobIsDeclined() {
         PlacerFixture fixture = new PlacerFixture(2);
@@ -79,7 +79,7 @@
         assertEquals(fixture.verdicts, ImmutableList.of("origin-1 1 DECLINED"));
     }
 
-    /** Guards against a queue of a hundred jobs that waits in a drained domain while others have room. */
+    /** Guards against a hundred jobs that wait in a drained domain while other domains have free capacity. */
     @Test
     public void testDrain_waitingJobsAreDeclined() {
         PlacerFixture fixture = runningLong(1);
@@ -95,7 +95,7 @@
         assertEquals(fixture.ledger.starts(), 2);
     }
 
-    /** Guards against a job whose last task cannot start any more and whose others run for nothing. */
+    /** Guards against a job whose last task can no longer start while its other tasks run in vain. */
     @Test
     public void testDrain_partlyStartedJobIsEvicted() {
         PlacerFixture fixture = runningLong(1);
@@ -108,7 +108,7 @@
         assertEquals(fixture.ledger.starts(), 2);
     }
 
-    /** Guards against a job that runs here and elsewhere because its client sent it again while it was given back. */
+    /** Guards against a job that runs at two holders because its client resubmitted it while it was being evicted. */
     @Test
     public void testDrain_resubmittedWhileRunsStop() {
         PlacerFixture fixture = runningLong(1);
@@ -119,7 +119,7 @@
         assertEquals(fixture.verdicts, ImmutableList.of("origin-1 1 DECLINED"));
     }
 
-    /** Guards against a job that is never given back because a node that had it before withdraws it. */
+    /** Guards against a job that is never returned because an earlier origin withdraws it. */
     @Test
     public void testDrain_withdrawnByEarlierOrigin() {
         PlacerFixture fixture = runningLong(1);
@@ -130,7 +130,7 @@
         assertEquals(fixture.verdicts, ImmutableList.of("origin-1 1 EVICTED"));
     }
 
-    /** Guards against a retry that is started in a drained domain. */
+    /** Guards against a retry in a drained domain. */
     @Test
     public void testDrain_failedTaskIsNotRetried() {
         PlacerFixture fixture = runningLong(1);
@@ -143,7 +143,7 @@
         assertEquals(fixture.ledger.starts(), 1);
     }
 
-    /** Guards against a new holder that adopts the runs of a drained domain and starts the rest of their jobs there. */
+    /** Guards against a new holder that adopts the runs of a drained domain and starts further tasks there. */
     @Test
     public void testDrain_nextHolderAdoptsRuns() {
         PlacerFixture fixture = runningLong(1);
@@ -164,7 +164,7 @@
         assertEquals(fixture.ledger.violations(), ImmutableList.of());
     }
 
-    /** Guards against a pool whose jobs are given back although another domain of it takes work. */
+    /** Guards against jobs that are returned although another shard of the pool can run them. */
     @Test
     public void testDrain_otherShardTakesWaitingJobs() {
         PlacerFixture fixture = runningLong(2);
@@ -180,7 +180,7 @@
         assertEquals(fixture.endpoint(2).started(), 4);
     }
 
-    /** Guards against a domain that stays empty after it was taken back into use. */
+    /** Guards against a domain that gets no jobs after its drain has ended. */
     @Test
     public void testUndrain_acceptsJobs() {
         PlacerFixture fixture = new PlacerFixture(1);
@@ -192,7 +192,7 @@
         assertEquals(fixture.verdicts, ImmutableList.of("origin-1 1 DONE"));
     }
 
-    /** Guards against short tasks on endpoints that are still slow while warm ones are idle. */
+    /** Guards against tasks on endpoints that are still cold, and therefore slow, while warm ones are idle. */
     @Test
     public void testUndrain_prefersWarmEndpoints() {
         PlacerFixture fixture = new PlacerFixture(2);
@@ -206,7 +206,7 @@
         assertEquals(fixture.endpoint(1).started(), 2);
     }
 
-    /** Guards against an endpoint that shrinks below what runs: nothing is stopped, and nothing is started over it. */
+    /** Guards against stopped or additional runs when an endpoint shrinks below the capacity in use. */
     @Test
     public void testResize_belowCapacityInUse() {
         PlacerFixture fixture = runningLong(1);
@@ -221,7 +221,7 @@
         assertEquals(fixture.verdicts, ImmutableList.of("origin-1 1 DONE", "origin-1 2 DONE"));
     }
 
-    /** Guards against room of a run that is being stopped and is given away before its end is listed. */
+    /** Guards against capacity of a run that is being stopped and is reused before the end of the run is listed. */
     @Test
     public void testResize_stoppingRunsHoldCapacity() {
         PlacerFixture fixture = runningLong(1);
@@ -236,7 +236,9 @@
         assertEquals(fixture.ledger.violations(), ImmutableList.of());
     }
 
-    /** Guards against a start that is under way while its endpoint shrinks: its room counts from when it left. */
+    /**
+     * Guards against an overfilled endpoint that shrinks while a start order is in flight: its reservation must count.
+     */
     @Test
     public void testResize_startOrderInFlight() {
         PlacerFixture fixture = runningLong(1);
@@ -248,7 +250,7 @@
         assertEquals(fixture.endpoint(1).running(), 1);
     }
 
-    /** Guards against a task that waits until its deadline although no endpoint is large enough for it any more. */
+    /** Guards against a task that waits until its deadline although no endpoint is large enough for it any longer. */
     @Test
     public void testResize_taskFitsNoEndpoint() {
         PlacerFixture fixture = runningLong(1);
@@ -260,7 +262,7 @@
         assertEquals(fixture.verdicts, ImmutableList.of("origin-1 2 DECLINED", "origin-1 1 DONE"));
     }
 
-    /** Guards against room that came back and is not used until the next end. */
+    /** Guards against added capacity that is not used until the next run ends. */
     @Test
     public void testResize_addedCapacityIsUsed() {
         PlacerFixture fixture = runningLong(1);
@@ -275,7 +277,7 @@
         assertEquals(fixture.endpoint(1).running(), 2);
     }
 
-    /** Guards against a next holder that fills an endpoint which shrank to the size that it had before. */
+    /** Guards against a next holder that fills a shrunk endpoint up to its former capacity. */
     @Test
     public void testResize_nextHolderUsesNewCapacity() {
         PlacerFixture fixture = runningLong(1);
--- a/tarragonarch-core/src/test/java/org/tarragonarch/core/placing/PlacerFixture.java
+++ b/tarragonarch-core/src/test/java/org/tarragonarch/core/placing/PlacerFixture.java
@@ -26,14 +26,14 @@
 import org.tarragonarch.model.task.TaskStep;
 import org.tarragonarch.model.task.Verdict;
 
-/** A placer with endpoints of 16 cores, for tasks of 7 cores and 60 ms: two of them fit on one endpoint. */
+/** A placer with endpoints of 16 cores, for tasks of 7 cores and 60 ms: an endpoint can run two at a time. */
 final class PlacerFixture {
     static final NodeId ORIGIN = NodeId.of("origin-1");
     static final long TASK_MILLI_CORES = 7_000;
     static final FailureDomain SHARD = FailureDomain.of("hobart");
     static final FailureDomain SECOND_SHARD = FailureDomain.of("launceston");
 
-    /** What an earlier holder's runs are when its loss has just been noticed. */
+    /** The earlier runs of a job whose holder was just lost. */
     private static final EarlierRuns EARLIER = new EarlierRuns(1_050, ImmutableSet.of(SHARD));
 
     private static final long PATIENT_DEADLINE_MILLIS = 60_000;
@@ -64,19 +64,19 @@
         }
     }
 
-    /** Returns a fixture whose endpoints run every task for that long. */
+    /** Returns a fixture whose endpoints run every task for this time. */
     static PlacerFixture running(int endpoints, long runMillis) {
         PlacerFixture fixture = new PlacerFixture(endpoints);
         fixture.setRunMillis(runMillis);
         return fixture;
     }
 
-    /** Lets every endpoint run each task for that long from now on. */
+    /** Sets the run time of tasks that start from now on, at every endpoint. */
     void setRunMillis(long runMillis) {
         orders.endpoints.values().forEach(endpoint -> endpoint.runMillis = runMillis);
     }
 
-    /** Lets every endpoint tell when it started, in its entry and its lists. */
+    /** Makes every endpoint report its start time, in its entry and its run lists. */
     PlacerFixture reportingStarts() {
         for (int number = 1; number <= entries.size(); number++) {
             endpoint(number).tellStart(FIRST_START_MILLIS);
@@ -85,7 +85,7 @@
         return this;
     }
 
-    /** Puts the entry of the incarnation that started then in place of an endpoint's entry. */
+    /** Replaces the entry of an endpoint by that of the incarnation that started at this time. */
     void replaceIncarnation(int number, long startedMillis) {
         EndpointEntry entry = entries.get(number - 1);
         entries.set(number - 1, entry.withIncarnation(new EndpointIncarnation(entry.id(), startedMillis)));
@@ -146,13 +146,13 @@
                 entry.cold());
     }
 
-    /** Returns the entry of an endpoint that has another size now. */
+    /** Returns the entry with another capacity. */
     static EndpointEntry resized(EndpointEntry entry, Resources capacity) {
         return new EndpointEntry(
                 entry.id(), entry.service(), entry.address(), entry.domain(), entry.draining(), capacity, entry.cold());
     }
 
-    /** Returns the entry of an endpoint that has just started. */
+    /** Returns the entry as that of an endpoint that has just started. */
     static EndpointEntry cold(EndpointEntry entry) {
         return new EndpointEntry(
                 entry.id(), entry.service(), entry.address(), entry.domain(), entry.draining(), entry.capacity(), true);
@@ -195,10 +195,10 @@
         return new Placer(settings, orders, timers, listener, new RunTimes(), shard -> listsWhole);
     }
 
-    /** The last verdict on a job, when it came and when to come back. */
+    /** The last verdict on a job, its time and the retry time. */
     record Settled(Verdict verdict, long atMillis, long retryMillis) {}
 
-    /** Returns a job of a priority's queue. */
+    /** Returns a job of the queue of a priority. */
     static Offer offer(int number, int priority, int tasks, long estimateMillis) {
         String name = "checks-" + priority;
         QueueDefinition queue = new QueueDefinition(name, "h", "/p/", "board", priority, 3, 1.6, 60);
@@ -214,17 +214,17 @@
         return firstOffer(number, tasks, 60);
     }
 
-    /** Returns a job that this node's client sends for the first time. */
+    /** Returns a job that a client submits for the first time. */
     static Offer firstOffer(int number, int tasks, long estimateMillis) {
         return offer(number, tasks, estimateMillis, ORIGIN, false);
     }
 
-    /** Returns a job that an earlier holder had. */
+    /** Returns a job that an earlier holder may have started. */
     static Offer repeatedOffer(int number, int tasks, long estimateMillis) {
         return offer(number, tasks, estimateMillis, ORIGIN, true);
     }
 
-    /** Returns a job that may wait a minute for its answer. */
+    /** Returns a job with a deadline of one minute. */
     static Offer patientOffer(int number, int tasks, long estimateMillis) {
         QueueDefinition queue = new QueueDefinition("checks", "h", "/p/", "board", 0, 3, 1.6, PATIENT_DEADLINE_MILLIS);
         TaskStep step = new TaskStep(tasks, new Resources(TASK_MILLI_CORES, 64, 0), estimateMillis);
--- a/tarragonarch-core/src/test/java/org/tarragonarch/core/placing/PlacerTest.java
+++ b/tarragonarch-core/src/test/java/org/tarragonarch/core/placing/PlacerTest.java
@@ -8,7 +8,7 @@
 import org.tarragonarch.model.task.EndKind;
 import org.testng.annotations.Test;
 
-/** One holder and its endpoints, on virtual time. */
+/** One holder and its endpoints in virtual time. */
 public final class PlacerTest {
     @Test
     public void testOffer_withinCapacity() {
@@ -33,7 +33,7 @@
         assertEquals(fixture.ledger.violations(), ImmutableList.of());
     }
 
-    /** Guards against jobs that cannot be in time and are declined only after a wait or a start. */
+    /** Guards against jobs that cannot be answered in time and are declined only after they waited or started. */
     @Test
     public void testOffer_cannotMeetObjective() {
         PlacerFixture fixture = new PlacerFixture(1);
@@ -53,7 +53,7 @@
         assertEquals(fixture.ledger.starts(), (10 - declined) * 2);
     }
 
-    /** Guards against a task that runs twice since its lost order arrives three seconds later. */
+    /** Guards against a task that runs twice because a start order that counted as lost arrives three seconds later. */
     @Test
     public void testOffer_startOrderArrivesAfterLease() {
         PlacerFixture fixture = new PlacerFixture(2);
@@ -70,7 +70,7 @@
         assertEquals(fixture.ledger.violations(), ImmutableList.of());
     }
 
-    /** Guards against tasks of a cut-off endpoint that start elsewhere before its lease is over, or never. */
+    /** Guards against tasks of an unreachable endpoint that start elsewhere before its lease has expired, or never. */
     @Test
     public void testOffer_endpointCutOff() {
         PlacerFixture fixture = new PlacerFixture(2);
@@ -87,7 +87,7 @@
         assertEquals(fixture.verdicts, ImmutableList.of("origin-1 1 DONE"));
     }
 
-    /** Guards against endpoints overfilled by a holder that does not know the runs of the earlier one. */
+    /** Guards against endpoints overfilled by a holder that does not know the runs of the earlier holder. */
     @Test
     public void testClaim_earlierHolderLeftRuns() {
         PlacerFixture fixture = new PlacerFixture(1);
@@ -104,7 +104,10 @@
         assertTrue(fixture.verdicts.contains("origin-1 1 DONE"), fixture.verdicts.toString());
     }
 
-    /** A client hangs up and sends its job again at once: the second must wait until the first's runs are gone. */
+    /**
+     * Guards against two runs of a task when a client disconnects and resubmits its job before the first runs are
+     * stopped.
+     */
     @Test
     public void testOffer_resubmittedWhileRunsStop() {
         PlacerFixture fixture = new PlacerFixture(2);
@@ -119,7 +122,9 @@
         assertEquals(fixture.ledger.violations(), ImmutableList.of());
     }
 
-    /** One endpoint fails all it starts, at once; it looks idle and must not swallow every job's attempts. */
+    /**
+     * Guards against jobs that fail because an endpoint that fails every run at once polls idle and gets all attempts.
+     */
     @Test
     public void testOffer_endpointFailsAllRuns() {
         PlacerFixture fixture = new PlacerFixture(3);
@@ -138,7 +143,7 @@
         assertTrue(fixture.ledger.starts() <= 13, "starts " + fixture.ledger.starts());
     }
 
-    /** A job whose tasks fail wherever they run is answered as failed after its attempts, and not tried for ever. */
+    /** Guards against endless retries of a job whose tasks fail at every endpoint. */
     @Test
     public void testOffer_taskFailsEverywhere() {
         PlacerFixture fixture = new PlacerFixture(2);
@@ -153,7 +158,7 @@
         assertEquals(fixture.badEnds, ImmutableList.of(EndKind.FAILED, EndKind.FAILED, EndKind.FAILED));
     }
 
-    /** The node with the client's connection dies: its job is stopped, for the client sends it again elsewhere. */
+    /** Guards against a job that continues after its origin is lost: its client resubmits it through another node. */
     @Test
     public void testOriginLost() {
         PlacerFixture fixture = new PlacerFixture(1);
@@ -168,7 +173,7 @@
         assertEquals(fixture.verdicts, ImmutableList.of());
     }
 
-    /** Guards against jobs refused in the 50 ms in which a new holder reads its endpoints. */
+    /** Guards against jobs refused in the 50 ms in which a new holder reads the run lists of its endpoints. */
     @Test
     public void testOffer_endpointsInitializing() {
         PlacerFixture fixture = new PlacerFixture(2);
@@ -193,7 +198,7 @@
         assertEquals(placer.isUnreachable(PlacerFixture.SHARD), false);
     }
 
-    /** Guards against a burst in which jobs already late go first: 60 of 300 were in time. */
+    /** Guards against a burst in which overdue jobs start first, so that only 60 of 300 jobs are answered in time. */
     @Test
     public void testOffer_overdueJobStartsLast() {
         PlacerFixture fixture = new PlacerFixture(1);
@@ -210,7 +215,7 @@
         assertEquals(fixture.verdicts, inTimeFirst);
     }
 
-    /** Guards against a run that stalls until the deadline on an endpoint that answers every call. */
+    /** Guards against a run that stalls until the deadline at an endpoint that answers every call. */
     @Test
     public void testReview_stalledRun() {
         PlacerFixture fixture = new PlacerFixture(2);
@@ -229,7 +234,7 @@
         assertEquals(fixture.ledger.violations(), ImmutableList.of());
     }
 
-    /** Guards against a task that stands still for several times its run time, while its progress shows that. */
+    /** Guards against a task that stalls for several times its run time although its reported progress shows that. */
     @Test
     public void testRunList_stalledTaskIsRestarted() {
         PlacerFixture fixture = new PlacerFixture(4);
@@ -248,7 +253,7 @@
         assertEquals(fixture.ledger.violations(), ImmutableList.of());
     }
 
-    /** Guards against runs that are stopped because their endpoints report no progress of any run. */
+    /** Guards against runs that are stopped because their endpoint reports no progress of any run. */
     @Test
     public void testRunList_noProgressReported() {
         PlacerFixture fixture = new PlacerFixture(1);
@@ -264,7 +269,7 @@
         assertEquals(fixture.verdicts.size(), 5);
     }
 
-    /** Guards against a withdrawn job that is started once the runs of an earlier holder are gone. */
+    /** Guards against a withdrawn job that starts once its earlier runs are known to be over. */
     @Test
     public void testWithdraw_awaitingEarlierRuns() {
         PlacerFixture fixture = new PlacerFixture(1);
@@ -277,7 +282,10 @@
         assertEquals(fixture.ledger.starts(), 1);
     }
 
-    /** The same while it waits for its own first runs to be stopped, and when its node is lost. */
+    /**
+     * Guards against the start of a resubmitted job that was withdrawn, or whose origin was lost, while its first runs
+     * were being stopped.
+     */
     @Test
     public void testWithdraw_resubmittedWhileRunsStop() {
         PlacerFixture fixture = new PlacerFixture(2);
@@ -297,21 +305,24 @@
         assertEquals(fixture.ledger.starts(), 2);
     }
 
-    /** Guards against ends that are learned half a second late since one call for the list got no answer. */
+    /** Guards against ends that are seen half a second late because one poll got no answer. */
     @Test
     public void testOffer_pollLost() {
         PlacerFixture fixture = new PlacerFixture(1);
         Placer placer = fixture.placer(1);
         fixture.timers.pass(20);
-        int[] looks = {0};
-        fixture.orders.holdWay = () -> looks[0]++ == 0 ? FakeOrders.Way.CUT : FakeOrders.Way.CLEAR;
+        int[] polls = {0};
+        fixture.orders.holdWay = () -> polls[0]++ == 0 ? FakeOrders.Way.CUT : FakeOrders.Way.CLEAR;
         placer.offer(PlacerFixture.offer(1, 1));
         fixture.timers.pass(155);
         assertEquals(fixture.verdicts, ImmutableList.of("origin-1 1 DONE"));
         assertEquals(fixture.ledger.violations(), ImmutableList.of());
     }
 
-    /** The order to start is delayed by seconds; the task starts elsewhere in time for its caller, and only there. */
+    /**
+     * Guards against a late or repeated task whose start order is delayed by seconds: it starts elsewhere in time,
+     * once.
+     */
     @Test
     public void testOffer_startOrderDelayed() {
         PlacerFixture fixture = new PlacerFixture(2);
@@ -327,7 +338,7 @@
         assertEquals(fixture.ledger.violations(), ImmutableList.of());
     }
 
-    /** Only the answer to the start is lost: the run goes on, and nothing of it is thrown away. */
+    /** Guards against a run that is discarded because only the answer to its start order was lost. */
     @Test
     public void testOffer_startAnswerLost() {
         PlacerFixture fixture = new PlacerFixture(2);
@@ -343,7 +354,7 @@
         assertEquals(fixture.badEnds, ImmutableList.of());
     }
 
-    /** Guards against a started job that is given up as late while its caller still waits. */
+    /** Guards against a started job that is ended as too late while its caller still waits. */
     @Test
     public void testOffer_startedJobFinishesLate() {
         PlacerFixture fixture = new PlacerFixture(1);
@@ -366,7 +377,7 @@
         assertEquals(fixture.verdicts, ImmutableList.of("origin-1 1 DONE"));
     }
 
-    /** The same in the moment in which the holder claims, and its endpoints are still being opened. */
+    /** Guards against a late job that is refused right after a takeover, while the endpoints are initializing. */
     @Test
     public void testOffer_lateWhileEndpointsInitialize() {
         PlacerFixture fixture = new PlacerFixture(2);
@@ -378,7 +389,7 @@
         assertEquals(fixture.verdicts, ImmutableList.of("origin-1 3 DECLINED", "origin-1 1 DONE", "origin-1 2 DONE"));
     }
 
-    /** The same while others wait: their answers can still be in time, so the late one must not take their room. */
+    /** Guards against a late job that takes the capacity of jobs that can still be answered in time. */
     @Test
     public void testOffer_lateWhileOthersWait() {
         PlacerFixture fixture = new PlacerFixture(1);
--- a/tarragonarch-core/src/test/java/org/tarragonarch/core/placing/ShareLoad.java
+++ b/tarragonarch-core/src/test/java/org/tarragonarch/core/placing/ShareLoad.java
@@ -13,7 +13,7 @@
 import org.tarragonarch.model.task.TaskRun;
 import org.tarragonarch.model.task.Verdict;
 
-/** Streams of jobs of several priorities on one placer with 20 endpoints, which hold two tasks each. */
+/** Streams of jobs of several priorities on one placer with 20 endpoints of two task slots each. */
 final class ShareLoad {
     static final int TASK_SLOTS = 40;
 
@@ -45,14 +45,17 @@
         return sent.get(new JobId(job)).kind();
     }
 
-    /** One kind of job; they come at even distances. */
+    /** A stream of equal jobs at a constant interval. */
     record Kind(int priority, int tasks, long runMillis, long intervalMillis) {}
 
     private record Sent(Kind kind, long atMillis) {}
 
     private record Sample(long atMillis, Map<Integer, Long> runsByPriority) {}
 
-    /** Has jobs of a kind come from one moment of the load to another. */
+    /**
+     * Schedules jobs of a kind from {@code fromMillis} to {@code toMillis}, in milliseconds since the start of the
+     * load.
+     */
     void send(Kind kind, long fromMillis, long toMillis) {
         for (long at = fromMillis; at < toMillis; at += kind.intervalMillis()) {
             fixture.timers.after(at, () -> offer(kind));
@@ -87,7 +90,7 @@
         samples.add(new Sample(now(), runs));
     }
 
-    /** Returns the mean of how many tasks of a priority ran between two moments. */
+    /** Returns the mean number of running tasks of a priority between two times. */
     double meanRuns(int priority, long fromMillis, long toMillis) {
         return samples(fromMillis, toMillis).stream()
                 .mapToLong(each -> each.runsByPriority().getOrDefault(priority, 0L))
@@ -108,14 +111,14 @@
                 .toList();
     }
 
-    /** Returns which part of the jobs of a kind that were sent between two moments was answered in time. */
+    /** Returns the fraction of the jobs of a kind that were sent between two times that was answered in time. */
     double inTimeFraction(Kind kind, long fromMillis, long toMillis) {
         return fraction(kind, fromMillis, toMillis, id -> {
             PlacerFixture.Settled end = fixture.settled.get(id);
-            long took = end == null
+            long elapsed = end == null
                     ? Long.MAX_VALUE
                     : end.atMillis() - startMillis - sent.get(id).atMillis();
-            return end != null && end.verdict() == Verdict.DONE && took <= 1.6 * kind.runMillis() + 60;
+            return end != null && end.verdict() == Verdict.DONE && elapsed <= 1.6 * kind.runMillis() + 60;
         });
     }
 
@@ -123,7 +126,7 @@
         return fraction(kind, 0, Long.MAX_VALUE, id -> fixture.settled.get(id).verdict() == Verdict.DECLINED);
     }
 
-    /** Returns which part of the refused jobs of a kind was refused as they came, with a time to come back. */
+    /** Returns the fraction of the declined jobs of a kind that was declined on arrival, with a retry time. */
     double refusedAtOnceFraction(Kind kind) {
         ImmutableList<JobId> refused = sent.keySet().stream()
                 .filter(id -> sent.get(id).kind().equals(kind)
--- a/tarragonarch-core/src/test/java/org/tarragonarch/core/queue/JobQueueTest.java
+++ b/tarragonarch-core/src/test/java/org/tarragonarch/core/queue/JobQueueTest.java
@@ -36,27 +36,27 @@
         assertEquals(jobs.queuedTasks(), 9);
     }
 
-    /** Guards against a job queued with a long estimate that newer, smaller ones pass until its deadline. */
+    /** Guards against a job queued with a long estimate that newer, smaller ones overtake until its deadline. */
     @Test
     public void testNext_largerJobIsNotStarved() {
         JobQueue<String> jobs = JobQueue.create();
         jobs.add("old", PRESS, 1, 3, 200 * MILLI);
         jobs.add("new-0", PRESS, 1, 3, 100 * MILLI);
-        int passed = 0;
+        int overtaken = 0;
         String next = start(jobs);
-        while (!next.equals("old") && passed < 1_000) {
-            passed++;
-            jobs.add("new-" + passed, PRESS, 1, 1, 100 * MILLI);
+        while (!next.equals("old") && overtaken < 1_000) {
+            overtaken++;
+            jobs.add("new-" + overtaken, PRESS, 1, 1, 100 * MILLI);
             next = start(jobs);
         }
-        // Three tasks were there with it, and four times (600 - 100) ms is the work of 20 more.
-        assertTrue(passed <= 23, passed + " tasks passed it");
+        // Three tasks were queued with it, and four times (600 - 100) ms is the work of 20 more.
+        assertTrue(overtaken <= 23, overtaken + " tasks overtook it");
     }
 
     @Test
     public void testNext_teamsByWeight() {
-        // One team pushes ten thousand tasks at once. Another team's few jobs must not wait behind them, and of a full
-        // service each team gets its part by weight.
+        // Guards against a team that adds ten thousand tasks at once and so delays the few jobs of another team. On a
+        // full service each team gets its share by weight.
         JobQueue<String> jobs = JobQueue.create();
         jobs.add("flood", STUDENTS, 1, 10_000, 200 * MILLI);
         for (int i = 0; i < 100; i++) {
@@ -72,8 +72,7 @@
 
     @Test
     public void testNext_teamAtQuotaGainsNoCredit() {
-        // A team waits at its quota while another one works. Let go, it must not shut the other one out until it has
-        // caught up on all that it missed.
+        // Guards against a team that waits at its quota and afterwards locks out another team until it has caught up.
         JobQueue<String> jobs = JobQueue.create();
         jobs.add("held", PRESS, 1, 1000, 100 * MILLI);
         jobs.add("free", STUDENTS, 1, 1000, 100 * MILLI);
@@ -82,11 +81,11 @@
             assertEquals(job, "free");
             jobs.taskStarted(job);
         }
-        int held = 0;
+        int limited = 0;
         for (int i = 0; i < 100; i++) {
-            held += start(jobs).equals("held") ? 1 : 0;
+            limited += start(jobs).equals("held") ? 1 : 0;
         }
-        assertEquals(held, 50, 1);
+        assertEquals(limited, 50, 1);
         assertEquals(jobs.next(team -> false), Optional.empty());
     }
 
@@ -97,7 +96,7 @@
         assertEquals(queue.expectedNanosAhead(PRESS, 1), 0, "another team's backlog is not ahead of the first job");
         queue.add("press", PRESS, 1, 10, 100 * MILLI);
         assertEquals(queue.expectedNanosAhead(PRESS, 1), 2000 * MILLI);
-        assertEquals(queue.expectedNanosAhead(PRESS, 1, 100 * MILLI), 0, "the larger job lets a small one pass");
+        assertEquals(queue.expectedNanosAhead(PRESS, 1, 100 * MILLI), 0, "a small job comes before the larger one");
         assertEquals(queue.queuedTasks(STUDENTS), 1000);
         queue.remove("flood");
         queue.remove("flood");
--- a/tarragonarch-core/src/test/java/org/tarragonarch/core/quota/SharedLimitsTest.java
+++ b/tarragonarch-core/src/test/java/org/tarragonarch/core/quota/SharedLimitsTest.java
@@ -24,7 +24,8 @@
 
     @Test(dataProvider = "limitsAndNodes")
     public void testShare_sumEqualsLimit(int limit, int nodes) {
-        // A team may run two tasks in a domain of three nodes. If each node allowed at least one, three would run.
+        // Guards against shares of at least one task for each node: with a limit of two and three nodes, three would
+        // run.
         ImmutableSet<NodeId> all = IntStream.range(0, nodes)
                 .mapToObj(number -> NodeId.of("hobart-" + number))
                 .collect(ImmutableSet.toImmutableSet());
--- a/tarragonarch-core/src/test/java/org/tarragonarch/core/share/LimitWatchTest.java
+++ b/tarragonarch-core/src/test/java/org/tarragonarch/core/share/LimitWatchTest.java
@@ -11,7 +11,7 @@
         return new ShareState(new ShareId("board", 2), 7_000, 1_000, 1_000, 1_000, isLimited ? 500 : 0);
     }
 
-    /** Guards against two log lines for each start of a share whose use is about its allotment. */
+    /** Guards against two log lines for each start of a share whose use is close to its allotment. */
     @Test
     public void testUpdate_useAroundAllotment() {
         LimitWatch watch = new LimitWatch();
--- a/tarragonarch-core/src/test/java/org/tarragonarch/core/share/WaterFillingTest.java
+++ b/tarragonarch-core/src/test/java/org/tarragonarch/core/share/WaterFillingTest.java
@@ -25,7 +25,7 @@
         assertEquals(allotted, new long[] {4_000, 2_000, 1_000});
     }
 
-    /** Guards against capacity that one share does not want and no other gets. */
+    /** Guards against capacity that one share does not want and no other share gets. */
     @Test
     public void testDivide_redistributesUnwantedCapacity() {
         long[] allotted = divide(
--- a/tarragonarch-core/src/test/java/org/tarragonarch/core/speed/EndpointSpeedTest.java
+++ b/tarragonarch-core/src/test/java/org/tarragonarch/core/speed/EndpointSpeedTest.java
@@ -8,7 +8,7 @@
 import java.util.Random;
 import org.testng.annotations.Test;
 
-/** What is learned of an endpoint's speed from run times that scatter by 40%. */
+/** Estimates of an endpoint's speed from run times that scatter by 40%. */
 public final class EndpointSpeedTest {
     private static final double EXPECTED_MILLIS = 100;
     private static final double SCATTER = 0.4;
@@ -27,7 +27,7 @@
         assertEquals(new EndpointSpeed().classSpeed(), 1.0);
     }
 
-    /** Load: endpoints of three speeds. */
+    /** Guards against estimates that do not converge to the true speed of slow, average and fast endpoints. */
     @Test
     public void testRecord_threeSpeeds() {
         for (double trueSpeed : new double[] {0.6, 1.0, 1.6}) {
@@ -37,7 +37,7 @@
         }
     }
 
-    /** Load: an endpoint turns five times slower. Guards against seconds in which tasks still go there. */
+    /** Guards against an endpoint that gets tasks for seconds after it has become five times slower. */
     @Test
     public void testRecord_suddenSlowdown() {
         EndpointSpeed speed = new EndpointSpeed();
@@ -48,7 +48,7 @@
         assertTrue(speed.value() > 0.7, "after thirty ordinary runs " + speed.value());
     }
 
-    /** Load: 3% of tasks run seven times as long. Guards against an endpoint that counts as slow for them. */
+    /** Guards against an endpoint that counts as slow because 3% of its tasks run seven times as long. */
     @Test
     public void testRecord_stragglers() {
         EndpointSpeed speed = new EndpointSpeed();
@@ -61,7 +61,7 @@
         assertEquals(speed.value(), 1.0, 0.3);
     }
 
-    /** Guards against speeds that leave their bounds, on which waits are computed. */
+    /** Guards against speeds outside their bounds, since waits are computed from them. */
     @Test
     public void testRecord_bounds() {
         EndpointSpeed speed = new EndpointSpeed();
@@ -71,7 +71,7 @@
         assertEquals(speed.value(), 3, 0.001);
     }
 
-    /** Guards against decisions that change with noise: within 0.87 to 1.15 all endpoints are of one class. */
+    /** Guards against decisions that change with noise: endpoints with speeds of 0.87 to 1.15 are in one class. */
     @Test
     public void testClassSpeed_withinClass() {
         for (double trueSpeed : new double[] {0.87, 1.0, 1.15}) {
