--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/cluster/Coordinator.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/cluster/Coordinator.java
@@ -92,8 +92,7 @@
                 sender,
                 timers,
                 domain -> drained().contains(domain));
-        this.router =
-                new JobRouter(holders, timers, PeerTable.DETECTION_SKEW_MILLIS + placing.certainExpiryMillis(), log);
+        this.router = new JobRouter(holders, timers, PeerTable.DETECTION_SKEW_MILLIS + placing.leaseExpiry(), log);
     }
 
     /** Returns what is known of the peers. */
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/placing/CompletionEstimate.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/placing/CompletionEstimate.java
@@ -13,7 +13,7 @@
  * @param deadlineWithinMillis the time left until its client's deadline
  * @param taskSlots the number of tasks of its size that the usable endpoints can run at a time, within the ceiling of
  *     its share
- * @param freeTaskSlots the number of these that could start now, regardless of the ceiling
+ * @param freeTaskSlots the number of such tasks that the usable endpoints could start now, regardless of the ceiling
  * @param waitingJobs the number of pending jobs of its share
  * @param hasCapacityForAll whether there is capacity for it and all waiting tasks, counting endpoints that are still
  *     initializing
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/placing/EndpointLink.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/placing/EndpointLink.java
@@ -145,7 +145,7 @@
     /** Returns when a lease that is extended now ends, on the endpoint's clock. */
     private long extendLease() {
         long now = timers.nowMillis();
-        leaseOverAtMillis = Math.max(leaseOverAtMillis, now + settings.certainExpiryMillis());
+        leaseOverAtMillis = Math.max(leaseOverAtMillis, now + settings.leaseExpiry());
         return clock.at(now) + settings.lease();
     }
 }
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/placing/JobLifecycle.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/placing/JobLifecycle.java
@@ -198,9 +198,7 @@
         starter.startPending();
     }
 
-    /**
-     * Continues a job whose earlier runs are adopted or over; a job that has made progress is finished even if late.
-     */
+    /** Continues a job whose earlier runs are adopted or over; one that has progress is finished even if late. */
     private void resume(PlacedJob job) {
         if (job.allFinished()) {
             settle(job, Verdict.DONE);
@@ -249,10 +247,7 @@
         }
     }
 
-    /**
-     * Settles a job that is not admitted. Only a job that was offered on terms that allow it to wait counts as
-     * declined.
-     */
+    /** Settles a job that is not admitted; only one whose terms allow it to wait counts as declined. */
     private void refuse(PlacedJob job, CompletionEstimate estimate) {
         Verdict verdict = job.offer().terms().refusal();
         if (verdict == Verdict.DECLINED) {
@@ -268,10 +263,7 @@
         listener.settled(job.origin(), job.id(), Verdict.DECLINED, retry);
     }
 
-    /**
-     * Ends a job whose answer would come too late; a job that never started is declined, so that its client learns that
-     * it has not run.
-     */
+    /** Ends a job whose answer would come too late; one that never started is declined, as it has not run. */
     private void giveUp(PlacedJob job) {
         if (job.wasStarted()) {
             settle(job, Verdict.TOO_LATE);
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/placing/PlacingSettings.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/placing/PlacingSettings.java
@@ -58,7 +58,7 @@
      * Returns the time after the sending of an order at which every lease that it renewed has certainly expired, unless
      * another order renews it.
      */
-    public long certainExpiryMillis() {
+    public long leaseExpiry() {
         return Math.round(lease * SLOWEST_CLOCK) + CERTAINTY_MARGIN_MILLIS;
     }
 }
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/placing/RunEnds.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/placing/RunEnds.java
@@ -99,7 +99,7 @@
     void restarted(boolean leftAsPlanned) {
         long untilMillis = link.nowMillis()
                 + UnansweredStarts.CARRIED_OUT_WITHIN_MILLIS
-                + link.settings().certainExpiryMillis();
+                + link.settings().leaseExpiry();
         for (Reservation reservation : room.all()) {
             if (reservation.isListed()) {
                 end(reservation, endKind(leftAsPlanned));
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/placing/TaskStarter.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/placing/TaskStarter.java
@@ -83,8 +83,8 @@
     /**
      * Starts the tasks of a job that fit.
      *
-     * @param largestFree the largest free processor time of one endpoint, which rules out most of a long queue at little
-     *     cost
+     * @param largestFree the largest free processor time of one endpoint, which rules out most jobs of a long queue
+     *     cheaply
      * @return the largest free processor time after these starts
      */
     private long startIfFits(PlacedJob job, StartOrder order, long now, long largestFree) {
