--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/placing/CapacityCount.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/placing/CapacityCount.java
@@ -1,6 +1,6 @@
 package org.tarragonarch.core.placing;
 
-import org.tarragonarch.core.share.PoolPlaces;
+import org.tarragonarch.core.share.TaskSlots;
 import org.tarragonarch.model.task.Resources;
 
 /**
@@ -15,7 +15,7 @@
  */
 record CapacityCount(long slots, double weightedSlots, long freeSlots, long initializingSlots, long milliCores) {
     static CapacityCount of(Iterable<HeldEndpoint> endpoints, PlacedJob job, long now) {
-        long perTask = Math.max(1, job.need().milliCores());
+        long perTask = Math.max(1, job.taskResources().milliCores());
         long slots = 0;
         double weightedSlots = 0;
         long freeSlots = 0;
@@ -33,7 +33,7 @@
             slots += slotsOfEndpoint;
             weightedSlots += slotsOfEndpoint * endpoint.speed().classSpeed();
             initializingSlots += usable ? 0 : slotsOfEndpoint;
-            freeSlots += usable && job.need().fitsInto(endpoint.freeCapacity())
+            freeSlots += usable && job.taskResources().fitsInto(endpoint.freeCapacity())
                     ? endpoint.freeCapacity().milliCores() / perTask
                     : 0;
         }
@@ -46,7 +46,7 @@
     }
 
     /** Returns the slots in the form that admission by shares uses. */
-    PoolPlaces toPoolSlots() {
-        return new PoolPlaces(milliCores, slots, freeSlots);
+    TaskSlots toPoolSlots() {
+        return new TaskSlots(milliCores, slots, freeSlots);
     }
 }
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/placing/CompletionEstimator.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/placing/CompletionEstimator.java
@@ -2,13 +2,13 @@
 
 import java.util.Optional;
 import org.tarragonarch.core.share.JobNeed;
-import org.tarragonarch.core.share.PoolPlaces;
 import org.tarragonarch.core.share.PoolShares;
 import org.tarragonarch.core.share.ShareAdmission;
 import org.tarragonarch.core.share.ShareState;
 import org.tarragonarch.core.share.ShareWait;
+import org.tarragonarch.core.share.TaskSlots;
 
-/** Says what to expect of a job that would be taken now. */
+/** Estimates when a job would complete if it were admitted now. */
 final class CompletionEstimator {
     private final Iterable<HeldEndpoint> endpoints;
     private final PendingShares pending;
@@ -21,24 +21,24 @@
     }
 
     /**
-     * Returns what to expect of a job.
+     * Returns the estimate for a job.
      *
-     * <p>An endpoint that is just being opened counts as room that is taken: right after a takeover or a restart every
-     * endpoint is, for some 50 ms, and a job that waits that long is mostly still in time.
+     * <p>An endpoint that is initializing counts as capacity in use. After a takeover or a restart every endpoint is
+     * initializing for some 50 ms, and a job that waits for that time is usually still answered in time.
      */
-    CompletionEstimate of(PlacedJob job, long now) {
+    CompletionEstimate estimate(PlacedJob job, long now) {
         CapacityCount capacity = CapacityCount.of(endpoints, job, now);
-        PendingJobs own = pending.of(job.share());
-        boolean roomForAll =
+        PendingJobs own = pending.jobsOf(job.share());
+        boolean hasCapacityForAll =
                 pending.waitingTasks() + job.step().count() <= capacity.freeSlots() + capacity.initializingSlots();
         long wait;
-        long places = capacity.slots();
+        long taskSlots = capacity.slots();
         Optional<ShareState> share = Optional.empty();
         if (shares.plan().isConfigured()) {
             ShareWait inShare = waitInShare(job, own, capacity.toPoolSlots(), now);
             wait = Math.round(inShare.millis() / capacity.meanSpeed());
-            places = inShare.places();
-            roomForAll &= inShare.fitsBelowCeiling();
+            taskSlots = inShare.taskSlots();
+            hasCapacityForAll &= inShare.fitsBelowCeiling();
             share = Optional.of(inShare.state());
         } else {
             wait = waitInOrder(job, own, capacity, now);
@@ -51,14 +51,14 @@
                 job.slowestRunMillis(),
                 inTimeWithin,
                 deadlineWithin,
-                places,
+                taskSlots,
                 capacity.freeSlots(),
                 own.size(),
-                roomForAll,
+                hasCapacityForAll,
                 share);
     }
 
-    /** Returns how long the job's tasks wait for what goes before them in its queue. */
+    /** Returns the expected wait for the tasks ahead of the job where no shares are configured. */
     private static long waitInOrder(PlacedJob job, PendingJobs own, CapacityCount capacity, long now) {
         long missing = Math.max(0, job.step().count() - capacity.freeSlots());
         boolean startsNow = missing == 0 && own.isEmpty();
@@ -69,10 +69,11 @@
         return (long) (ahead / capacity.weightedSlots());
     }
 
-    private ShareWait waitInShare(PlacedJob job, PendingJobs own, PoolPlaces places, long now) {
+    private ShareWait waitInShare(PlacedJob job, PendingJobs own, TaskSlots slots, long now) {
         PendingJobs.Ahead ahead = own.ahead(now);
-        ShareAdmission admission = shares.admission(job.share(), places.capacityMilliCores());
-        JobNeed need = new JobNeed(job.step().count(), Math.max(1, job.need().milliCores()), job.expectedRunMillis());
-        return admission.waitFor(need, places, ahead.milliCores(), ahead.work());
+        ShareAdmission admission = shares.admission(job.share(), slots.capacityMilliCores());
+        JobNeed need =
+                new JobNeed(job.step().count(), Math.max(1, job.taskResources().milliCores()), job.expectedRunMillis());
+        return admission.waitFor(need, slots, ahead.milliCores(), ahead.work());
     }
 }
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/placing/EndpointLink.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/placing/EndpointLink.java
@@ -138,7 +138,7 @@
      */
     void renew(long acknowledgedEnd, boolean fresh, Consumer<HoldAnswer> reply) {
         OptionalLong until = OptionalLong.of(extendLease());
-        hold(new HoldOrder(token, acknowledgedEnd, until, settings.holdWait()), fresh, reply);
+        hold(new HoldOrder(token, acknowledgedEnd, until, settings.pollWait()), fresh, reply);
     }
 
     private void hold(HoldOrder order, boolean fresh, Consumer<HoldAnswer> reply) {
@@ -146,13 +146,13 @@
     }
 
     private Delivery delivery(boolean fresh) {
-        return new Delivery(settings.answerTime(), fresh);
+        return new Delivery(settings.answerTimeout(), fresh);
     }
 
     /** Extends the lease from now and returns its expiry, in milliseconds on the endpoint's clock. */
     private long extendLease() {
         long now = timers.nowMillis();
-        leaseExpiryMillis = Math.max(leaseExpiryMillis, now + settings.certainLapse());
+        leaseExpiryMillis = Math.max(leaseExpiryMillis, now + settings.leaseExpiry());
         return clock.at(now) + settings.lease();
     }
 }
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/placing/ForwardingPlacementObserver.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/placing/ForwardingPlacementObserver.java
@@ -11,7 +11,7 @@
 import org.tarragonarch.model.task.JobId;
 import org.tarragonarch.model.task.TaskRun;
 
-/** An observer that forwards every call to another one. */
+/** An observer that forwards every call to another observer. */
 public abstract class ForwardingPlacementObserver implements PlacementObserver {
     private final PlacementObserver delegate;
 
@@ -41,8 +41,8 @@
     }
 
     @Override
-    public void notOpen(NodeId origin, int jobs) {
-        delegate.notOpen(origin, jobs);
+    public void jobsNotOpen(NodeId origin, int jobs) {
+        delegate.jobsNotOpen(origin, jobs);
     }
 
     @Override
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/placing/HeldShards.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/placing/HeldShards.java
@@ -75,7 +75,7 @@
     /** Returns whether any endpoint, if it were idle, could run a task of the job. */
     boolean canHost(PlacedJob job) {
         for (HeldEndpoint endpoint : endpoints()) {
-            if (endpoint.canHost(job.queue().service(), job.need())) {
+            if (endpoint.canHost(job.queue().service(), job.taskResources())) {
                 return true;
             }
         }
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/placing/JobLifecycle.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/placing/JobLifecycle.java
@@ -17,8 +17,8 @@
 
 /** The jobs of one placer, from their offer through admission or recovery to the verdict. */
 final class JobLifecycle {
-    /** When to come back to a shard without endpoints: about what a takeover or a restart takes. */
-    private static final long IMPOSSIBLE_RETRY_MILLIS = 1_000;
+    /** The retry time where no endpoint can take the job: about the duration of a takeover or a restart. */
+    private static final long NO_ENDPOINT_RETRY_MILLIS = 1_000;
 
     private final HeldShards shards;
     private final PendingShares pending;
@@ -54,32 +54,32 @@
         this.starter = new TaskStarter(shards, pending, poolShares, capacity, timers, this::giveUp);
     }
 
-    /** Takes a job, or declines it at once; see {@link Placer#offer}. */
+    /** Admits or declines a job; see {@link Placer#offer}. */
     void offer(Offer offer) {
         PlacedJob known = jobs.get(offer.job().id());
         if (known != null) {
             if (!known.origin().equals(offer.origin())) {
                 listener.resubmitted(known.id(), known.origin(), offer.origin());
             }
-            known.resubmittedThrough(offer.origin());
+            known.updateOrigin(offer.origin());
             return;
         }
         if (!cancelling.defer(offer, timers.nowMillis())) {
-            take(offer, 1);
+            recoverOrAdmit(offer, 1);
         }
     }
 
-    /** Ends a job whose client has left or cancelled it. */
+    /** Ends a job whose client has disconnected or cancelled it. */
     void withdraw(NodeId origin, JobId id) {
         cancelling.withdraw(origin, id);
         PlacedJob job = jobs.get(id);
         if (job != null && job.origin().equals(origin)) {
             end(job);
-            starter.planStart();
+            starter.scheduleStart();
         }
     }
 
-    /** Ends every job of a node that is gone; see {@link Placer#originLost}. */
+    /** Ends every job of an origin that is lost; see {@link Placer#originLost}. */
     void originLost(NodeId origin) {
         cancelling.originLost(origin);
         int ended = endAllOf(origin, ImmutableSet.of());
@@ -88,12 +88,12 @@
         }
     }
 
-    /** Ends every job of a node but those that it still has open; see {@link Placer#retain}. */
+    /** Ends every job of an origin except those that it still has open; see {@link Placer#retain}. */
     void retain(NodeId origin, Set<JobId> open) {
         cancelling.retain(origin, open);
         int ended = endAllOf(origin, open);
         if (ended > 0) {
-            listener.notOpen(origin, ended);
+            listener.jobsNotOpen(origin, ended);
         }
     }
 
@@ -105,40 +105,40 @@
                 ended++;
             }
         }
-        starter.planStart();
+        starter.scheduleStart();
         return ended;
     }
 
-    /** Keeps a task from starting until the node of its job is heard. */
+    /** Keeps a task from starting until a message from the origin of its job arrives. */
     void awaitOrigin(PlacedTask task) {
-        task.unresolved();
+        task.markUnresolved();
         awaitingOrigin.add(task);
     }
 
-    /** Lets the tasks start that wait for a node to be heard. */
+    /** Releases the tasks that wait for a message from this origin. */
     void originHeard(NodeId origin) {
         if (awaitingOrigin.isEmpty()) {
             return;
         }
         for (PlacedTask task : ImmutableList.copyOf(awaitingOrigin)) {
             PlacedJob job = task.job();
-            if (job.over()) {
+            if (job.isOver()) {
                 awaitingOrigin.remove(task);
             } else if (job.origin().equals(origin)) {
                 awaitingOrigin.remove(task);
-                task.resolved();
+                task.markResolved();
                 requeue(job);
             }
         }
-        starter.planStart();
+        starter.scheduleStart();
     }
 
-    /** Gives all jobs back, because this node holds no shard any more; see {@link Placer#close}. */
+    /** Returns all jobs to their origins, because this node no longer holds a shard; see {@link Placer#close}. */
     void returnAll() {
-        ImmutableList<PlacedJob> givenBack = ImmutableList.copyOf(jobs.values());
-        givenBack.forEach(this::forget);
-        for (PlacedJob job : givenBack) {
-            boolean mayRun = job.wasStarted() || job.awaitsEarlierRuns();
+        ImmutableList<PlacedJob> returned = ImmutableList.copyOf(jobs.values());
+        returned.forEach(this::forget);
+        for (PlacedJob job : returned) {
+            boolean mayRun = job.wasStarted() || job.hasUnresolvedTasks();
             listener.settled(job.origin(), job.id(), mayRun ? Verdict.HOLD_LOST : Verdict.RETURNED, 0);
         }
         for (PlacedJob job : cancelling.removeEvicted()) {
@@ -149,7 +149,7 @@
         }
     }
 
-    /** Lets jobs adopt the runs found on an endpoint whose lists were read for the first time. */
+    /** Lets jobs adopt the runs found on an endpoint whose run list was read for the first time. */
     void adoptFrom(HeldEndpoint endpoint) {
         recovering.adoptFrom(endpoint);
     }
@@ -159,16 +159,18 @@
         if (cancelling.removeIfEvicted(job)) {
             listener.settled(job.origin(), job.id(), Verdict.EVICTED, 0);
         }
-        cancelling.removeIfOver(job).ifPresent(deferred -> take(deferred.at(timers.nowMillis()), job.lastRun() + 1));
-        starter.planStart();
+        cancelling
+                .removeIfStopped(job)
+                .ifPresent(deferred -> recoverOrAdmit(deferred.asOf(timers.nowMillis()), job.lastRunNumber() + 1));
+        starter.scheduleStart();
     }
 
     /** Starts pending tasks once the events at hand are processed. */
-    void planStart() {
-        starter.planStart();
+    void scheduleStart() {
+        starter.scheduleStart();
     }
 
-    private void take(Offer offer, int firstRun) {
+    private void recoverOrAdmit(Offer offer, int firstRun) {
         String queue = offer.queue().name();
         TaskStep step = offer.job().step();
         long expected = runTimes.expectedMillis(queue, step.estimateMillis());
@@ -186,7 +188,7 @@
     }
 
     private void admit(PlacedJob job) {
-        CompletionEstimate estimate = estimator.of(job, timers.nowMillis());
+        CompletionEstimate estimate = estimator.estimate(job, timers.nowMillis());
         if (!admission.admit(job, estimate, timers.nowMillis())) {
             refuse(job, estimate);
             return;
@@ -196,56 +198,56 @@
         starter.startPending();
     }
 
-    /** Goes on with a job whose earlier runs are known or over; what had begun is finished, however late. */
+    /** Continues a job whose earlier runs are adopted or over; one that has progress is finished even if late. */
     private void resume(PlacedJob job) {
         if (job.allFinished()) {
             settle(job, Verdict.DONE);
-        } else if (job.wasBegun()) {
+        } else if (job.hasProgress()) {
             requeue(job);
-            starter.planStart();
+            starter.scheduleStart();
         } else {
             jobs.remove(job.id());
             admit(job);
         }
     }
 
-    /** Returns a job to the pending ones, because a task of it has to be started again. */
+    /** Adds a job to the pending jobs again, because one of its tasks has to be restarted. */
     void requeue(PlacedJob job) {
         pending.add(job);
         evictIfUnplaceable(job);
     }
 
-    /** Gives the pending jobs back that no listed endpoint may take. */
+    /** Returns the pending jobs to their origins that no listed endpoint can run. */
     void evictUnplaceable() {
         pending.inOrder().forEach(this::evictIfUnplaceable);
     }
 
     /**
-     * Gives a job back if no listed endpoint may take the tasks that wait, however idle it were.
+     * Returns a job to its origin if no listed endpoint could run its waiting tasks, even if idle.
      *
      * <p>Guards against a job that waits until its deadline because its failure domain was drained, or every endpoint
-     * that is large enough has shrunk or left. What runs of it is stopped first, so that it may go to any other holder.
-     * While a run of an earlier holder may be under way, the job stays until that is known.
+     * that is large enough has shrunk or left. Its runs are stopped first, so that it can be offered to any other
+     * holder. While a run of an earlier holder may be under way, the job stays here until this is resolved.
      */
     private void evictIfUnplaceable(PlacedJob job) {
-        boolean waits = !job.over() && job.waitingTasks() > 0 && !job.awaitsEarlierRuns();
+        boolean waits = !job.isOver() && job.waitingTasks() > 0 && !job.hasUnresolvedTasks();
         if (!waits || shards.canHost(job)) {
             return;
         }
-        if (!job.wasBegun()) {
+        if (!job.hasProgress()) {
             end(job);
-            decline(job, estimator.of(job, timers.nowMillis()));
+            decline(job, estimator.estimate(job, timers.nowMillis()));
             return;
         }
         end(job);
-        if (job.holdsRoom()) {
-            cancelling.evict(job);
+        if (job.hasReservations()) {
+            cancelling.markEvicted(job);
         } else {
             listener.settled(job.origin(), job.id(), Verdict.EVICTED, 0);
         }
     }
 
-    /** Gives back what is not taken; a job that could have waited is declined, and one that could not is no refusal. */
+    /** Settles a job that is not admitted; only one whose terms allow it to wait counts as declined. */
     private void refuse(PlacedJob job, CompletionEstimate estimate) {
         Verdict verdict = job.offer().terms().refusal();
         if (verdict == Verdict.DECLINED) {
@@ -257,16 +259,16 @@
 
     private void decline(PlacedJob job, CompletionEstimate estimate) {
         listener.declined(job.origin(), job.id(), estimate);
-        long retry = estimate.places() == 0 ? IMPOSSIBLE_RETRY_MILLIS : estimate.waitMillis();
+        long retry = estimate.taskSlots() == 0 ? NO_ENDPOINT_RETRY_MILLIS : estimate.waitMillis();
         listener.settled(job.origin(), job.id(), Verdict.DECLINED, retry);
     }
 
-    /** Gives up a job whose answer would come too late; what never started is declined, for that is the truth. */
+    /** Ends a job whose answer would come too late; one that never started is declined, as it has not run. */
     private void giveUp(PlacedJob job) {
         if (job.wasStarted()) {
             settle(job, Verdict.TOO_LATE);
         } else {
-            CompletionEstimate estimate = estimator.of(job, timers.nowMillis());
+            CompletionEstimate estimate = estimator.estimate(job, timers.nowMillis());
             listener.declined(job.origin(), job.id(), estimate);
             end(job);
             long retry = estimate.share().isPresent() ? estimate.waitMillis() : 0;
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/placing/ReservedCapacity.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/placing/ReservedCapacity.java
@@ -56,7 +56,7 @@
     /** Returns whether capacity is reserved for a suspect task, under which an endpoint has crashed. */
     boolean hasSuspectTask() {
         for (Reservation reservation : reservations.values()) {
-            if (reservation.task().isSuspect()) {
+            if (reservation.task().hasCrashed()) {
                 return true;
             }
         }
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/placing/RunEnds.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/placing/RunEnds.java
@@ -106,7 +106,7 @@
     void endpointRestarted(boolean leftAsPlanned) {
         long untilMillis = link.nowMillis()
                 + UnansweredStarts.CARRIED_OUT_WITHIN_MILLIS
-                + link.settings().certainLapse();
+                + link.settings().leaseExpiry();
         for (Reservation reservation : reserved.snapshot()) {
             if (reservation.isListed()) {
                 end(reservation, endKind(leftAsPlanned));
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/placing/RunOrders.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/placing/RunOrders.java
@@ -51,7 +51,7 @@
     /** Reserves the capacity of a run. */
     void reserve(Reservation reservation) {
         reserved.reserve(reservation);
-        reservation.task().placed(host.endpoint(), reservation);
+        reservation.task().setPlacement(host.endpoint(), reservation);
     }
 
     /** Stops a run; its capacity remains reserved until its end is certain. */
@@ -180,7 +180,7 @@
      */
     private void stopAccepted(Reservation reservation) {
         long now = link.nowMillis();
-        long stopMillis = link.settings().stopTime();
+        long stopMillis = link.settings().maxStopTime();
         if (reservation.wasSeen()) {
             reservation.markStopped(now + stopMillis);
             link.timers().after(stopMillis + 1, poller::pollIfIdle);
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/placing/RunTimes.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/placing/RunTimes.java
@@ -8,7 +8,7 @@
     /** The estimate for a job that declares none: the run time of a typical sub-second task. */
     private static final long DEFAULT_ESTIMATE_MILLIS = 200;
 
-    private final Map<String, QueueTimes> queues = new HashMap<>();
+    private final Map<String, QueueRunTimes> queues = new HashMap<>();
 
     /** Creates an instance that expects every task to run as long as declared. */
     public RunTimes() {}
@@ -34,7 +34,7 @@
         }
     }
 
-    private QueueTimes times(String queue) {
-        return queues.computeIfAbsent(queue, unused -> new QueueTimes());
+    private QueueRunTimes times(String queue) {
+        return queues.computeIfAbsent(queue, unused -> new QueueRunTimes());
     }
 }
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/placing/StallDetector.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/placing/StallDetector.java
@@ -33,7 +33,7 @@
      */
     void restartOverdueRuns(long nowMillis) {
         for (Reservation reservation : reserved.snapshot()) {
-            long limit = atSpeed(reservation.task().job().longestRunMillis());
+            long limit = atSpeed(reservation.task().job().maxRunMillis());
             boolean showsProgress = progress.areReliable() && reservation.hasAdvanced();
             boolean isOverdue = reservation.shouldRun() && nowMillis - reservation.startedAtMillis() > limit;
             if (isOverdue && !showsProgress && reservation.task().restartOverdue()) {
@@ -57,7 +57,8 @@
             return;
         }
         long limit = Math.max(
-                atSpeed(reservation.task().job().stallMillis()), PACE_MULTIPLE * reservation.slowestPercentMillis());
+                atSpeed(reservation.task().job().stallTimeoutMillis()),
+                PACE_MULTIPLE * reservation.slowestPercentMillis());
         boolean isStalled = reservation.millisWithoutProgress(asOfMillis) >= limit;
         if (isStalled
                 && reservation.shouldRun()
--- a/tarragonarch-core/src/test/java/org/tarragonarch/core/placing/LostAnswersTest.java
+++ b/tarragonarch-core/src/test/java/org/tarragonarch/core/placing/LostAnswersTest.java
@@ -49,7 +49,7 @@
             waited++;
         }
         assertTrue(waited <= longestMillis, what + " lost: " + waited + " ms");
-        assertEquals(fixture.ledger.broken(), ImmutableList.of());
+        assertEquals(fixture.ledger.violations(), ImmutableList.of());
     }
 
     /** Guards against a healthy run that is stopped because the answer to its start was lost. */
--- a/tarragonarch-core/src/test/java/org/tarragonarch/core/placing/PendingJobsTest.java
+++ b/tarragonarch-core/src/test/java/org/tarragonarch/core/placing/PendingJobsTest.java
@@ -15,7 +15,7 @@
 import org.tarragonarch.model.task.Offer;
 import org.testng.annotations.Test;
 
-/** The queue of jobs in a burst: long, added up with each job that comes, changed with each run that ends. */
+/** The queue of pending jobs, whose sums are read with every offer and updated with every change. */
 public final class PendingJobsTest {
     private static final int JOBS = 60;
     private static final int STEPS = 20_000;
@@ -27,9 +27,9 @@
                 offer, 1, EXPECTED_RUN_MILLIS, 1, JobTimes.of(offer, EXPECTED_RUN_MILLIS, 10L * number), ShareId.ALL);
     }
 
-    /** What is kept up to date step by step is what adding up the whole queue gives, whatever becomes of its tasks. */
+    /** Guards against sums that drift from the contents of the queue as jobs and tasks change in any order. */
     @Test
-    public void testSums_areThoseOfTheWholeQueue() {
+    public void testSums_matchRecomputation() {
         Random random = new Random(20261203);
         PlacerFixture fixture = new PlacerFixture(1);
         PendingJobs pending = new PendingJobs();
@@ -44,9 +44,9 @@
             switch (random.nextInt(6)) {
                 case 0 -> pending.add(job);
                 case 1 -> pending.remove(job);
-                case 2 -> task.unresolved();
-                case 3 -> task.resolved();
-                case 4 -> task.back();
+                case 2 -> task.markUnresolved();
+                case 3 -> task.markResolved();
+                case 4 -> task.clearPlacement();
                 default -> place(task, endpoint);
             }
             assertSums(pending, random.nextInt(1_000));
@@ -66,9 +66,10 @@
     }
 
     private static void place(PlacedTask task, HeldEndpoint endpoint) {
-        if (task.waiting()) {
-            task.placed(
-                    endpoint, new Reservation(task, task.takeRun(), task.job().need(), 0));
+        if (task.isWaiting()) {
+            task.setPlacement(
+                    endpoint,
+                    new Reservation(task, task.allocateRun(), task.job().taskResources(), 0));
         }
     }
 
@@ -76,7 +77,7 @@
         long tasks = 0;
         long millis = 0;
         for (PlacedJob job : pending.inOrder()) {
-            long waiting = job.tasks().stream().filter(PlacedTask::waiting).count();
+            long waiting = job.tasks().stream().filter(PlacedTask::isWaiting).count();
             tasks += waiting;
             millis += job.isOverdue(nowMillis) ? 0 : waiting * EXPECTED_RUN_MILLIS;
         }
@@ -85,7 +86,7 @@
     }
 
     @Test
-    public void testAfter_jobThatWasRemoved() {
+    public void testAfter_removedJob() {
         PendingJobs pending = new PendingJobs();
         PlacedJob first = job(1, 1);
         PlacedJob second = job(2, 1);
--- a/tarragonarch-core/src/test/java/org/tarragonarch/core/placing/PlacerHandOverTest.java
+++ b/tarragonarch-core/src/test/java/org/tarragonarch/core/placing/PlacerHandOverTest.java
@@ -10,7 +10,7 @@
 public final class PlacerHandOverTest {
     /** Returns a holder that is offered a job as soon as it has read the lists of its endpoints. */
     private static Placer holderWithJob(PlacerFixture fixture, int tasks) {
-        Placer holder = fixture.opened(1);
+        Placer holder = fixture.openedPlacer(1);
         holder.offer(PlacerFixture.firstOffer(1, tasks, 900));
         return holder;
     }
@@ -19,19 +19,19 @@
     @Test
     public void testOpen_twoShardsAreOnePool() {
         PlacerFixture fixture = new PlacerFixture(4);
-        Placer placer = fixture.pooled(1, 2);
+        Placer placer = fixture.placerOfTwoShards(1, 2);
         fixture.timers.advance(20);
         placer.offer(PlacerFixture.offer(1, 5));
         fixture.timers.advance(90);
         assertEquals(fixture.verdicts, ImmutableList.of("origin-1 1 DONE"));
-        assertEquals(fixture.ledger.broken(), ImmutableList.of());
+        assertEquals(fixture.ledger.violations(), ImmutableList.of());
     }
 
     /** Guards against tasks of a released shard that start elsewhere before their lease has expired. */
     @Test
     public void testRelease_tasksOfTheShardStartElsewhereAfterTheirLease() {
         PlacerFixture fixture = PlacerFixture.running(2, 900);
-        Placer placer = fixture.pooled(1, 2);
+        Placer placer = fixture.placerOfTwoShards(1, 2);
         fixture.timers.advance(20);
         placer.offer(PlacerFixture.firstOffer(1, 4, 900));
         fixture.timers.advance(20);
@@ -40,14 +40,14 @@
         assertEquals(fixture.verdicts, ImmutableList.of());
         fixture.timers.advance(1_900);
         assertEquals(fixture.verdicts, ImmutableList.of("origin-1 1 DONE"));
-        assertEquals(fixture.ledger.broken(), ImmutableList.of());
+        assertEquals(fixture.ledger.violations(), ImmutableList.of());
     }
 
     /** The release of the last shard gives every job back to its origin, which offers it to the next holder. */
     @Test
     public void testRelease_lastShardGivesJobsBack() {
         PlacerFixture fixture = new PlacerFixture(2);
-        Placer placer = fixture.pooled(1, 2);
+        Placer placer = fixture.placerOfTwoShards(1, 2);
         fixture.timers.advance(20);
         placer.offer(PlacerFixture.offer(1, 1));
         placer.release(PlacerFixture.SECOND_SHARD);
@@ -61,11 +61,11 @@
     @Test
     public void testOffer_earlierRunsOnAnUnreachableEndpoint() {
         PlacerFixture fixture = PlacerFixture.running(2, 900);
-        fixture.way(2, FakeOrders.Fault.LOST);
+        fixture.setWay(2, FakeOrders.Fault.LOST);
         Placer holder = fixture.placer(2);
         fixture.timers.advance(5_000);
-        fixture.way(2, FakeOrders.Fault.NONE);
-        Placer earlier = fixture.onlyEndpoint(2, 1);
+        fixture.setWay(2, FakeOrders.Fault.NONE);
+        Placer earlier = fixture.placerOfEndpoint(2, 1);
         fixture.timers.advance(5);
         earlier.offer(PlacerFixture.firstOffer(1, 1, 900));
         fixture.timers.advance(5);
@@ -73,23 +73,23 @@
         holder.offer(PlacerFixture.repeatedOffer(1, 1, 900));
         fixture.timers.advance(3_000);
         assertTrue(fixture.verdicts.contains("origin-1 1 DONE"), fixture.verdicts.toString());
-        assertEquals(fixture.ledger.broken(), ImmutableList.of());
+        assertEquals(fixture.ledger.violations(), ImmutableList.of());
     }
 
     /** Guards against tasks that run twice because the holder has released the shard with the earlier runs. */
     @Test
     public void testOffer_earlierRunsInAReleasedShard() {
         PlacerFixture fixture = PlacerFixture.running(2, 300);
-        Placer inside = fixture.onlyEndpoint(1, 1);
+        Placer inside = fixture.placerOfEndpoint(1, 1);
         fixture.timers.advance(10);
         inside.offer(PlacerFixture.firstOffer(1, 1, 300));
-        Placer outside = fixture.pooled(2, 2);
+        Placer outside = fixture.placerOfTwoShards(2, 2);
         outside.release(PlacerFixture.SHARD);
         fixture.timers.advance(5);
         outside.offer(PlacerFixture.repeatedOffer(1, 1, 300));
         fixture.timers.advance(2_000);
         assertTrue(fixture.verdicts.contains("origin-1 1 DONE"), fixture.verdicts.toString());
-        assertEquals(fixture.ledger.broken(), ImmutableList.of());
+        assertEquals(fixture.ledger.violations(), ImmutableList.of());
     }
 
     /** The stops of an earlier holder's runs are lost: they are sent again, and nothing starts before their answers. */
@@ -105,7 +105,7 @@
         next.offer(PlacerFixture.offer(2, 2));
         fixture.timers.advance(400);
         assertTrue(fixture.verdicts.contains("origin-1 2 DONE"), fixture.verdicts.toString());
-        assertEquals(fixture.ledger.broken(), ImmutableList.of());
+        assertEquals(fixture.ledger.violations(), ImmutableList.of());
         assertEquals(stops[0], 4);
     }
 
@@ -120,7 +120,7 @@
         fixture.timers.advance(450);
         assertTrue(fixture.verdicts.contains("origin-1 1 DONE"), fixture.verdicts.toString());
         assertEquals(fixture.ledger.starts(), 4);
-        assertEquals(fixture.ledger.broken(), ImmutableList.of());
+        assertEquals(fixture.ledger.violations(), ImmutableList.of());
     }
 
     /** Guards against tasks that are started again although the endpoint lists that they are done. */
@@ -138,7 +138,7 @@
         fixture.timers.advance(400);
         assertTrue(fixture.verdicts.contains("origin-1 1 DONE"), fixture.verdicts.toString());
         assertEquals(fixture.ledger.starts(), 4);
-        assertEquals(fixture.ledger.broken(), ImmutableList.of());
+        assertEquals(fixture.ledger.violations(), ImmutableList.of());
     }
 
     /** The runs of a job that is not offered to the next holder are stopped soon, which frees their capacity. */
@@ -152,24 +152,24 @@
         next.offer(PlacerFixture.offer(2, 2));
         fixture.timers.advance(250);
         assertTrue(fixture.verdicts.contains("origin-1 2 DONE"), fixture.verdicts.toString());
-        assertEquals(fixture.ledger.broken(), ImmutableList.of());
+        assertEquals(fixture.ledger.violations(), ImmutableList.of());
     }
 
     /** Guards against tasks that run twice because the endpoint with the earlier runs is not listed yet. */
     @Test
     public void testOffer_earlierRunsOnAnUnlistedEndpoint() {
         PlacerFixture fixture = PlacerFixture.running(2, 400);
-        Placer inside = fixture.onlyEndpoint(1, 1);
+        Placer inside = fixture.placerOfEndpoint(1, 1);
         fixture.timers.advance(10);
         inside.offer(PlacerFixture.firstOffer(1, 1, 400));
         fixture.timers.advance(5);
         fixture.listsWhole = false;
-        Placer outside = fixture.onlyEndpoint(2, 2);
+        Placer outside = fixture.placerOfEndpoint(2, 2);
         fixture.timers.advance(5);
         outside.offer(PlacerFixture.repeatedOffer(1, 1, 400));
         fixture.timers.advance(2_500);
         assertTrue(fixture.verdicts.contains("origin-1 1 DONE"), fixture.verdicts.toString());
-        assertEquals(fixture.ledger.broken(), ImmutableList.of());
+        assertEquals(fixture.ledger.violations(), ImmutableList.of());
     }
 
     /** Guards against runs that are stopped instead of adopted because another endpoint does not answer. */
@@ -180,13 +180,13 @@
         fixture.endpoint(2).runMillis = 900;
         holderWithJob(fixture, 4);
         fixture.timers.advance(500);
-        fixture.way(3, FakeOrders.Fault.LOST);
+        fixture.setWay(3, FakeOrders.Fault.LOST);
         Placer next = fixture.placer(2);
         next.offer(PlacerFixture.repeatedOffer(1, 4, 900));
         fixture.timers.advance(450);
         assertTrue(fixture.verdicts.contains("origin-1 1 DONE"), fixture.verdicts.toString());
         assertEquals(fixture.ledger.starts(), 4);
-        assertEquals(fixture.ledger.broken(), ImmutableList.of());
+        assertEquals(fixture.ledger.violations(), ImmutableList.of());
     }
 
     /** Guards against tasks on a silent endpoint that start elsewhere before their lease has expired. */
@@ -197,20 +197,20 @@
         fixture.endpoint(2).runMillis = 5_000;
         holderWithJob(fixture, 4);
         fixture.timers.advance(500);
-        fixture.way(2, FakeOrders.Fault.LOST);
+        fixture.setWay(2, FakeOrders.Fault.LOST);
         Placer next = fixture.placer(2);
         next.offer(PlacerFixture.repeatedOffer(1, 4, 900));
         fixture.timers.advance(2_100);
         assertTrue(fixture.verdicts.contains("origin-1 1 DONE"), fixture.verdicts.toString());
         assertEquals(fixture.ledger.starts(), 6);
-        assertEquals(fixture.ledger.broken(), ImmutableList.of());
+        assertEquals(fixture.ledger.violations(), ImmutableList.of());
     }
 
     /** Guards against jobs that never started but are given back as if they may have run. */
     @Test
     public void testRelease_jobsThatNeverStartedAreReturned() {
         PlacerFixture fixture = new PlacerFixture(1);
-        Placer placer = fixture.opened(1);
+        Placer placer = fixture.openedPlacer(1);
         placer.offer(PlacerFixture.offer(1, 2));
         placer.offer(PlacerFixture.offer(2, 2));
         fixture.timers.advance(5);
@@ -223,7 +223,7 @@
     @Test
     public void testRelease_jobWithUnresolvedRunsIsNotReturned() {
         PlacerFixture fixture = new PlacerFixture(1);
-        fixture.way(1, FakeOrders.Fault.LOST);
+        fixture.setWay(1, FakeOrders.Fault.LOST);
         Placer placer = fixture.placer(1);
         placer.offer(PlacerFixture.repeatedOffer(1, 1, 60));
         fixture.timers.advance(20);
--- a/tarragonarch-core/src/test/java/org/tarragonarch/core/placing/PlacerTest.java
+++ b/tarragonarch-core/src/test/java/org/tarragonarch/core/placing/PlacerTest.java
@@ -8,10 +8,10 @@
 import org.tarragonarch.model.task.EndKind;
 import org.testng.annotations.Test;
 
-/** One holder and its endpoints, on virtual time. */
+/** One holder and its endpoints in virtual time. */
 public final class PlacerTest {
     @Test
-    public void testOffer_room() {
+    public void testOffer_withinCapacity() {
         PlacerFixture fixture = new PlacerFixture(2);
         Placer placer = fixture.placer(1);
         fixture.timers.advance(20);
@@ -19,23 +19,23 @@
         fixture.timers.advance(100);
         assertEquals(fixture.verdicts, ImmutableList.of("origin-1 1 DONE"));
         assertEquals(fixture.ledger.starts(), 4);
-        assertEquals(fixture.ledger.broken(), ImmutableList.of());
+        assertEquals(fixture.ledger.violations(), ImmutableList.of());
     }
 
     @Test
-    public void testOffer_moreTasksThanRoomGoInWaves() {
+    public void testOffer_moreTasksThanCapacity() {
         PlacerFixture fixture = new PlacerFixture(1);
         Placer placer = fixture.placer(1);
         fixture.timers.advance(20);
         placer.offer(PlacerFixture.offer(1, 3));
         fixture.timers.advance(200);
         assertEquals(fixture.verdicts, ImmutableList.of("origin-1 1 DONE"));
-        assertEquals(fixture.ledger.broken(), ImmutableList.of());
+        assertEquals(fixture.ledger.violations(), ImmutableList.of());
     }
 
-    /** Guards against jobs that cannot be in time and are declined only after a wait or a start. */
+    /** Guards against jobs that cannot be answered in time and are declined only after they waited or started. */
     @Test
-    public void testOffer_hopelessIsDeclinedAtOnce() {
+    public void testOffer_cannotMeetObjective() {
         PlacerFixture fixture = new PlacerFixture(1);
         Placer placer = fixture.placer(1);
         fixture.timers.advance(20);
@@ -47,15 +47,15 @@
                 .count();
         assertTrue(declined >= 6, fixture.verdicts.toString());
         assertEquals(fixture.estimates.size(), declined);
-        assertEquals(fixture.estimates.get(0).places(), 2);
+        assertEquals(fixture.estimates.get(0).taskSlots(), 2);
         fixture.timers.advance(1_000);
         assertEquals(fixture.verdicts.size(), 10);
         assertEquals(fixture.ledger.starts(), (10 - declined) * 2);
     }
 
-    /** Guards against a task that runs twice since its lost order arrives three seconds later. */
+    /** Guards against a task that runs twice because a start order that counted as lost arrives three seconds later. */
     @Test
-    public void testOffer_orderCarriedOutLate() {
+    public void testOffer_startOrderArrivesAfterLease() {
         PlacerFixture fixture = new PlacerFixture(2);
         Placer placer = fixture.placer(1);
         fixture.timers.advance(20);
@@ -67,10 +67,10 @@
         fixture.timers.advance(6_000);
         assertEquals(fixture.verdicts, ImmutableList.of("origin-1 1 DONE"));
         assertEquals(fixture.ledger.starts(), 1);
-        assertEquals(fixture.ledger.broken(), ImmutableList.of());
+        assertEquals(fixture.ledger.violations(), ImmutableList.of());
     }
 
-    /** Guards against tasks of a cut-off endpoint that start elsewhere before its lease is over, or never. */
+    /** Guards against tasks of an unreachable endpoint that start elsewhere before its lease has expired, or never. */
     @Test
     public void testOffer_endpointCutOff() {
         PlacerFixture fixture = new PlacerFixture(2);
@@ -81,13 +81,13 @@
         placer.offer(PlacerFixture.offer(1, 1, 2_000, PlacerFixture.ORIGIN, false));
         fixture.timers.advance(100);
         int first = fixture.endpoint(1).running() > 0 ? 1 : 2;
-        fixture.way(first, FakeOrders.Fault.LOST);
+        fixture.setWay(first, FakeOrders.Fault.LOST);
         fixture.timers.advance(2_500);
-        assertEquals(fixture.ledger.broken(), ImmutableList.of());
+        assertEquals(fixture.ledger.violations(), ImmutableList.of());
         assertEquals(fixture.verdicts, ImmutableList.of("origin-1 1 DONE"));
     }
 
-    /** Guards against endpoints overfilled by a holder that does not know the runs of the earlier one. */
+    /** Guards against endpoints overfilled by a holder that does not know the runs of the earlier holder. */
     @Test
     public void testClaim_earlierHolderLeftRuns() {
         PlacerFixture fixture = new PlacerFixture(1);
@@ -100,13 +100,16 @@
         next.offer(PlacerFixture.offer(1, 2, 900, PlacerFixture.ORIGIN, true));
         fixture.timers.advance(3_000);
         assertEquals(fixture.fenced, 1);
-        assertEquals(fixture.ledger.broken(), ImmutableList.of());
+        assertEquals(fixture.ledger.violations(), ImmutableList.of());
         assertTrue(fixture.verdicts.contains("origin-1 1 DONE"), fixture.verdicts.toString());
     }
 
-    /** A client hangs up and sends its job again at once: the second must wait until the first's runs are gone. */
+    /**
+     * Guards against two runs of a task when a client disconnects and resubmits its job before the first runs are
+     * stopped.
+     */
     @Test
-    public void testOffer_againWhileItsRunsAreStopped() {
+    public void testOffer_resubmittedWhileRunsStop() {
         PlacerFixture fixture = new PlacerFixture(2);
         Placer placer = fixture.placer(1);
         fixture.timers.advance(20);
@@ -116,12 +119,14 @@
         placer.offer(PlacerFixture.offer(1, 2, 60, NodeId.of("origin-2"), false));
         fixture.timers.advance(500);
         assertEquals(fixture.verdicts, ImmutableList.of("origin-2 1 DONE"));
-        assertEquals(fixture.ledger.broken(), ImmutableList.of());
+        assertEquals(fixture.ledger.violations(), ImmutableList.of());
     }
 
-    /** One endpoint fails all it starts, at once; it looks idle and must not swallow every job's attempts. */
+    /**
+     * Guards against jobs that fail because an endpoint that fails every run at once polls idle and gets all attempts.
+     */
     @Test
-    public void testOffer_endpointThatFailsAll() {
+    public void testOffer_endpointFailsAllRuns() {
         PlacerFixture fixture = new PlacerFixture(3);
         fixture.endpoint(1).outcome = EndKind.FAILED;
         fixture.endpoint(1).runMillis = 5;
@@ -138,9 +143,9 @@
         assertTrue(fixture.ledger.starts() <= 13, "starts " + fixture.ledger.starts());
     }
 
-    /** A job whose tasks fail wherever they run is answered as failed after its attempts, and not tried for ever. */
+    /** Guards against endless retries of a job whose tasks fail at every endpoint. */
     @Test
-    public void testOffer_hopelessWork() {
+    public void testOffer_taskFailsEverywhere() {
         PlacerFixture fixture = new PlacerFixture(2);
         fixture.endpoint(1).outcome = EndKind.FAILED;
         fixture.endpoint(2).outcome = EndKind.FAILED;
@@ -153,9 +158,9 @@
         assertEquals(fixture.badEnds, ImmutableList.of(EndKind.FAILED, EndKind.FAILED, EndKind.FAILED));
     }
 
-    /** The node with the client's connection dies: its job is stopped, for the client sends it again elsewhere. */
+    /** Guards against a job that continues after its origin is lost: its client resubmits it through another node. */
     @Test
-    public void testAskerGone() {
+    public void testOriginLost() {
         PlacerFixture fixture = new PlacerFixture(1);
         fixture.endpoint(1).runMillis = 900;
         Placer placer = fixture.placer(1);
@@ -168,9 +173,9 @@
         assertEquals(fixture.verdicts, ImmutableList.of());
     }
 
-    /** Guards against jobs refused in the 50 ms in which a new holder reads its endpoints. */
+    /** Guards against jobs refused in the 50 ms in which a new holder reads the run lists of its endpoints. */
     @Test
-    public void testOffer_whileEndpointsAreBeingOpened() {
+    public void testOffer_endpointsInitializing() {
         PlacerFixture fixture = new PlacerFixture(2);
         Placer placer = fixture.placer(1);
         placer.offer(PlacerFixture.offer(1, 2));
@@ -179,23 +184,23 @@
     }
 
     @Test
-    public void testOutOfReach() {
+    public void testIsUnreachable() {
         PlacerFixture fixture = new PlacerFixture(2);
-        fixture.way(1, FakeOrders.Fault.LOST);
-        fixture.way(2, FakeOrders.Fault.LOST);
+        fixture.setWay(1, FakeOrders.Fault.LOST);
+        fixture.setWay(2, FakeOrders.Fault.LOST);
         Placer placer = fixture.placer(1);
         fixture.timers.advance(500);
         assertEquals(placer.isUnreachable(PlacerFixture.SHARD), false);
         fixture.timers.advance(200);
         assertEquals(placer.isUnreachable(PlacerFixture.SHARD), true);
-        fixture.way(2, FakeOrders.Fault.NONE);
+        fixture.setWay(2, FakeOrders.Fault.NONE);
         fixture.timers.advance(1_500);
         assertEquals(placer.isUnreachable(PlacerFixture.SHARD), false);
     }
 
-    /** Guards against a burst in which jobs already late go first: 60 of 300 were in time. */
+    /** Guards against a burst in which overdue jobs start first, so that only 60 of 300 jobs are answered in time. */
     @Test
-    public void testOffer_overdueGoesBehindWhatCanBeInTime() {
+    public void testOffer_overdueJobStartsLast() {
         PlacerFixture fixture = new PlacerFixture(1);
         fixture.endpoint(1).runMillis = 300;
         Placer placer = fixture.placer(1);
@@ -210,9 +215,9 @@
         assertEquals(fixture.verdicts, inTimeFirst);
     }
 
-    /** Guards against a run that stalls until the deadline on an endpoint that answers every call. */
+    /** Guards against a run that stalls until the deadline at an endpoint that answers every call. */
     @Test
-    public void testReview_taskStandsStill() {
+    public void testReview_stalledRun() {
         PlacerFixture fixture = new PlacerFixture(2);
         fixture.endpoint(1).runMillis = 100_000;
         fixture.endpoint(2).runMillis = 100_000;
@@ -226,12 +231,12 @@
         placer.review();
         fixture.timers.advance(200);
         assertEquals(fixture.verdicts, ImmutableList.of("origin-1 1 DONE"));
-        assertEquals(fixture.ledger.broken(), ImmutableList.of());
+        assertEquals(fixture.ledger.violations(), ImmutableList.of());
     }
 
-    /** Guards against a task that stands still for several times its run time, while its progress shows that. */
+    /** Guards against a task that stalls for several times its run time although its reported progress shows that. */
     @Test
-    public void testListed_taskWithoutProgressIsStartedElsewhere() {
+    public void testRunList_stalledTaskIsRestarted() {
         PlacerFixture fixture = new PlacerFixture(4);
         fixture.orders.endpoints.values().forEach(endpoint -> endpoint.runMillis = 900);
         Placer placer = fixture.placer(1);
@@ -245,12 +250,12 @@
         fixture.timers.advance(1_400);
         assertEquals(fixture.verdicts.get(3), "origin-1 9 DONE");
         assertEquals(fixture.ledger.starts(), 10);
-        assertEquals(fixture.ledger.broken(), ImmutableList.of());
+        assertEquals(fixture.ledger.violations(), ImmutableList.of());
     }
 
-    /** Guards against runs that are stopped because their endpoints report no progress of any run. */
+    /** Guards against runs that are stopped because their endpoint reports no progress of any run. */
     @Test
-    public void testListed_progressThatIsNeverReportedMeansNothing() {
+    public void testRunList_noProgressReported() {
         PlacerFixture fixture = new PlacerFixture(1);
         fixture.endpoint(1).runMillis = 900;
         fixture.endpoint(1).reportsNoProgress = true;
@@ -264,9 +269,9 @@
         assertEquals(fixture.verdicts.size(), 5);
     }
 
-    /** Guards against a withdrawn job that is started once the runs of an earlier holder are gone. */
+    /** Guards against a withdrawn job that starts once its earlier runs are known to be over. */
     @Test
-    public void testWithdraw_whileItWaitsForEarlierRuns() {
+    public void testWithdraw_awaitingEarlierRuns() {
         PlacerFixture fixture = new PlacerFixture(1);
         Placer placer = fixture.placer(1);
         placer.offer(PlacerFixture.offer(1, 1, 60, PlacerFixture.ORIGIN, true));
@@ -277,9 +282,12 @@
         assertEquals(fixture.ledger.starts(), 1);
     }
 
-    /** The same while it waits for its own first runs to be stopped, and when its node is lost. */
+    /**
+     * Guards against the start of a resubmitted job that was withdrawn, or whose origin was lost, while its first runs
+     * were being stopped.
+     */
     @Test
-    public void testWithdraw_whileItsFirstRunsAreStopped() {
+    public void testWithdraw_resubmittedWhileRunsStop() {
         PlacerFixture fixture = new PlacerFixture(2);
         Placer placer = fixture.placer(1);
         fixture.timers.advance(20);
@@ -297,23 +305,26 @@
         assertEquals(fixture.ledger.starts(), 2);
     }
 
-    /** Guards against ends that are learned half a second late since one call for the list got no answer. */
+    /** Guards against ends that are seen half a second late because one poll got no answer. */
     @Test
-    public void testOffer_lookIsLost() {
+    public void testOffer_pollLost() {
         PlacerFixture fixture = new PlacerFixture(1);
         Placer placer = fixture.placer(1);
         fixture.timers.advance(20);
-        int[] looks = {0};
-        fixture.orders.holdFault = () -> looks[0]++ == 0 ? FakeOrders.Fault.LOST : FakeOrders.Fault.NONE;
+        int[] polls = {0};
+        fixture.orders.holdFault = () -> polls[0]++ == 0 ? FakeOrders.Fault.LOST : FakeOrders.Fault.NONE;
         placer.offer(PlacerFixture.offer(1, 1));
         fixture.timers.advance(155);
         assertEquals(fixture.verdicts, ImmutableList.of("origin-1 1 DONE"));
-        assertEquals(fixture.ledger.broken(), ImmutableList.of());
+        assertEquals(fixture.ledger.violations(), ImmutableList.of());
     }
 
-    /** The order to start is delayed by seconds; the task starts elsewhere in time for its caller, and only there. */
+    /**
+     * Guards against a late or repeated task whose start order is delayed by seconds: it starts elsewhere in time,
+     * once.
+     */
     @Test
-    public void testOffer_startIsLate() {
+    public void testOffer_startOrderDelayed() {
         PlacerFixture fixture = new PlacerFixture(2);
         Placer placer = fixture.placer(1);
         fixture.timers.advance(20);
@@ -324,12 +335,12 @@
         assertEquals(fixture.verdicts, ImmutableList.of("origin-1 1 DONE"));
         fixture.timers.advance(5_000);
         assertEquals(fixture.ledger.starts(), 1);
-        assertEquals(fixture.ledger.broken(), ImmutableList.of());
+        assertEquals(fixture.ledger.violations(), ImmutableList.of());
     }
 
-    /** Only the answer to the start is lost: the run goes on, and nothing of it is thrown away. */
+    /** Guards against a run that is discarded because only the answer to its start order was lost. */
     @Test
-    public void testOffer_startAnswerIsLost() {
+    public void testOffer_startAnswerLost() {
         PlacerFixture fixture = new PlacerFixture(2);
         fixture.endpoint(1).runMillis = 200;
         fixture.endpoint(2).runMillis = 200;
@@ -343,9 +354,9 @@
         assertEquals(fixture.badEnds, ImmutableList.of());
     }
 
-    /** Guards against a started job that is given up as late while its caller still waits. */
+    /** Guards against a started job that is ended as too late while its caller still waits. */
     @Test
-    public void testOffer_startedJobIsFinishedHoweverLate() {
+    public void testOffer_startedJobFinishesLate() {
         PlacerFixture fixture = new PlacerFixture(1);
         fixture.endpoint(1).runMillis = 500;
         Placer placer = fixture.placer(1);
@@ -357,7 +368,7 @@
 
     /** Guards against a late job that is refused while endpoints are idle and its caller still waits. */
     @Test
-    public void testOffer_lateWithRoomFree() {
+    public void testOffer_lateWithFreeCapacity() {
         PlacerFixture fixture = new PlacerFixture(2);
         Placer placer = fixture.placer(1);
         fixture.timers.advance(20);
@@ -366,9 +377,9 @@
         assertEquals(fixture.verdicts, ImmutableList.of("origin-1 1 DONE"));
     }
 
-    /** The same in the moment in which the holder claims, and its endpoints are still being opened. */
+    /** Guards against a late job that is refused right after a takeover, while the endpoints are initializing. */
     @Test
-    public void testOffer_lateWhileEndpointsAreBeingOpened() {
+    public void testOffer_lateWhileEndpointsInitialize() {
         PlacerFixture fixture = new PlacerFixture(2);
         Placer placer = fixture.placer(1);
         placer.offer(PlacerFixture.offer(1, 2).later(500));
@@ -378,7 +389,7 @@
         assertEquals(fixture.verdicts, ImmutableList.of("origin-1 3 DECLINED", "origin-1 1 DONE", "origin-1 2 DONE"));
     }
 
-    /** The same while others wait: their answers can still be in time, so the late one must not take their room. */
+    /** Guards against a late job that takes the capacity of jobs that can still be answered in time. */
     @Test
     public void testOffer_lateWhileOthersWait() {
         PlacerFixture fixture = new PlacerFixture(1);
--- a/tarragonarch-core/src/test/java/org/tarragonarch/core/placing/StallDetectorTest.java
+++ b/tarragonarch-core/src/test/java/org/tarragonarch/core/placing/StallDetectorTest.java
@@ -80,10 +80,10 @@
         HeldEndpoint endpoint = PendingJobsTest.endpoint(fixture);
         PlacedTask task = PendingJobsTest.job(1, 1).tasks().get(0);
         Reservation reservation =
-                new Reservation(task, task.takeRun(), task.job().need(), 0);
+                new Reservation(task, task.allocateRun(), task.job().taskResources(), 0);
         ReservedCapacity reserved = new ReservedCapacity(fixture.entries.get(0).capacity(), new ShareTally());
         reserved.reserve(reservation);
-        task.placed(endpoint, reservation);
+        task.setPlacement(endpoint, reservation);
         StallDetector detector = new StallDetector(reserved, new EndpointHealth(), new EndpointSpeed(), progress);
         detector.checkProgress(reservation, 0, 60);
         int percent = 0;
--- a/tarragonarch-core/src/test/java/org/tarragonarch/core/share/LimitWatchTest.java
+++ b/tarragonarch-core/src/test/java/org/tarragonarch/core/share/LimitWatchTest.java
@@ -11,9 +11,9 @@
         return new ShareState(new ShareId("board", 2), 7_000, 1_000, 1_000, 1_000, isLimited ? 500 : 0);
     }
 
-    /** Guards against two log lines for each start of a share whose use is about its allotment. */
+    /** Guards against two log lines for each start of a share whose use is close to its allotment. */
     @Test
-    public void testUpdate_useAtAllotmentIsNotReported() {
+    public void testUpdate_useAroundAllotment() {
         LimitWatch watch = new LimitWatch();
         for (long now = 0; now < 10_000; now += 100) {
             assertEquals(watch.update(state(now % 200 == 0), now), Optional.empty());
