--- a/tarragonarch-benchmark/src/main/java/org/tarragonarch/benchmark/experiment/Cluster.java
+++ b/tarragonarch-benchmark/src/main/java/org/tarragonarch/benchmark/experiment/Cluster.java
@@ -70,7 +70,7 @@
                 false);
         double speed = shape.speeds().get(endpoints.size() % shape.speeds().size());
         endpoints.put(entry.id(), new ModelEndpoint(time, entry, domain, speed, durations));
-        listed.listed(entry);
+        listed.recordListed(entry);
     }
 
     FailureDomain domain(int number) {
--- a/tarragonarch-benchmark/src/main/java/org/tarragonarch/benchmark/experiment/ModelNode.java
+++ b/tarragonarch-benchmark/src/main/java/org/tarragonarch/benchmark/experiment/ModelNode.java
@@ -107,13 +107,13 @@
 
     /** Learns that a peer's connections broke. */
     void peerGone(NodeId peer) {
-        if (alive() && coordinator.peers().lost(peer)) {
+        if (alive() && coordinator.peers().recordConnectionLost(peer)) {
             lost(peer);
         }
     }
 
     private void review() {
-        cluster.listed().currentAsOf(timers.nowMillis());
+        cluster.listed().recordCurrentAsOf(timers.nowMillis());
         coordinator.peers().expire(timers.nowMillis()).forEach(this::lost);
         coordinator.review(settled());
         timers.after(PeerTable.STATUS_PERIOD_MILLIS / 2, this::review);
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/cluster/Coordinator.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/cluster/Coordinator.java
@@ -122,7 +122,7 @@
 
     /** Returns how fast the endpoints held here are. */
     public SpeedSummary speeds() {
-        return ownership.speeds();
+        return ownership.speedSummary();
     }
 
     /** Returns how up to date this node needs the list of endpoints. */
@@ -130,7 +130,7 @@
         if (!ownership.isListReadSinceClaims()) {
             return EndpointListNeed.NOW;
         }
-        boolean mayHold = ownership.isHolding() || heartbeats.withoutHolder() || election.isSuccessor(self.domain());
+        boolean mayHold = ownership.isHolding() || heartbeats.isWithoutHolder() || election.isSuccessor(self.domain());
         return mayHold ? EndpointListNeed.OFTEN : EndpointListNeed.SELDOM;
     }
 
@@ -141,7 +141,7 @@
 
     /** Returns the last status of every reachable neighbour. */
     public ImmutableList<NodeStatus> presentNeighbours() {
-        return heartbeats.presentNeighbours();
+        return heartbeats.reachableNeighbours();
     }
 
     /** Returns whether any shard has a reachable holder, so that jobs have somewhere to go. */
@@ -193,7 +193,7 @@
 
     /** Records a peer's status; returns whether the peer was not there before. */
     public boolean received(NodeStatus received) {
-        boolean joined = peers.received(received, timers.nowMillis());
+        boolean joined = peers.recordStatus(received, timers.nowMillis());
         usedElsewhere.received(received, timers.nowMillis());
         ownership.nodeHeard(received.node());
         if (joined) {
@@ -248,7 +248,7 @@
     /** Applies the configuration that is in force here, and sends its version to the peers. */
     public void configured(QueueCatalog catalog) {
         statusSender.configured(catalog.version());
-        endpoints.served(catalog.services());
+        endpoints.setServices(catalog.services());
         endpointsChanged();
         statusSender.sendNow();
     }
@@ -272,7 +272,7 @@
         }
         Sets.symmetricDifference(before.domains(), reading.domains())
                 .forEach(domain -> log.drainChanged(domain, reading.contains(domain), reading.version(), source));
-        endpoints.drained(reading.domains());
+        endpoints.setDrainedDomains(reading.domains());
         endpointsChanged();
         statusSender.sendNow();
         router.holdersChanged();
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/cluster/HolderEvents.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/cluster/HolderEvents.java
@@ -5,8 +5,8 @@
 import org.tarragonarch.core.shard.ForwardingShardObserver;
 import org.tarragonarch.core.shard.Heartbeats;
 import org.tarragonarch.core.shard.PeerTable;
-import org.tarragonarch.core.shard.ShardEvents;
 import org.tarragonarch.core.shard.ShardObserver;
+import org.tarragonarch.core.shard.ShardOwnershipListener;
 import org.tarragonarch.model.id.FailureDomain;
 import org.tarragonarch.model.id.NodeId;
 import org.tarragonarch.model.task.FencingToken;
@@ -14,7 +14,7 @@
 import org.tarragonarch.model.task.Verdict;
 
 /** Notifies peers, and this node's own router, of what happens to the shards held here; forwards it to the observer. */
-final class HolderEvents extends ForwardingShardObserver implements ShardEvents {
+final class HolderEvents extends ForwardingShardObserver implements ShardOwnershipListener {
     private final NodeId self;
     private final PeerTable peers;
     private final PeerSender sender;
@@ -61,7 +61,7 @@
 
     @Override
     public void claimed(FailureDomain shard, FencingToken token, int endpoints) {
-        peers.claimed(shard, token);
+        peers.recordClaim(shard, token);
         super.claimed(shard, token, endpoints);
     }
 
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/cluster/KnownHolders.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/cluster/KnownHolders.java
@@ -121,12 +121,12 @@
         return holder.domains().containsAll(shards)
                 && holder.shards().stream()
                         .filter(held -> shards.contains(held.domain()))
-                        .allMatch(held -> peers.isHighest(held.domain(), held.token()));
+                        .allMatch(held -> peers.isHighestToken(held.domain(), held.token()));
     }
 
     @Override
     public boolean isHolderExpected() {
-        return heartbeats.holderExpected(timers.nowMillis());
+        return heartbeats.isHolderExpected(timers.nowMillis());
     }
 
     @Override
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/cluster/NeighbourRoom.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/cluster/NeighbourRoom.java
@@ -73,7 +73,7 @@
     }
 
     private boolean isFresh(NodeStatus status) {
-        long age = timers.nowMillis() - peers.statusAtMillis(status.node()).orElseThrow();
+        long age = timers.nowMillis() - peers.lastStatusMillis(status.node()).orElseThrow();
         return !status.leaving() && age <= MAX_STATUS_AGE_MILLIS;
     }
 
@@ -87,14 +87,14 @@
             if (held.domain().equals(ownDomain)) {
                 return 0;
             }
-            boolean usable = !isDrained.test(held.domain()) && pools.areNear(ownDomain, held.domain());
+            boolean usable = !isDrained.test(held.domain()) && pools.areInSameRegion(ownDomain, held.domain());
             free += usable ? held.freeMilliCores() : 0;
         }
         return free;
     }
 
     private Debit debit(NodeId holder) {
-        long statusAt = peers.statusAtMillis(holder).orElse(0);
+        long statusAt = peers.lastStatusMillis(holder).orElse(0);
         Debit known = debits.get(holder);
         return known != null && known.statusAtMillis() == statusAt ? known : new Debit(statusAt, 0, Long.MAX_VALUE);
     }
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/cluster/StatusSender.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/cluster/StatusSender.java
@@ -74,7 +74,7 @@
                 self.address(),
                 self.milliCores(),
                 leaving,
-                heartbeats.withoutHolder(),
+                heartbeats.isWithoutHolder(),
                 configurationVersion,
                 drained,
                 held.get());
@@ -87,17 +87,17 @@
 
     /** Sends the status to the peers to which it is due by now. */
     void sendDue() {
-        send(heartbeats.due(timers.nowMillis()));
+        send(heartbeats.takeDueAudience(timers.nowMillis()));
     }
 
     /** Sends the status outside its period to the present audience; the next period begins now. */
     void sendNow() {
-        sendNow(heartbeats.audience());
+        sendNow(heartbeats.changeAudience());
     }
 
     /** Sends the status outside its period; the next period begins now. */
     void sendNow(Heartbeats.Audience audience) {
-        heartbeats.sent(audience, timers.nowMillis());
+        heartbeats.recordSent(audience, timers.nowMillis());
         send(audience);
     }
 
@@ -108,10 +108,10 @@
         NodeStatus status = status();
         ImmutableSet<FailureDomain> neighbours = heartbeats.neighbours();
         switch (audience) {
-            case CLOSE -> heartbeats.close().forEach(peer -> sender.status(peer, status));
+            case FREQUENT -> heartbeats.frequentRecipients().forEach(peer -> sender.status(peer, status));
             case NEIGHBOURS -> {
                 sender.statusToDomains(neighbours, status);
-                heartbeats.closeOutside(neighbours).forEach(peer -> sender.status(peer, status));
+                heartbeats.frequentRecipientsOutside(neighbours).forEach(peer -> sender.status(peer, status));
             }
             case ALL -> sender.statusToAll(status);
             default -> throw new AssertionError(audience);
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/follow/FollowPace.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/follow/FollowPace.java
@@ -18,12 +18,12 @@
     }
 
     /** Returns the pace of a follower that gets each change at once. */
-    public static FollowPace waiting(long waitMillis) {
+    public static FollowPace longPolling(long waitMillis) {
         return new FollowPace(0, waitMillis);
     }
 
     /** Returns the pace of a follower that asks once a period, for a table that changes all the time. */
-    public static FollowPace every(long periodMillis) {
+    public static FollowPace periodic(long periodMillis) {
         return new FollowPace(periodMillis, 0);
     }
 }
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/follow/TableFollower.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/follow/TableFollower.java
@@ -112,7 +112,7 @@
             return;
         }
         RowPage page = reply.page().orElseThrow();
-        take(page.version(), calledAtMillis, () -> listener.replaced(page));
+        take(page.version(), calledAtMillis, () -> listener.tableReplaced(page));
     }
 
     private void followAnswered(RowStore.Reply reply) {
@@ -140,7 +140,7 @@
 
     private void handOver(RowPage page) {
         if (!page.rows().isEmpty()) {
-            listener.changed(page);
+            listener.rowsChanged(page);
         }
     }
 
@@ -156,12 +156,12 @@
         try {
             handOver.run();
         } catch (RuntimeException e) {
-            listener.unusable(e);
+            listener.rowsUnusable(e);
             timers.after(LONGEST_PAUSE_MILLIS, this::readAll);
             return;
         }
         version = newVersion;
-        listener.current(asOf);
+        listener.currentAsOf(asOf);
         followLater();
     }
 
@@ -170,7 +170,7 @@
         answeredAtMillis = timers.nowMillis();
         if (away) {
             away = false;
-            listener.regained(timers.nowMillis() - awaySinceMillis);
+            listener.storeRegained(timers.nowMillis() - awaySinceMillis);
         }
     }
 
@@ -178,11 +178,11 @@
         long now = timers.nowMillis();
         FailedCall call = new FailedCall(result, now - calledAtMillis, now - answeredAtMillis);
         if (away) {
-            listener.stillLost(call);
+            listener.storeStillLost(call);
         } else {
             away = true;
             awaySinceMillis = now;
-            listener.lost(call);
+            listener.storeLost(call);
         }
         timers.after(Math.max(0, pauseMillis - call.tookMillis()), () -> {
             if (version < 0) {
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/lifecycle/Lifecycle.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/lifecycle/Lifecycle.java
@@ -34,7 +34,7 @@
     }
 
     /** Starts serving, if the node was only waiting for what it needs to do so. */
-    public void equipped(ActionSink sink) {
+    public void startServing(ActionSink sink) {
         if (phase == NodePhase.STARTING) {
             enter(NodePhase.SERVING, "configuration and endpoints are known", sink);
         }
@@ -61,7 +61,7 @@
     }
 
     /** Returns whether the drain deadline has passed, so that what is left must be cut. */
-    public boolean mustCut(long nowNanos) {
+    public boolean isDrainDeadlinePassed(long nowNanos) {
         return phase == NodePhase.FINISHING && nowNanos >= cutAt();
     }
 
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/membership/LinkChoice.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/membership/LinkChoice.java
@@ -44,7 +44,7 @@
         for (Peer peer : peers) {
             if (peer.domain().equals(own)) {
                 chosen.add(peer.node());
-            } else if (peer.listedLive()) {
+            } else if (peer.isListedLive()) {
                 others.put(peer.domain(), peer.node());
             }
         }
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/membership/LoadNews.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/membership/LoadUpdate.java
@@ -9,7 +9,7 @@
  * @param loads the loads named
  * @param full whether endpoints that are not named have nothing in flight
  */
-record LoadNews(ImmutableList<EndpointLoad> loads, boolean full) {
+record LoadUpdate(ImmutableList<EndpointLoad> loads, boolean full) {
     /** Reports nothing, and takes nothing back. */
-    static final LoadNews NONE = new LoadNews(ImmutableList.of(), false);
+    static final LoadUpdate NONE = new LoadUpdate(ImmutableList.of(), false);
 }
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/membership/PauseDetector.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/membership/PauseDetector.java
@@ -14,22 +14,22 @@
     private static final int CALLS_PER_SILENCE = 3;
 
     private final long boundNanos;
-    private final long callNanos;
+    private final long maxCallGapNanos;
     private long lastCallNanos = Long.MIN_VALUE;
     private long awakeSinceNanos = Long.MIN_VALUE;
 
     PauseDetector(NodePolicy policy) {
         this.boundNanos = policy.peerSilence().toNanos() / 2;
-        this.callNanos = policy.peerSilence().toNanos() / CALLS_PER_SILENCE;
+        this.maxCallGapNanos = policy.peerSilence().toNanos() / CALLS_PER_SILENCE;
     }
 
     /** Returns the longest time between two calls that is no pause, which must be asked for while a peer is alive. */
-    long callNanos() {
-        return callNanos;
+    long maxCallGapNanos() {
+        return maxCallGapNanos;
     }
 
     /** Records a call; returns whether the node slept before it. */
-    boolean called(long nowNanos) {
+    boolean recordCall(long nowNanos) {
         boolean slept = lastCallNanos != Long.MIN_VALUE && nowNanos - lastCallNanos > boundNanos;
         lastCallNanos = nowNanos;
         if (slept) {
@@ -39,7 +39,7 @@
     }
 
     /** Returns when a peer last could last have reported: its last sign of life, or the waking if that is later. */
-    long since(long lastSignNanos) {
+    long silentSinceNanos(long lastSignNanos) {
         return Math.max(lastSignNanos, awakeSinceNanos);
     }
 }
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/membership/Peer.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/membership/Peer.java
@@ -19,12 +19,12 @@
     private FailureDomain domain;
     private Optional<Address> address = Optional.empty();
     private boolean listed;
-    private boolean listedLive;
-    private boolean alive;
-    private boolean behind;
+    private boolean isListedLive;
+    private boolean isAlive;
+    private boolean missesLoads;
     private Optional<Incarnation> run = Optional.empty();
     private long sequence;
-    private long heardNanos;
+    private long lastReportNanos;
     private long lastSignNanos;
     private NodePhase phase = NodePhase.STARTING;
     private ConfigurationVersion configuration = ConfigurationVersion.NONE;
@@ -53,27 +53,27 @@
         return stream;
     }
 
-    boolean alive() {
-        return alive;
+    boolean isAlive() {
+        return isAlive;
     }
 
     /** Returns whether the list names the peer as one that stays. */
-    boolean listedLive() {
-        return listedLive;
+    boolean isListedLive() {
+        return isListedLive;
     }
 
     boolean takesWork() {
-        return alive && phase.takesWork();
+        return isAlive && phase.takesWork();
     }
 
     /** Returns whether a report was lost, so that the peer's loads may be partly old until its next full report. */
-    boolean behind() {
-        return behind;
+    boolean missesLoads() {
+        return missesLoads;
     }
 
     /** Returns when the last report came in; of no meaning if none did. */
-    long heardNanos() {
-        return heardNanos;
+    long lastReportNanos() {
+        return lastReportNanos;
     }
 
     /** Returns when the peer last reported or was listed. */
@@ -87,7 +87,7 @@
 
     void listed(VmRecord vm, long nowNanos) {
         listed = true;
-        listedLive = vm.state() == VmState.LIVE;
+        isListedLive = vm.state() == VmState.LIVE;
         address = Optional.of(vm.address());
         lastSignNanos = nowNanos;
         if (run.isEmpty()) {
@@ -97,39 +97,39 @@
 
     void unlisted() {
         listed = false;
-        listedLive = false;
+        isListedLive = false;
     }
 
     /** Returns whether a report is of an earlier run, or comes after a later one of the same run. */
-    boolean isOld(PeerReport report) {
+    boolean isStale(PeerReport report) {
         int order = run.map(known -> report.incarnation().compareTo(known)).orElse(1);
         return order < 0 || (order == 0 && report.sequence() <= sequence);
     }
 
     /** Records a report that is not old. */
-    void heard(PeerReport report, long nowNanos) {
+    void recordReport(PeerReport report, long nowNanos) {
         boolean newRun = run.filter(report.incarnation()::equals).isEmpty();
         boolean gap = newRun || report.sequence() != sequence + 1;
-        behind = !report.full() && (behind || gap);
-        if (newRun || !alive) {
+        missesLoads = !report.full() && (missesLoads || gap);
+        if (newRun || !isAlive) {
             // It knows nothing of this node yet, or has dropped what it knew while no report came in.
-            stream.startOver();
+            stream.requireFullReport();
         }
         run = Optional.of(report.incarnation());
         sequence = report.sequence();
         domain = report.domain();
         phase = report.phase();
         configuration = report.configuration();
-        alive = true;
-        heardNanos = nowNanos;
+        isAlive = true;
+        lastReportNanos = nowNanos;
         lastSignNanos = nowNanos;
     }
 
-    void silent() {
-        alive = false;
+    void markSilent() {
+        isAlive = false;
     }
 
     PeerStatus status() {
-        return new PeerStatus(node, domain, alive, phase, configuration);
+        return new PeerStatus(node, domain, isAlive, phase, configuration);
     }
 }
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/membership/PeerDirectory.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/membership/PeerDirectory.java
@@ -44,7 +44,7 @@
     private final Reporter reporter;
     private final Map<NodeId, Peer> peers = new TreeMap<>();
     private ImmutableSet<NodeId> aliveInDomain;
-    private ImmutableSet<NodeId> sharers;
+    private ImmutableSet<NodeId> quotaSharers;
     private long nextCheckNanos = Long.MAX_VALUE;
 
     private PeerDirectory(NodeIdentity self, NodePolicy policy) {
@@ -54,7 +54,7 @@
         this.linkChoice = new LinkChoice(self.node(), self.domain());
         this.reporter = new Reporter(self, new ReportPacer(policy));
         this.aliveInDomain = ImmutableSet.of(self.node());
-        this.sharers = aliveInDomain;
+        this.quotaSharers = aliveInDomain;
     }
 
     /** Returns a directory that knows no peer. */
@@ -63,7 +63,7 @@
     }
 
     /** Updates the endpoints from the platform's list. */
-    public void listed(ImmutableList<VmRecord> vms, long nowNanos, ActionSink sink) {
+    public void updateListed(ImmutableList<VmRecord> vms, long nowNanos, ActionSink sink) {
         peers.values().forEach(Peer::unlisted);
         for (VmRecord vm : vms) {
             if (vm.role() == VmRole.ENTRY && Names.wellFormed(vm.name())) {
@@ -73,15 +73,15 @@
         }
         peers.values()
                 .removeIf(peer -> !peer.listed()
-                        && !peer.alive()
-                        && nowNanos - pause.since(peer.lastSignNanos()) > FORGET_AFTER.toNanos());
+                        && !peer.isAlive()
+                        && nowNanos - pause.silentSinceNanos(peer.lastSignNanos()) > FORGET_AFTER.toNanos());
         changed(nowNanos);
     }
 
     /** Records a report; returns whether it is news, and not from an earlier run or out of order. */
-    public boolean heard(PeerReport report, long nowNanos, ActionSink sink) {
+    public boolean recordReport(PeerReport report, long nowNanos, ActionSink sink) {
         Optional<Peer> found = find(report.from(), () -> new Peer(report.from(), report.domain(), nowNanos));
-        if (found.isEmpty() || found.get().isOld(report)) {
+        if (found.isEmpty() || found.get().isStale(report)) {
             sink.emit(Note.of(
                     NoteEvent.STALE_REPORT_DROPPED,
                     Step.PEER,
@@ -91,17 +91,17 @@
             return false;
         }
         Peer peer = found.get();
-        boolean wasAlive = peer.alive();
+        boolean wasAlive = peer.isAlive();
         boolean tookWork = peer.takesWork();
-        boolean wasBehind = peer.behind();
-        peer.heard(report, nowNanos);
+        boolean wasBehind = peer.missesLoads();
+        peer.recordReport(report, nowNanos);
         if (!wasAlive) {
             note(NoteEvent.PEER_ALIVE, peer, sink);
         }
-        if (peer.behind() && !wasBehind) {
+        if (peer.missesLoads() && !wasBehind) {
             note(NoteEvent.REPORT_GAP, peer, sink);
         }
-        nextCheckNanos = Math.min(nextCheckNanos, nowNanos + pause.callNanos());
+        nextCheckNanos = Math.min(nextCheckNanos, nowNanos + pause.maxCallGapNanos());
         if (!wasAlive || tookWork != peer.takesWork()) {
             changed(nowNanos);
         }
@@ -110,11 +110,11 @@
 
     /** Notes peers that fell silent and sends the reports that are due; costs next to nothing when nothing is due. */
     public void timePassed(long nowNanos, ReportSource source, ActionSink sink) {
-        if (pause.called(nowNanos)) {
+        if (pause.recordCall(nowNanos)) {
             sink.emit(Note.of(
                     NoteEvent.SLEPT_PAST_LEASE, Step.LIFECYCLE, self.node().value()));
             // Peers have dropped what they knew of a node that they did not hear.
-            peers.values().forEach(peer -> peer.stream().startOver());
+            peers.values().forEach(peer -> peer.stream().requireFullReport());
         }
         if (nowNanos >= nextCheckNanos) {
             checkSilence(nowNanos, sink);
@@ -147,8 +147,8 @@
      * <p>Holds every node that the list names or that has reported, also silent ones: a node that is only cut off still
      * uses its share.
      */
-    public ImmutableSet<NodeId> sharers() {
-        return sharers;
+    public ImmutableSet<NodeId> quotaSharers() {
+        return quotaSharers;
     }
 
     /** Returns a line for each peer. */
@@ -172,14 +172,14 @@
         nextCheckNanos = Long.MAX_VALUE;
         boolean fell = false;
         for (Peer peer : peers.values()) {
-            if (peer.alive()) {
-                long due = pause.since(peer.heardNanos()) + silenceNanos(peer);
+            if (peer.isAlive()) {
+                long due = pause.silentSinceNanos(peer.lastReportNanos()) + silenceNanos(peer);
                 if (nowNanos >= due) {
-                    peer.silent();
+                    peer.markSilent();
                     fell = true;
                     note(NoteEvent.PEER_SILENT, peer, sink);
                 } else {
-                    nextCheckNanos = Longs.min(nextCheckNanos, due, nowNanos + pause.callNanos());
+                    nextCheckNanos = Longs.min(nextCheckNanos, due, nowNanos + pause.maxCallGapNanos());
                 }
             }
         }
@@ -202,7 +202,7 @@
         for (Peer peer : peers.values()) {
             if (peer.domain().equals(self.domain())) {
                 inDomain.add(peer.node());
-                if (peer.alive()) {
+                if (peer.isAlive()) {
                     alive.add(peer.node());
                 }
                 if (peer.takesWork()) {
@@ -210,9 +210,9 @@
                 }
             }
         }
-        sharers = inDomain.build();
+        quotaSharers = inDomain.build();
         aliveInDomain = workers.build();
-        reporter.links(linkChoice.choose(reachable(), alive.build()), nowNanos);
+        reporter.setLinks(linkChoice.choose(reachable(), alive.build()), nowNanos);
     }
 
     private ImmutableList<Peer> reachable() {
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/membership/ReportPacer.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/membership/ReportPacer.java
@@ -42,7 +42,7 @@
      * @param changed whether loads changed since the round before
      * @param roundBytes what the round that just went out cost
      */
-    long untilNextRound(boolean changed, long roundBytes) {
+    long nanosUntilNextRound(boolean changed, long roundBytes) {
         if (!changed) {
             return idleNanos;
         }
@@ -62,7 +62,7 @@
     }
 
     /** Returns whether a report of this cost may go now. */
-    boolean affords(long bytes) {
+    boolean canAfford(long bytes) {
         return bytes <= credit;
     }
 
@@ -72,7 +72,7 @@
     }
 
     /** Returns the estimated cost of a report that names this many endpoints. */
-    static long cost(int endpoints) {
+    static long estimatedBytes(int endpoints) {
         return BYTES_PER_REPORT + (long) BYTES_PER_ENDPOINT * endpoints;
     }
 }
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/membership/ReportStream.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/membership/ReportStream.java
@@ -18,11 +18,11 @@
     /** A full report is sent after this many reports with loads. */
     static final int FULL_EVERY = 8;
 
-    private final Map<EndpointId, Integer> told = new HashMap<>();
+    private final Map<EndpointId, Integer> recordSent = new HashMap<>();
     private long sequence;
     private int sinceFull;
     private boolean fullDue = true;
-    private long loadsToldNanos = Long.MIN_VALUE;
+    private long loadsSentNanos = Long.MIN_VALUE;
 
     /** Returns the number of the next report. */
     long nextSequence() {
@@ -30,41 +30,41 @@
     }
 
     /** Returns when the peer was last sent loads. */
-    long loadsToldNanos() {
-        return loadsToldNanos;
+    long loadsSentNanos() {
+        return loadsSentNanos;
     }
 
     /** Makes the next report with loads a full one. */
-    void startOver() {
+    void requireFullReport() {
         fullDue = true;
     }
 
     /** Returns what to report of the loads, if they are sent now; costs time in proportion to the endpoints in use. */
-    LoadNews news(ImmutableMap<EndpointId, Integer> now) {
+    LoadUpdate pendingLoads(ImmutableMap<EndpointId, Integer> now) {
         if (!fullDue && sinceFull < FULL_EVERY) {
             ImmutableList<EndpointLoad> changes = changes(now);
             if (changes.size() <= now.size()) {
-                return new LoadNews(changes, false);
+                return new LoadUpdate(changes, false);
             }
         }
         ImmutableList.Builder<EndpointLoad> all = ImmutableList.builder();
         now.forEach((endpoint, inFlight) -> all.add(new EndpointLoad(endpoint, inFlight)));
-        return new LoadNews(all.build(), true);
+        return new LoadUpdate(all.build(), true);
     }
 
     /** Records that this is sent to the peer. */
-    void told(LoadNews news, long nowNanos) {
-        loadsToldNanos = nowNanos;
+    void recordSent(LoadUpdate news, long nowNanos) {
+        loadsSentNanos = nowNanos;
         fullDue = false;
         sinceFull = news.full() ? 0 : sinceFull + 1;
         if (news.full()) {
-            told.clear();
+            recordSent.clear();
         }
         for (EndpointLoad load : news.loads()) {
             if (load.inFlight() == 0) {
-                told.remove(load.endpoint());
+                recordSent.remove(load.endpoint());
             } else {
-                told.put(load.endpoint(), load.inFlight());
+                recordSent.put(load.endpoint(), load.inFlight());
             }
         }
     }
@@ -72,11 +72,11 @@
     private ImmutableList<EndpointLoad> changes(ImmutableMap<EndpointId, Integer> now) {
         ImmutableList.Builder<EndpointLoad> changes = ImmutableList.builder();
         now.forEach((endpoint, inFlight) -> {
-            if (!inFlight.equals(told.get(endpoint))) {
+            if (!inFlight.equals(recordSent.get(endpoint))) {
                 changes.add(new EndpointLoad(endpoint, inFlight));
             }
         });
-        for (EndpointId endpoint : told.keySet()) {
+        for (EndpointId endpoint : recordSent.keySet()) {
             if (!now.containsKey(endpoint)) {
                 changes.add(new EndpointLoad(endpoint, 0));
             }
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/membership/Reporter.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/membership/Reporter.java
@@ -32,8 +32,8 @@
 
     private final NodeIdentity self;
     private final ReportPacer pacer;
-    private ImmutableSet<NodeId> links = ImmutableSet.of();
-    private Optional<Urgent> reported = Optional.empty();
+    private ImmutableSet<NodeId> setLinks = ImmutableSet.of();
+    private Optional<UrgentState> reported = Optional.empty();
     private ImmutableMap<EndpointId, Integer> loadsBefore = ImmutableMap.of();
     private int roundsUntilFar;
     private long nextRoundNanos = Long.MAX_VALUE;
@@ -51,26 +51,26 @@
     }
 
     /** Records the peers that get reports from now on; a new one gets its first at once. */
-    void links(ImmutableSet<NodeId> now, long nowNanos) {
-        if (!links.containsAll(now)) {
+    void setLinks(ImmutableSet<NodeId> now, long nowNanos) {
+        if (!setLinks.containsAll(now)) {
             roundsUntilFar = 0;
             nextRoundNanos = nowNanos;
         }
-        links = now;
-        if (links.isEmpty()) {
+        setLinks = now;
+        if (setLinks.isEmpty()) {
             nextRoundNanos = Long.MAX_VALUE;
             nextUrgentNanos = Long.MAX_VALUE;
         }
     }
 
     void timePassed(Map<NodeId, Peer> peers, long nowNanos, ReportSource source, ActionSink sink) {
-        if (links.isEmpty()) {
+        if (setLinks.isEmpty()) {
             return;
         }
         boolean newPhase =
                 reported.filter(last -> last.phase() != source.phase()).isPresent();
         if (nowNanos >= nextRoundNanos || newPhase) {
-            round(peers, Urgent.of(source), nowNanos, source, sink);
+            round(peers, UrgentState.of(source), nowNanos, source, sink);
         } else if (nowNanos >= nextUrgentNanos) {
             reportNow(peers, nowNanos, source, sink);
         }
@@ -78,7 +78,7 @@
 
     /** Sends a round if there is urgent news; asked again within the gap, looks once more at its end. */
     void reportNow(Map<NodeId, Peer> peers, long nowNanos, ReportSource source, ActionSink sink) {
-        if (links.isEmpty()) {
+        if (setLinks.isEmpty()) {
             return;
         }
         if (urgentLookNanos != Long.MIN_VALUE && nowNanos - urgentLookNanos < URGENT_GAP_NANOS) {
@@ -87,13 +87,14 @@
         }
         urgentLookNanos = nowNanos;
         nextUrgentNanos = Long.MAX_VALUE;
-        Urgent urgent = Urgent.of(source);
+        UrgentState urgent = UrgentState.of(source);
         if (!reported.equals(Optional.of(urgent))) {
             round(peers, urgent, nowNanos, source, sink);
         }
     }
 
-    private void round(Map<NodeId, Peer> peers, Urgent urgent, long nowNanos, ReportSource source, ActionSink sink) {
+    private void round(
+            Map<NodeId, Peer> peers, UrgentState urgent, long nowNanos, ReportSource source, ActionSink sink) {
         ImmutableMap<EndpointId, Integer> loads = source.loads().stream()
                 .collect(ImmutableMap.toImmutableMap(EndpointLoad::endpoint, EndpointLoad::inFlight));
         pacer.timePassed(nowNanos);
@@ -105,7 +106,7 @@
                 bytes += report(peer, urgent, loads, nowNanos, sink);
             }
         }
-        nextRoundNanos = nowNanos + pacer.untilNextRound(!loads.equals(loadsBefore), bytes);
+        nextRoundNanos = nowNanos + pacer.nanosUntilNextRound(!loads.equals(loadsBefore), bytes);
         loadsBefore = loads;
         reported = Optional.of(urgent);
         // The round sent all there is, also what a look at the end of the gap would have found.
@@ -113,25 +114,26 @@
     }
 
     private ImmutableList<Peer> longestUntoldFirst(Map<NodeId, Peer> peers) {
-        return links.stream()
+        return setLinks.stream()
                 .map(peers::get)
                 .filter(Objects::nonNull)
-                .sorted(comparingLong(peer -> peer.stream().loadsToldNanos()))
+                .sorted(comparingLong(peer -> peer.stream().loadsSentNanos()))
                 .collect(ImmutableList.toImmutableList());
     }
 
     private long report(
-            Peer peer, Urgent urgent, ImmutableMap<EndpointId, Integer> loads, long nowNanos, ActionSink sink) {
+            Peer peer, UrgentState urgent, ImmutableMap<EndpointId, Integer> loads, long nowNanos, ActionSink sink) {
         int always = urgent.leaving().size() + urgent.quarantined().size();
-        LoadNews news = LoadNews.NONE;
+        LoadUpdate news = LoadUpdate.NONE;
         if (peer.domain().equals(self.domain())) {
-            LoadNews wanted = peer.stream().news(loads);
-            if (pacer.affords(ReportPacer.cost(always + wanted.loads().size()))) {
+            LoadUpdate wanted = peer.stream().pendingLoads(loads);
+            if (pacer.canAfford(
+                    ReportPacer.estimatedBytes(always + wanted.loads().size()))) {
                 news = wanted;
-                peer.stream().told(wanted, nowNanos);
+                peer.stream().recordSent(wanted, nowNanos);
             }
         }
-        long cost = ReportPacer.cost(always + news.loads().size());
+        long cost = ReportPacer.estimatedBytes(always + news.loads().size());
         pacer.spend(cost);
         PeerReport report = new PeerReport(
                 self.node(),
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/membership/Urgent.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/membership/UrgentState.java
@@ -6,12 +6,12 @@
 import org.tarragonarch.model.report.NodePhase;
 
 /** The part of a report that peers need at once when it changes; every report holds it whole. */
-record Urgent(
+record UrgentState(
         NodePhase phase,
         ConfigurationVersion configuration,
         ImmutableSet<EndpointId> leaving,
         ImmutableSet<EndpointId> quarantined) {
-    static Urgent of(ReportSource source) {
-        return new Urgent(source.phase(), source.configuration(), source.leaving(), source.quarantined());
+    static UrgentState of(ReportSource source) {
+        return new UrgentState(source.phase(), source.configuration(), source.leaving(), source.quarantined());
     }
 }
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/node/LifecycleHandler.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/node/LifecycleHandler.java
@@ -36,7 +36,7 @@
 
     /** Ends what is left of the work when the drain took too long, and leaves when nothing is left. */
     void leaveWhenDone(long nowNanos, ActionSink sink) {
-        if (parts.lifecycle.mustCut(nowNanos) && parts.submissions.size() > 0) {
+        if (parts.lifecycle.isDrainDeadlinePassed(nowNanos) && parts.submissions.size() > 0) {
             sink.emit(Note.of(
                     NoteEvent.DRAIN_CUT_SHORT, Step.LIFECYCLE, "caller", "submissions", parts.submissions.size()));
             for (Submission submission : parts.submissions.all()) {
@@ -55,7 +55,7 @@
 
     private void equip(ActionSink sink) {
         if (vmListSeen && parts.configuration.inForce().isPresent()) {
-            parts.lifecycle.equipped(sink);
+            parts.lifecycle.startServing(sink);
         }
     }
 }
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/node/MembershipHandler.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/node/MembershipHandler.java
@@ -51,7 +51,7 @@
 
     private void peerReported(PeerReported reported, long nowNanos, ActionSink sink) {
         PeerReport report = reported.report();
-        if (!parts.peers.heard(report, nowNanos, sink)) {
+        if (!parts.peers.recordReport(report, nowNanos, sink)) {
             return;
         }
         parts.endpoints.peerReported(report, nowNanos, sink);
@@ -61,7 +61,7 @@
     }
 
     private void vmListRead(VmListRead read, long nowNanos, ActionSink sink) {
-        parts.peers.listed(read.vms(), nowNanos, sink);
+        parts.peers.updateListed(read.vms(), nowNanos, sink);
         parts.endpoints.listed(read.vms(), nowNanos, sink);
         long nodes = read.vms().stream().filter(vm -> vm.role() == VmRole.ENTRY).count();
         parts.keys.writers(Math.toIntExact(nodes));
@@ -78,7 +78,7 @@
             parts.endpoints.aliveNodes(now, nowNanos, sink);
             Sets.difference(before, now).forEach(gone -> parts.keys.silent(gone, nowNanos, sink));
         }
-        parts.quotas.sharers(parts.peers.sharers());
-        parts.services.sharers(parts.peers.sharers());
+        parts.quotas.sharers(parts.peers.quotaSharers());
+        parts.services.sharers(parts.peers.quotaSharers());
     }
 }
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/runtime/RunTimeEstimator.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/runtime/RunTimeEstimator.java
@@ -41,7 +41,7 @@
     }
 
     /** Returns whether enough tasks of a kind have ended for the expectation to rest on them. */
-    public boolean learnt(ServiceName service, KindName kind) {
+    public boolean hasEnoughTasks(ServiceName service, KindName kind) {
         Mean mean = means.get(new Kind(service, kind));
         return mean != null && mean.count >= ENOUGH_TASKS;
     }
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/shard/CandidateRanking.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/shard/CandidateRanking.java
@@ -52,14 +52,14 @@
     }
 
     /** Returns whether nobody goes before this node. */
-    boolean isFirst(FailureDomain shard) {
-        return higherRanked(shard) == 0;
+    boolean isHighestRanked(FailureDomain shard) {
+        return higherRankedCount(shard) == 0;
     }
 
     /** Returns how many reachable peers rank before this node. */
-    long higherRanked(FailureDomain shard) {
+    long higherRankedCount(FailureDomain shard) {
         ImmutableSet<FailureDomain> pool = pools.poolOf(shard);
-        return peers.present().stream()
+        return peers.reachable().stream()
                 .filter(peer -> !peer.leaving() && ranksBefore(peer, pool))
                 .count();
     }
@@ -68,7 +68,7 @@
      * Returns whether a node of the pool should have what this one holds of it: because it is much stronger, or because
      * it holds more of the pool already, as when a domain that was cut off went on by itself and can be reached again.
      */
-    boolean yieldsTo(NodeStatus peer, ImmutableSet<FailureDomain> pool) {
+    boolean shouldYieldTo(NodeStatus peer, ImmutableSet<FailureDomain> pool) {
         if (peer.milliCores() >= MUCH_STRONGER * ownMilliCores) {
             return true;
         }
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/shard/DepartedEndpoints.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/shard/DepartedEndpoints.java
@@ -17,7 +17,7 @@
      * How long an endpoint counts as departed. Its holder starts nothing there from its next reading of the list, and
      * no run outlasts the deadline of its job; clients wait less than this.
      */
-    static final long DEPARTED_MILLIS = 15_000;
+    static final long RETENTION_MILLIS = 15_000;
 
     private final Map<EndpointId, Departed> departed = new HashMap<>();
 
@@ -35,7 +35,7 @@
 
     /** Forgets those that departed too long ago; returns whether there were any. */
     boolean expire(long nowMillis) {
-        return departed.values().removeIf(endpoint -> nowMillis - endpoint.atMillis() >= DEPARTED_MILLIS);
+        return departed.values().removeIf(endpoint -> nowMillis - endpoint.atMillis() >= RETENTION_MILLIS);
     }
 
     /** Returns their last entries. */
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/shard/EndpointList.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/shard/EndpointList.java
@@ -32,9 +32,9 @@
     private final Map<EndpointId, EndpointEntry> entries = new HashMap<>();
     private final Map<EndpointId, Long> missingUntil = new HashMap<>();
     private final DepartedEndpoints departed = new DepartedEndpoints();
-    private final LatestStarts starts = new LatestStarts();
+    private final LatestIncarnations starts = new LatestIncarnations();
     private ImmutableSet<String> services = ImmutableSet.of();
-    private ImmutableSet<FailureDomain> drained = ImmutableSet.of();
+    private ImmutableSet<FailureDomain> setDrainedDomains = ImmutableSet.of();
     private boolean storeAway;
     private long storeBackAtMillis = Long.MIN_VALUE / 2;
     private OptionalLong currentAsOfMillis = OptionalLong.empty();
@@ -54,9 +54,9 @@
      * <p>An entry of an earlier incarnation than the latest known is dropped. One without a start, where the endpoint
      * has told it before, is by another writer.
      */
-    public boolean listed(EndpointEntry entry) {
-        if (starts.lacksStart(entry.incarnation())) {
-            return overwritten(entry.id());
+    public boolean recordListed(EndpointEntry entry) {
+        if (starts.lacksKnownStart(entry.incarnation())) {
+            return recordOverwritten(entry.id());
         }
         return recordUnlessOver(entry);
     }
@@ -66,12 +66,12 @@
      *
      * <p>A peer may not know the start, so its entry without one is no evidence of another writer.
      */
-    public boolean given(EndpointEntry entry) {
-        return !starts.lacksStart(entry.incarnation()) && recordUnlessOver(entry);
+    public boolean recordFromPeer(EndpointEntry entry) {
+        return !starts.lacksKnownStart(entry.incarnation()) && recordUnlessOver(entry);
     }
 
     private boolean recordUnlessOver(EndpointEntry entry) {
-        if (starts.isOver(entry.incarnation())) {
+        if (starts.isSuperseded(entry.incarnation())) {
             return false;
         }
         starts.record(entry.incarnation());
@@ -81,7 +81,7 @@
     }
 
     /** Records that an entry is no longer there; returns whether that changes anything now. */
-    public boolean unlisted(EndpointId id, long nowMillis) {
+    public boolean recordUnlisted(EndpointId id, long nowMillis) {
         if (storeAway || nowMillis - storeBackAtMillis < RETURN_MILLIS) {
             missingUntil.putIfAbsent(id, Math.max(nowMillis, storeBackAtMillis) + RETURN_MILLIS);
             return false;
@@ -103,32 +103,32 @@
      * <p>Guards against an entry that another writer wrote over: what it says now is not the endpoint's word, so the
      * endpoint gets nothing new until its next heartbeat has put its own entry back.
      */
-    public boolean overwritten(EndpointId id) {
+    public boolean recordOverwritten(EndpointId id) {
         missingUntil.remove(id);
         return entries.remove(id) != null;
     }
 
     /** Replaces the whole list; returns whether anything changed. */
-    public boolean replaced(Iterable<EndpointEntry> all, long nowMillis) {
+    public boolean replaceAll(Iterable<EndpointEntry> all, long nowMillis) {
         boolean changed = false;
         Set<EndpointId> missing = new HashSet<>(entries.keySet());
         for (EndpointEntry entry : all) {
-            changed |= listed(entry);
+            changed |= recordListed(entry);
             missing.remove(entry.id());
         }
         for (EndpointId id : missing) {
-            changed |= unlisted(id, nowMillis);
+            changed |= recordUnlisted(id, nowMillis);
         }
         return changed;
     }
 
     /** Notes that the store cannot be read. */
-    public void storeLost() {
+    public void recordStoreLost() {
         storeAway = true;
     }
 
     /** Notes that the store can be read again. */
-    public void storeBack(long nowMillis) {
+    public void recordStoreRegained(long nowMillis) {
         if (storeAway) {
             storeAway = false;
             storeBackAtMillis = nowMillis;
@@ -136,7 +136,7 @@
     }
 
     /** Notes as of when the list is all that the store has. */
-    public void currentAsOf(long millis) {
+    public void recordCurrentAsOf(long millis) {
         if (currentAsOfMillis.isEmpty()) {
             firstAsOfMillis = millis;
         }
@@ -148,8 +148,8 @@
      *
      * <p>Guards against a node that has started after an endpoint had lost its entry.
      */
-    boolean isDepartureKnown(long nowMillis) {
-        return currentAsOfMillis.isPresent() && nowMillis - firstAsOfMillis >= DepartedEndpoints.DEPARTED_MILLIS;
+    boolean areDeparturesKnown(long nowMillis) {
+        return currentAsOfMillis.isPresent() && nowMillis - firstAsOfMillis >= DepartedEndpoints.RETENTION_MILLIS;
     }
 
     /**
@@ -168,7 +168,7 @@
     }
 
     /** Returns whether the store could be read for at least this long. */
-    boolean storeReadableFor(long millis, long nowMillis) {
+    boolean isStoreReadableFor(long millis, long nowMillis) {
         return !storeAway && nowMillis - storeBackAtMillis >= millis;
     }
 
@@ -193,22 +193,22 @@
      * <p>Guards against entries of another writer that name a service which nobody knows: such an endpoint would get no
      * task, but it would be looked at ten times a second.
      */
-    public void served(ImmutableSet<String> known) {
+    public void setServices(ImmutableSet<String> known) {
         services = known;
     }
 
     /** Records which failure domains are drained. */
-    public void drained(ImmutableSet<FailureDomain> domains) {
-        drained = domains;
+    public void setDrainedDomains(ImmutableSet<FailureDomain> domains) {
+        setDrainedDomains = domains;
     }
 
     /**
-     * Returns the endpoints of one failure domain on which something may run: those that {@link #of} returns, and those
+     * Returns the endpoints of one failure domain on which something may run: those that {@link #inDomain} returns, and those
      * that were removed a short while ago, as draining.
      */
-    public ImmutableList<EndpointEntry> withDeparted(FailureDomain domain) {
+    public ImmutableList<EndpointEntry> inDomainWithDeparted(FailureDomain domain) {
         return ImmutableList.<EndpointEntry>builder()
-                .addAll(of(domain))
+                .addAll(inDomain(domain))
                 .addAll(departed.entries().stream()
                         .filter(entry -> isIn(domain, entry))
                         .map(EndpointEntry::asDraining)
@@ -217,8 +217,8 @@
     }
 
     /** Returns the endpoints of one failure domain that work for a service that there is; draining if the domain is. */
-    public ImmutableList<EndpointEntry> of(FailureDomain domain) {
-        boolean isDrained = drained.contains(domain);
+    public ImmutableList<EndpointEntry> inDomain(FailureDomain domain) {
+        boolean isDrained = setDrainedDomains.contains(domain);
         return entries.values().stream()
                 .filter(entry -> isIn(domain, entry))
                 .map(entry -> isDrained ? entry.asDraining() : entry)
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/shard/SteadyLists.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/shard/EndpointListStability.java
@@ -15,7 +15,7 @@
  * has read all endpoints on its list has then not read all that there are, and a job that runs on one that is missing
  * looks to it like one that does not run.
  */
-final class SteadyLists {
+final class EndpointListStability {
     /**
      * For how long nothing may come or go, in milliseconds. Each endpoint writes its entry every 1.5 s, so of several
      * that come back two follow each other by less; the rest is for reading the list every 0.9 s. More keeps nodes that
@@ -27,7 +27,7 @@
     private final Map<FailureDomain, ImmutableSet<EndpointId>> listed = new HashMap<>();
     private final Map<FailureDomain, Long> changedAtMillis = new HashMap<>();
 
-    SteadyLists(EndpointList endpoints) {
+    EndpointListStability(EndpointList endpoints) {
         this.endpoints = endpoints;
     }
 
@@ -35,18 +35,18 @@
     void update(ImmutableSet<FailureDomain> shards, long nowMillis) {
         for (FailureDomain shard : shards) {
             ImmutableSet<EndpointId> now =
-                    endpoints.of(shard).stream().map(EndpointEntry::id).collect(ImmutableSet.toImmutableSet());
+                    endpoints.inDomain(shard).stream().map(EndpointEntry::id).collect(ImmutableSet.toImmutableSet());
             if (!now.equals(listed.put(shard, now))) {
                 changedAtMillis.put(shard, nowMillis);
             }
         }
     }
 
-    boolean isSteady(FailureDomain shard, long nowMillis) {
+    boolean isStable(FailureDomain shard, long nowMillis) {
         Long changed = changedAtMillis.get(shard);
         return changed != null
                 && nowMillis - changed >= STEADY_MILLIS
                 && !listed.get(shard).isEmpty()
-                && endpoints.storeReadableFor(STEADY_MILLIS, nowMillis);
+                && endpoints.isStoreReadableFor(STEADY_MILLIS, nowMillis);
     }
 }
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/shard/Heartbeats.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/shard/Heartbeats.java
@@ -30,7 +30,7 @@
     private final ShardPools pools;
     private final FailureDomain ownDomain;
     private boolean holding;
-    private boolean withoutHolder;
+    private boolean isWithoutHolder;
     private long withoutHolderSinceMillis;
     private long closeSentAtMillis = Long.MIN_VALUE / 2;
     private long neighboursSentAtMillis = Long.MIN_VALUE / 2;
@@ -48,8 +48,8 @@
     }
 
     /** Returns the last status of every reachable neighbour. */
-    public ImmutableList<NodeStatus> presentNeighbours() {
-        return peers.present().stream()
+    public ImmutableList<NodeStatus> reachableNeighbours() {
+        return peers.reachable().stream()
                 .filter(peer -> neighbours().contains(peer.domain()))
                 .collect(ImmutableList.toImmutableList());
     }
@@ -60,63 +60,63 @@
      * @return whether peers have to be told at once, because this node has just begun to miss a holder
      */
     public boolean review(Set<FailureDomain> held, long nowMillis) {
-        boolean withoutBefore = withoutHolder;
+        boolean withoutBefore = isWithoutHolder;
         holding = !held.isEmpty();
-        withoutHolder = neighbours().stream()
+        isWithoutHolder = neighbours().stream()
                 .anyMatch(shard -> !held.contains(shard) && peers.holder(shard).isEmpty());
-        if (withoutHolder && !withoutBefore) {
+        if (isWithoutHolder && !withoutBefore) {
             withoutHolderSinceMillis = nowMillis;
         }
-        peers.expectFrom(neighbours(), holding, holding || withoutHolder, nowMillis);
-        return withoutHolder && !withoutBefore;
+        peers.expectStatusesFrom(neighbours(), holding, holding || isWithoutHolder, nowMillis);
+        return isWithoutHolder && !withoutBefore;
     }
 
     /** Returns whether this node misses the holder of a shard of its pool. */
-    public boolean withoutHolder() {
-        return withoutHolder;
+    public boolean isWithoutHolder() {
+        return isWithoutHolder;
     }
 
     /** Returns whether a shard has lately lost its holder and should have the next one within moments. */
-    public boolean holderExpected(long nowMillis) {
-        return withoutHolder && nowMillis - withoutHolderSinceMillis < TAKEOVER_MILLIS;
+    public boolean isHolderExpected(long nowMillis) {
+        return isWithoutHolder && nowMillis - withoutHolderSinceMillis < TAKEOVER_MILLIS;
     }
 
     /** Returns who is due to hear this node's status now, noted as sent; whoever calls this tells them. */
-    public Audience due(long nowMillis) {
-        long period = holding || withoutHolder ? PeerTable.STATUS_PERIOD_MILLIS : PeerTable.DISTANT_PERIOD_MILLIS;
+    public Audience takeDueAudience(long nowMillis) {
+        long period = holding || isWithoutHolder ? PeerTable.STATUS_PERIOD_MILLIS : PeerTable.DISTANT_PERIOD_MILLIS;
         if (nowMillis - neighboursSentAtMillis >= period) {
-            Audience audience = audience();
-            sent(audience, nowMillis);
+            Audience audience = changeAudience();
+            recordSent(audience, nowMillis);
             return audience;
         }
         if (nowMillis - closeSentAtMillis >= PeerTable.STATUS_PERIOD_MILLIS) {
-            sent(Audience.CLOSE, nowMillis);
-            return Audience.CLOSE;
+            recordSent(Audience.FREQUENT, nowMillis);
+            return Audience.FREQUENT;
         }
         return Audience.NOBODY;
     }
 
     /** Returns who has to hear of a change of this node's status. */
-    public Audience audience() {
+    public Audience changeAudience() {
         return holding ? Audience.ALL : Audience.NEIGHBOURS;
     }
 
     /** Notes who was sent the status. */
-    public void sent(Audience audience, long nowMillis) {
+    public void recordSent(Audience audience, long nowMillis) {
         closeSentAtMillis = nowMillis;
-        if (audience != Audience.CLOSE) {
+        if (audience != Audience.FREQUENT) {
             neighboursSentAtMillis = nowMillis;
         }
     }
 
     /** Returns the peers that need to hear this node often: holders, and nodes that miss one. */
-    public ImmutableList<NodeId> close() {
-        return closeOutside(ImmutableSet.of());
+    public ImmutableList<NodeId> frequentRecipients() {
+        return frequentRecipientsOutside(ImmutableSet.of());
     }
 
     /** Returns the peers that need to hear this node often and do not stand in these failure domains. */
-    public ImmutableList<NodeId> closeOutside(ImmutableSet<FailureDomain> domains) {
-        return peers.present().stream()
+    public ImmutableList<NodeId> frequentRecipientsOutside(ImmutableSet<FailureDomain> domains) {
+        return peers.reachable().stream()
                 .filter(peer -> !peer.shards().isEmpty() || peer.withoutHolder())
                 .filter(peer -> !domains.contains(peer.domain()))
                 .map(NodeStatus::node)
@@ -128,7 +128,7 @@
         /** Nobody yet. */
         NOBODY,
         /** Those that need to hear this node often. */
-        CLOSE,
+        FREQUENT,
         /** Those, and every node of the own pool. */
         NEIGHBOURS,
         /** Every node that was ever known, since it may be back. */
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/shard/HolderElection.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/shard/HolderElection.java
@@ -70,7 +70,7 @@
     private final CandidateRanking ranking;
     private final PeerTable peers;
     private final ShardPools pools;
-    private final Map<FailureDomain, FencingToken> held = new HashMap<>();
+    private final Map<FailureDomain, FencingToken> heldToken = new HashMap<>();
     private final Map<FailureDomain, Long> lastTerm = new HashMap<>();
     private final Map<FailureDomain, Long> backoffUntilMillis = new HashMap<>();
     private final Map<FailureDomain, Long> withoutHolderSince = new HashMap<>();
@@ -87,16 +87,16 @@
         this.ownIp = ownIp;
         this.peers = peers;
         this.pools = pools;
-        this.ranking = new CandidateRanking(own, ownDomain, ownMilliCores, held.keySet(), peers, pools);
+        this.ranking = new CandidateRanking(own, ownDomain, ownMilliCores, heldToken.keySet(), peers, pools);
     }
 
     /** Returns the token under which this node holds the shard, if it does. */
-    public Optional<FencingToken> held(FailureDomain shard) {
-        return Optional.ofNullable(held.get(shard));
+    public Optional<FencingToken> heldToken(FailureDomain shard) {
+        return Optional.ofNullable(heldToken.get(shard));
     }
 
     /** Returns whether the shard is that of this node's own failure domain. */
-    public boolean isHome(FailureDomain shard) {
+    public boolean isOwnDomain(FailureDomain shard) {
         return ownDomain.equals(shard);
     }
 
@@ -106,7 +106,7 @@
      * @param nowMillis the steady clock
      */
     public boolean shouldClaim(FailureDomain shard, long nowMillis) {
-        if (held.containsKey(shard)) {
+        if (heldToken.containsKey(shard)) {
             return false;
         }
         if (peers.holder(shard).isPresent()) {
@@ -117,7 +117,7 @@
         return nowMillis - since >= claimDelayMillis(shard)
                 && nowMillis >= backoffUntilMillis.getOrDefault(shard, Long.MIN_VALUE)
                 && isEligibleCandidate(shard)
-                && ranking.isFirst(shard);
+                && ranking.isHighestRanked(shard);
     }
 
     /**
@@ -128,12 +128,12 @@
      * to go to, and the node goes on serving its own clients.
      */
     private long claimDelayMillis(FailureDomain shard) {
-        boolean alone = isHome(shard) && !peers.wasLastLostIn(shard) && !homeNodePresent(shard);
-        boolean unconfirmed = pools.poolOf(shard).size() > 1 && peers.isSilenceUnconfirmed();
+        boolean alone = isOwnDomain(shard) && !peers.hasLastSilentPeerIn(shard) && !homeNodePresent(shard);
+        boolean unconfirmed = pools.poolOf(shard).size() > 1 && peers.isHolderLossUnconfirmed();
         if ((peers.isPartitioned() || unconfirmed) && !alone) {
             return ISOLATED_CLAIM_MILLIS;
         }
-        boolean certain = isHome(shard) || pools.poolOf(shard).contains(ownDomain) && homeNodePresent(shard);
+        boolean certain = isOwnDomain(shard) || pools.poolOf(shard).contains(ownDomain) && homeNodePresent(shard);
         return certain ? 0 : FOREIGN_CLAIM_MILLIS;
     }
 
@@ -145,7 +145,7 @@
      */
     private boolean isEligibleCandidate(FailureDomain shard) {
         return pools.poolOf(shard).contains(ownDomain)
-                || !held.isEmpty()
+                || !heldToken.isEmpty()
                 || peers.holders().isEmpty();
     }
 
@@ -155,7 +155,7 @@
      * @param nowMillis the steady clock
      */
     public boolean shouldResign(FailureDomain shard, long nowMillis) {
-        FencingToken token = held.get(shard);
+        FencingToken token = heldToken.get(shard);
         if (token == null) {
             return false;
         }
@@ -176,8 +176,8 @@
         if (other.isEmpty()) {
             return false;
         }
-        boolean otherIsHome = peers.standsIn(other.get().node(), shard);
-        if (otherIsHome != isHome(shard)) {
+        boolean otherIsHome = peers.isInDomain(other.get().node(), shard);
+        if (otherIsHome != isOwnDomain(shard)) {
             return otherIsHome;
         }
         return other.get().held().token().compareTo(token) > 0;
@@ -185,8 +185,8 @@
 
     /** Returns whether the pool would be better held by a node that has been there for a while. */
     private boolean yieldsToCandidate(ImmutableSet<FailureDomain> pool, long sinceMillis) {
-        for (NodeStatus peer : peers.presentSince(sinceMillis)) {
-            if (pool.contains(peer.domain()) && !peer.leaving() && ranking.yieldsTo(peer, pool)) {
+        for (NodeStatus peer : peers.reachableSince(sinceMillis)) {
+            if (pool.contains(peer.domain()) && !peer.leaving() && ranking.shouldYieldTo(peer, pool)) {
                 return true;
             }
         }
@@ -199,8 +199,8 @@
      * <p>Guards against taking the endpoints of a domain that is cut off and goes on by itself: the orders of the node
      * outside would arrive as the cut heals, and stop all that runs there.
      */
-    public void unreachable(FailureDomain shard, long nowMillis) {
-        held.remove(shard);
+    public void resignUnreachable(FailureDomain shard, long nowMillis) {
+        heldToken.remove(shard);
         backoffUntilMillis.put(shard, nowMillis + FENCED_PAUSE_MILLIS);
     }
 
@@ -213,14 +213,14 @@
         long known = Math.max(peers.highestTerm(shard), lastTerm.getOrDefault(shard, 0L));
         long term = Math.max(known + 1, wallMillis / TERM_UNIT_MILLIS % Integer.MAX_VALUE);
         FencingToken token = FencingToken.of(term, ownIp);
-        held.put(shard, token);
+        heldToken.put(shard, token);
         lastTerm.put(shard, term);
         return token;
     }
 
     /** Releases the shard. */
     public void resign(FailureDomain shard) {
-        held.remove(shard);
+        heldToken.remove(shard);
     }
 
     /**
@@ -231,25 +231,25 @@
      * #FENCED_PAUSE_MILLIS} ms it backs off, since the other is a living node that it does not reach; they would take
      * the shard from each other some twenty times a second, and nothing would be served.
      */
-    public void fenced(FailureDomain shard, long nowMillis) {
-        held.remove(shard);
+    public void recordFenced(FailureDomain shard, long nowMillis) {
+        heldToken.remove(shard);
         lastTerm.merge(shard, UNKNOWN_TERM_SKIP, Long::sum);
         Long before = fencedAt.put(shard, nowMillis);
         boolean again = before != null && nowMillis - before < FENCED_PAUSE_MILLIS;
-        if (!again && peers.holder(shard).isEmpty() && ranking.isFirst(shard) && othersPresent()) {
+        if (!again && peers.holder(shard).isEmpty() && ranking.isHighestRanked(shard) && othersPresent()) {
             return;
         }
         backoffUntilMillis.put(shard, nowMillis + FENCED_PAUSE_MILLIS);
     }
 
     private boolean othersPresent() {
-        return !peers.present().isEmpty();
+        return !peers.reachable().isEmpty();
     }
 
     /** Returns whether this node would be the next holder of the shard if the present one were lost. */
     public boolean isSuccessor(FailureDomain shard) {
         int holders = peers.holder(shard).isPresent() ? 1 : 0;
-        return ranking.higherRanked(shard) <= holders;
+        return ranking.higherRankedCount(shard) <= holders;
     }
 
     private boolean homeNodePresent(FailureDomain shard) {
@@ -257,7 +257,7 @@
     }
 
     private boolean anyPresentIn(ImmutableSet<FailureDomain> domains) {
-        for (NodeStatus peer : peers.present()) {
+        for (NodeStatus peer : peers.reachable()) {
             if (domains.contains(peer.domain()) && !peer.leaving()) {
                 return true;
             }
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/shard/LastStatus.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/shard/LastStatus.java
@@ -9,14 +9,15 @@
  * The last status of one peer.
  *
  * @param status the status
- * @param atMillis when it was received, on the steady clock
- * @param sinceMillis since when the peer has been reachable without a break, on the steady clock
- * @param present whether the peer is reachable
+ * @param receivedAtMillis when it was received, on the steady clock
+ * @param reachableSinceMillis since when the peer has been reachable without a break, on the steady clock
+ * @param reachable whether the peer is reachable
  * @param fellSilent whether the peer was lost by a missing status, and not by the end of its connections
  */
-record LastStatus(NodeStatus status, long atMillis, long sinceMillis, boolean present, boolean fellSilent) {
-    LastStatus gone(boolean silent) {
-        return new LastStatus(status, atMillis, sinceMillis, false, silent);
+record LastStatus(
+        NodeStatus status, long receivedAtMillis, long reachableSinceMillis, boolean reachable, boolean fellSilent) {
+    LastStatus asLost(boolean silent) {
+        return new LastStatus(status, receivedAtMillis, reachableSinceMillis, false, silent);
     }
 
     Optional<HeldShard> held(FailureDomain shard) {
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/shard/LatestStarts.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/shard/LatestIncarnations.java
@@ -10,7 +10,7 @@
  *
  * <p>Guards against an entry of an earlier incarnation that is read after the entry of a later one was removed.
  */
-final class LatestStarts {
+final class LatestIncarnations {
     /** About three times the endpoints of the largest region; the least recently accessed entry is dropped. */
     private static final int MAX_ENDPOINTS = 8_192;
 
@@ -25,13 +25,13 @@
     }
 
     /** Returns whether a later incarnation is known. */
-    boolean isOver(EndpointIncarnation incarnation) {
+    boolean isSuperseded(EndpointIncarnation incarnation) {
         EndpointIncarnation known = latest.get(incarnation.id());
         return known != null && known.isLaterThan(incarnation);
     }
 
     /** Returns whether a start of the endpoint is known and this incarnation has none. */
-    boolean lacksStart(EndpointIncarnation incarnation) {
+    boolean lacksKnownStart(EndpointIncarnation incarnation) {
         return !incarnation.hasStart() && latest.containsKey(incarnation.id());
     }
 }
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/shard/PeerTable.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/shard/PeerTable.java
@@ -63,35 +63,35 @@
     public PeerTable() {}
 
     /** Records a status; returns whether the peer was not there before. */
-    public boolean received(NodeStatus status, long nowMillis) {
+    public boolean recordStatus(NodeStatus status, long nowMillis) {
         LastStatus before = peers.get(status.node());
-        boolean joined = before == null || !before.present();
+        boolean joined = before == null || !before.reachable();
         holders = Optional.empty();
-        status.shards().forEach(held -> claimed(held.domain(), held.token()));
+        status.shards().forEach(held -> recordClaim(held.domain(), held.token()));
         peers.put(
                 status.node(),
-                new LastStatus(status, nowMillis, joined ? nowMillis : before.sinceMillis(), true, false));
+                new LastStatus(status, nowMillis, joined ? nowMillis : before.reachableSinceMillis(), true, false));
         return joined;
     }
 
     /** Notes that a node, a peer or this one, has claimed a shard under a token. */
-    public void claimed(FailureDomain shard, FencingToken token) {
+    public void recordClaim(FailureDomain shard, FencingToken token) {
         highestTokens.merge(shard, token, (first, second) -> first.compareTo(second) >= 0 ? first : second);
     }
 
     /** Returns whether no claim of the shard under a higher token is known. */
-    public boolean isHighest(FailureDomain shard, FencingToken token) {
+    public boolean isHighestToken(FailureDomain shard, FencingToken token) {
         FencingToken highest = highestTokens.get(shard);
         return highest == null || token.compareTo(highest) >= 0;
     }
 
     /** Notes that the last connection with the peer broke; returns whether it was there before. */
-    public boolean lost(NodeId peer) {
+    public boolean recordConnectionLost(NodeId peer) {
         LastStatus known = peers.get(peer);
-        if (known == null || !known.present()) {
+        if (known == null || !known.reachable()) {
             return false;
         }
-        peers.put(peer, known.gone(false));
+        peers.put(peer, known.asLost(false));
         holders = Optional.empty();
         return true;
     }
@@ -106,7 +106,7 @@
      * @param all whether all other nodes do too, as to a holder
      * @param often whether those that speak should do so often
      */
-    void expectFrom(ImmutableSet<FailureDomain> domains, boolean all, boolean often, long nowMillis) {
+    void expectStatusesFrom(ImmutableSet<FailureDomain> domains, boolean all, boolean often, long nowMillis) {
         if (often && !neighboursSpeakOften || all && !allSpeak) {
             oftenSinceMillis = nowMillis;
         }
@@ -119,8 +119,8 @@
     public ImmutableList<NodeId> expire(long nowMillis) {
         ImmutableList.Builder<NodeId> silent = ImmutableList.builder();
         for (LastStatus last : ImmutableList.copyOf(peers.values())) {
-            if (last.present() && silent(last, nowMillis)) {
-                peers.put(last.status().node(), last.gone(true));
+            if (last.reachable() && silent(last, nowMillis)) {
+                peers.put(last.status().node(), last.asLost(true));
                 holders = Optional.empty();
                 if (shouldSpeak(last.status())) {
                     silent.add(last.status().node());
@@ -137,7 +137,7 @@
      * on without this one. Peers whose connections ended are not counted; a process that is killed shows so.
      */
     public boolean isPartitioned() {
-        return present().isEmpty() && lostLast(lost -> true) >= SEVERAL;
+        return reachable().isEmpty() && lostLast(lost -> true) >= SEVERAL;
     }
 
     /**
@@ -146,17 +146,17 @@
      * <p>A node that is partitioned misses holders first, since these speak most often. Peers that miss the holder too
      * speak at once, so their word shows that the holder is gone.
      */
-    public boolean isSilenceUnconfirmed() {
+    public boolean isHolderLossUnconfirmed() {
         OptionalLong holderLastHeard = lastHeardMillis(
                 last -> last.fellSilent() && !last.status().shards().isEmpty());
-        OptionalLong peerLastHeard = lastHeardMillis(LastStatus::present);
+        OptionalLong peerLastHeard = lastHeardMillis(LastStatus::reachable);
         return holderLastHeard.isPresent()
                 && peerLastHeard.isPresent()
                 && peerLastHeard.getAsLong() <= holderLastHeard.getAsLong() + CONFIRMATION_MILLIS;
     }
 
     /** Returns whether a node of the failure domain is among those that fell silent last, at about the same moment. */
-    public boolean wasLastLostIn(FailureDomain domain) {
+    public boolean hasLastSilentPeerIn(FailureDomain domain) {
         return lostLast(lost -> lost.status().domain().equals(domain)) > 0;
     }
 
@@ -164,7 +164,8 @@
     private long lostLast(Predicate<LastStatus> wanted) {
         OptionalLong lastReceived = lastHeardMillis(LastStatus::fellSilent);
         return peers.values().stream()
-                .filter(last -> last.fellSilent() && last.atMillis() >= lastReceived.orElseThrow() - AT_ONCE_MILLIS)
+                .filter(last ->
+                        last.fellSilent() && last.receivedAtMillis() >= lastReceived.orElseThrow() - AT_ONCE_MILLIS)
                 .filter(wanted)
                 .count();
     }
@@ -173,24 +174,24 @@
     private OptionalLong lastHeardMillis(Predicate<LastStatus> wanted) {
         return peers.values().stream()
                 .filter(wanted)
-                .mapToLong(LastStatus::atMillis)
+                .mapToLong(LastStatus::receivedAtMillis)
                 .max();
     }
 
     /** Returns when the peer's last status came, on the steady clock; empty if there is none. */
-    public OptionalLong statusAtMillis(NodeId peer) {
+    public OptionalLong lastStatusMillis(NodeId peer) {
         LastStatus last = peers.get(peer);
-        return last == null ? OptionalLong.empty() : OptionalLong.of(last.atMillis());
+        return last == null ? OptionalLong.empty() : OptionalLong.of(last.receivedAtMillis());
     }
 
     /** Returns the last status of every peer that is there. */
-    public ImmutableList<NodeStatus> present() {
+    public ImmutableList<NodeStatus> reachable() {
         return statuses(last -> true);
     }
 
     /** Returns the last status of every peer that has been there since this time or longer, on the steady clock. */
-    public ImmutableList<NodeStatus> presentSince(long sinceMillis) {
-        return statuses(last -> last.sinceMillis() <= sinceMillis);
+    public ImmutableList<NodeStatus> reachableSince(long sinceMillis) {
+        return statuses(last -> last.reachableSinceMillis() <= sinceMillis);
     }
 
     /** Returns the highest term under which any peer said that it held the shard. */
@@ -224,7 +225,7 @@
 
     private ImmutableList<NodeStatus> findHolders() {
         ImmutableList.Builder<NodeStatus> holders = ImmutableList.builder();
-        for (NodeStatus status : present()) {
+        for (NodeStatus status : reachable()) {
             ImmutableList<HeldShard> held = status.shards().stream()
                     .filter(shard -> isHolder(status.node(), shard.domain()))
                     .collect(ImmutableList.toImmutableList());
@@ -242,13 +243,13 @@
     private Optional<ShardHolder> highest(FailureDomain shard, boolean home) {
         Optional<ShardHolder> best = Optional.empty();
         for (LastStatus last : peers.values()) {
-            boolean mayHold = last.present() && !last.status().shards().isEmpty();
+            boolean mayHold = last.reachable() && !last.status().shards().isEmpty();
             if (!mayHold || last.status().domain().equals(shard) != home) {
                 continue;
             }
             Optional<HeldShard> held = last.held(shard);
             if (held.isPresent()
-                    && best.filter(known -> known.beats(held.get())).isEmpty()) {
+                    && best.filter(known -> known.outranks(held.get())).isEmpty()) {
                 best = Optional.of(new ShardHolder(last.status().node(), held.get()));
             }
         }
@@ -256,19 +257,19 @@
     }
 
     /** Returns whether the peer, by its last status, stands in the failure domain. */
-    public boolean standsIn(NodeId peer, FailureDomain domain) {
+    public boolean isInDomain(NodeId peer, FailureDomain domain) {
         LastStatus last = peers.get(peer);
         return last != null && last.status().domain().equals(domain);
     }
 
     private boolean silent(LastStatus last, long nowMillis) {
         if (!last.status().shards().isEmpty()) {
-            return nowMillis - last.atMillis() > SILENCE_MILLIS;
+            return nowMillis - last.receivedAtMillis() > SILENCE_MILLIS;
         }
         if (neighboursSpeakOften && shouldSpeak(last.status())) {
-            return nowMillis - Math.max(last.atMillis(), oftenSinceMillis) > SILENCE_MILLIS;
+            return nowMillis - Math.max(last.receivedAtMillis(), oftenSinceMillis) > SILENCE_MILLIS;
         }
-        return nowMillis - last.atMillis() > DISTANT_SILENCE_MILLIS;
+        return nowMillis - last.receivedAtMillis() > DISTANT_SILENCE_MILLIS;
     }
 
     /** Returns whether the peer should speak to this node, so that its silence means something. */
@@ -279,7 +280,7 @@
     private ImmutableList<NodeStatus> statuses(Predicate<LastStatus> wanted) {
         ImmutableList.Builder<NodeStatus> statuses = ImmutableList.builder();
         for (LastStatus last : peers.values()) {
-            if (last.present() && wanted.test(last)) {
+            if (last.reachable() && wanted.test(last)) {
                 statuses.add(last.status());
             }
         }
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/shard/ShardHolder.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/shard/ShardHolder.java
@@ -18,7 +18,7 @@
         checkNotNull(held, "held");
     }
 
-    boolean beats(HeldShard other) {
+    boolean outranks(HeldShard other) {
         return held.token().compareTo(other.token()) > 0;
     }
 }
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/shard/ShardOwnership.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/shard/ShardOwnership.java
@@ -39,8 +39,8 @@
     private final EndpointOrders orders;
     private final Timers timers;
     private final LongSupplier wallMillis;
-    private final ShardEvents events;
-    private final SteadyLists steadyLists;
+    private final ShardOwnershipListener events;
+    private final EndpointListStability steadyLists;
     private final Relay relay;
     private final RunTimes runTimes = new RunTimes();
     private final Map<FailureDomain, Long> claimedAtMillis = new HashMap<>();
@@ -62,7 +62,7 @@
             EndpointOrders orders,
             Timers timers,
             LongSupplier wallMillis,
-            ShardEvents events) {
+            ShardOwnershipListener events) {
         this.pools = checkNotNull(pools, "pools");
         this.election = checkNotNull(election, "election");
         this.endpoints = checkNotNull(endpoints, "endpoints");
@@ -72,7 +72,7 @@
         this.wallMillis = checkNotNull(wallMillis, "wallMillis");
         this.events = checkNotNull(events, "events");
         this.relay = new Relay(events);
-        this.steadyLists = new SteadyLists(endpoints);
+        this.steadyLists = new EndpointListStability(endpoints);
     }
 
     /** Claims what has no holder and releases what another should hold; returns whether anything changed. */
@@ -85,7 +85,7 @@
                 changed = true;
             } else if (isUnreachable(shard)) {
                 resign(shard);
-                election.unreachable(shard, timers.nowMillis());
+                election.resignUnreachable(shard, timers.nowMillis());
                 changed = true;
             } else if (election.shouldClaim(shard, timers.nowMillis()) && listUsable()) {
                 claim(shard);
@@ -121,8 +121,8 @@
      * those that departed. What departs later was read since the claim: nothing of an earlier holder runs there.
      */
     private ImmutableList<EndpointEntry> mayRun(FailureDomain shard) {
-        boolean isNew = timers.nowMillis() - claimedAtMillis.get(shard) < DepartedEndpoints.DEPARTED_MILLIS;
-        return isNew ? endpoints.withDeparted(shard) : endpoints.of(shard);
+        boolean isNew = timers.nowMillis() - claimedAtMillis.get(shard) < DepartedEndpoints.RETENTION_MILLIS;
+        return isNew ? endpoints.inDomainWithDeparted(shard) : endpoints.inDomain(shard);
     }
 
     /** Notes that a node was heard. */
@@ -146,7 +146,7 @@
     }
 
     /** Returns how fast the endpoints held here are. */
-    public SpeedSummary speeds() {
+    public SpeedSummary speedSummary() {
         return placer.map(Placer::speeds).orElse(SpeedSummary.NONE);
     }
 
@@ -189,7 +189,7 @@
     }
 
     private boolean isUnreachable(FailureDomain shard) {
-        return !election.isHome(shard)
+        return !election.isOwnDomain(shard)
                 && placer.filter(current -> current.isUnreachable(shard)).isPresent();
     }
 
@@ -201,7 +201,7 @@
         claimedAtMillis.put(shard, timers.nowMillis());
         placer.get().open(shard, token, mayRun(shard));
         heldChanged();
-        events.claimed(shard, token, endpoints.of(shard).size());
+        events.claimed(shard, token, endpoints.inDomain(shard).size());
     }
 
     /**
@@ -210,8 +210,8 @@
      * <p>That one may have read of an endpoint which has joined since this node's last reading before the claim.
      */
     private boolean isWhole(FailureDomain shard) {
-        return steadyLists.isSteady(shard, timers.nowMillis())
-                && endpoints.isDepartureKnown(timers.nowMillis())
+        return steadyLists.isStable(shard, timers.nowMillis())
+                && endpoints.areDeparturesKnown(timers.nowMillis())
                 && endpoints.isReadSince(claimedAtMillis.getOrDefault(shard, Long.MAX_VALUE));
     }
 
@@ -235,7 +235,7 @@
 
     /** Passes on what the placer says. */
     private final class Relay extends ForwardingPlacementObserver implements PlacerListener {
-        Relay(ShardEvents events) {
+        Relay(ShardOwnershipListener events) {
             super(events);
         }
 
@@ -247,7 +247,7 @@
         @Override
         public void fenced(FailureDomain shard, FencingToken token) {
             heldChanged();
-            election.fenced(shard, timers.nowMillis());
+            election.recordFenced(shard, timers.nowMillis());
             if (heldShards().isEmpty()) {
                 placer = Optional.empty();
             }
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/shard/ShardEvents.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/shard/ShardOwnershipListener.java
@@ -5,7 +5,7 @@
 import org.tarragonarch.model.task.Verdict;
 
 /** Acts on what happens to the shards of a node and to the jobs placed there. */
-public interface ShardEvents extends ShardObserver {
+public interface ShardOwnershipListener extends ShardObserver {
     /**
      * The node is about to give its jobs back, because it has released its last shard.
      *
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/shard/ShardPools.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/shard/ShardPools.java
@@ -66,7 +66,7 @@
     }
 
     /** Returns whether two failure domains lie in one region, and so near each other. */
-    public boolean areNear(FailureDomain first, FailureDomain second) {
+    public boolean areInSameRegion(FailureDomain first, FailureDomain second) {
         return regions.containsKey(first) && regions.get(first).equals(regions.get(second));
     }
 
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/submission/WaitEstimates.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/submission/WaitEstimates.java
@@ -90,7 +90,8 @@
         ServiceName service = submission.service().name();
         int tasks = submission.tasks().size();
         int slots = Math.max(1, endpoints.slotsOfAllNodes(service));
-        if (tasks <= slots || !runTimes.learnt(service, submission.kind().name())) {
+        if (tasks <= slots
+                || !runTimes.hasEnoughTasks(service, submission.kind().name())) {
             return false;
         }
         return expectedNanos(submission) * tasks / slots > submission.deadlineNanos() - nowNanos;
--- a/tarragonarch-core/src/test/java/org/tarragonarch/core/cluster/CoordinatorTest.java
+++ b/tarragonarch-core/src/test/java/org/tarragonarch/core/cluster/CoordinatorTest.java
@@ -78,7 +78,7 @@
         coordinator.configured(QueueCatalog.of(1, ImmutableList.of(queue)));
         for (int i = 0; i < count; i++) {
             FailureDomain domain = i % 2 == 0 ? HOBART : LAUNCESTON;
-            endpoints.listed(new EndpointEntry(
+            endpoints.recordListed(new EndpointEntry(
                     EndpointId.of("w-" + i),
                     "board",
                     new Address("10.0.1.1", 80),
@@ -129,13 +129,13 @@
     public void testEndpointListNeed_claimed() {
         CoordinatorTest test = new CoordinatorTest();
         test.listEndpoints(MANY_ENDPOINTS);
-        test.endpoints.currentAsOf(test.timers.nowMillis());
+        test.endpoints.recordCurrentAsOf(test.timers.nowMillis());
         assertEquals(test.coordinator.endpointListNeed(), EndpointListNeed.OFTEN);
         test.timers.pass(100);
         test.coordinator.review(true);
         assertEquals(test.coordinator.heldShards(), 1);
         assertEquals(test.coordinator.endpointListNeed(), EndpointListNeed.NOW);
-        test.endpoints.currentAsOf(test.timers.nowMillis());
+        test.endpoints.recordCurrentAsOf(test.timers.nowMillis());
         assertEquals(test.coordinator.endpointListNeed(), EndpointListNeed.OFTEN);
     }
 
@@ -149,7 +149,7 @@
     }
 
     private boolean takesWork(FailureDomain domain) {
-        return endpoints.of(domain).stream().noneMatch(EndpointEntry::draining);
+        return endpoints.inDomain(domain).stream().noneMatch(EndpointEntry::draining);
     }
 
     /** Guards against a domain that is drained in the store and goes on taking work at its holder. */
--- a/tarragonarch-core/src/test/java/org/tarragonarch/core/cluster/FakeCluster.java
+++ b/tarragonarch-core/src/test/java/org/tarragonarch/core/cluster/FakeCluster.java
@@ -68,7 +68,7 @@
 
     private void list(String name, String service, FailureDomain domain) {
         Address address = new Address("10.0.1.1", 80);
-        listed.listed(new EndpointEntry(EndpointId.of(name), service, address, domain, false, CAPACITY, false));
+        listed.recordListed(new EndpointEntry(EndpointId.of(name), service, address, domain, false, CAPACITY, false));
     }
 
     /**
--- a/tarragonarch-core/src/test/java/org/tarragonarch/core/cluster/FakeNode.java
+++ b/tarragonarch-core/src/test/java/org/tarragonarch/core/cluster/FakeNode.java
@@ -64,7 +64,7 @@
 
     /** Returns whether this node has a peer in its table as reachable. */
     boolean reaches(FakeNode peer) {
-        return coordinator.peers().present().stream()
+        return coordinator.peers().reachable().stream()
                 .anyMatch(status -> status.node().equals(peer.id));
     }
 
@@ -75,7 +75,7 @@
 
     /** Notes that the last connection with a peer has closed. */
     void disconnected(NodeId peer) {
-        if (coordinator.peers().lost(peer)) {
+        if (coordinator.peers().recordConnectionLost(peer)) {
             lost(peer);
         }
     }
--- a/tarragonarch-core/src/test/java/org/tarragonarch/core/cluster/NeighbourRoomTest.java
+++ b/tarragonarch-core/src/test/java/org/tarragonarch/core/cluster/NeighbourRoomTest.java
@@ -47,7 +47,7 @@
                 .collect(ImmutableList.toImmutableList());
         NodeStatus status = new NodeStatus(
                 HOLDER, held[0], new Address("10.0.0.2", 7_000), 360, leaving, false, 1, DrainedDomains.UNREAD, shards);
-        peers.received(status, timers.nowMillis());
+        peers.recordStatus(status, timers.nowMillis());
     }
 
     private int found(long milliCores) {
--- a/tarragonarch-core/src/test/java/org/tarragonarch/core/follow/FailingStore.java
+++ b/tarragonarch-core/src/test/java/org/tarragonarch/core/follow/FailingStore.java
@@ -38,7 +38,7 @@
         /** They are taken and never answered, and those that wait here are forgotten. */
         SILENT,
         /** They are turned away at once, and those that wait here are forgotten without a word. */
-        BUSY,
+        TURNED_AWAY,
         /** Their connections are reset, also of those that wait here. */
         RESET
     }
@@ -46,8 +46,8 @@
     /** Fails from now on, or no longer. */
     void fail(Failure how) {
         failure = how;
-        if (how == Failure.SILENT || how == Failure.BUSY) {
-            forgetWaiting();
+        if (how == Failure.SILENT || how == Failure.TURNED_AWAY) {
+            dropWaitingCalls();
         } else if (how == Failure.RESET) {
             ImmutableList<Call> cut = ImmutableList.copyOf(underWay);
             underWay.clear();
@@ -56,7 +56,7 @@
     }
 
     /** Forgets the calls that wait, as happens when their connections go silent; later ones are answered. */
-    void forgetWaiting() {
+    void dropWaitingCalls() {
         underWay.clear();
     }
 
@@ -91,7 +91,7 @@
                 timers.after(ANSWER_MILLIS / 2, () -> answerIfNews(call));
                 timers.after(waitMillis + ANSWER_MILLIS / 2, () -> answer(call));
             }
-            case BUSY -> timers.after(ANSWER_MILLIS, () -> call.end(Reply.of(StoreResult.TURNED_AWAY)));
+            case TURNED_AWAY -> timers.after(ANSWER_MILLIS, () -> call.end(Reply.of(StoreResult.TURNED_AWAY)));
             case RESET -> timers.after(ANSWER_MILLIS, () -> call.end(Reply.of(StoreResult.UNKNOWN)));
             default -> {
                 // Nothing ever comes.
--- a/tarragonarch-core/src/test/java/org/tarragonarch/core/follow/StoreOutageTest.java
+++ b/tarragonarch-core/src/test/java/org/tarragonarch/core/follow/StoreOutageTest.java
@@ -31,7 +31,7 @@
 
     /** Guards against a call that a silent store swallowed and that hides changes for five seconds after it. */
     @Test
-    public void testFollow_changeRightAfterSilence() {
+    public void testFollow_changeAfterSilentOutage() {
         Outage outage = new Outage(0);
         outage.passTo(4_000);
         outage.change("version 9");
@@ -44,7 +44,7 @@
 
     /** Guards against tasks started on a leaving endpoint for 4.5 s after the return of a silent store. */
     @Test
-    public void testPeriodicFollow_changeRightAfterSilence() {
+    public void testFollow_periodicChangeAfterSilentOutage() {
         Outage outage = new Outage(PERIOD_MILLIS);
         outage.passTo(4_000);
         outage.change("an endpoint's heartbeat");
@@ -61,8 +61,8 @@
         return new Object[][] {
             {FailingStore.Failure.SILENT, 0L},
             {FailingStore.Failure.SILENT, PERIOD_MILLIS},
-            {FailingStore.Failure.BUSY, 0L},
-            {FailingStore.Failure.BUSY, PERIOD_MILLIS},
+            {FailingStore.Failure.TURNED_AWAY, 0L},
+            {FailingStore.Failure.TURNED_AWAY, PERIOD_MILLIS},
             {FailingStore.Failure.RESET, 0L},
             {FailingStore.Failure.RESET, PERIOD_MILLIS},
         };
@@ -91,7 +91,7 @@
         for (long moment = 5_000; moment < 10_000; moment += 30) {
             Outage outage = new Outage(0);
             outage.passTo(moment);
-            outage.store.forgetWaiting();
+            outage.store.dropWaitingCalls();
             outage.passTo(moment + 200);
             outage.change("news");
             outage.passTo(moment + LONG_AFTER_MILLIS);
@@ -108,7 +108,8 @@
 
         Outage(long periodMillis) {
             store.write("first");
-            FollowPace pace = periodMillis == 0 ? FollowPace.waiting(WAIT_MILLIS) : FollowPace.every(periodMillis);
+            FollowPace pace =
+                    periodMillis == 0 ? FollowPace.longPolling(WAIT_MILLIS) : FollowPace.periodic(periodMillis);
             new TableFollower(store, StoreTable.OPERATOR, timers, this, pace).start();
         }
 
@@ -138,37 +139,37 @@
         }
 
         @Override
-        public void replaced(RowPage page) {
-            changed(page);
+        public void tableReplaced(RowPage page) {
+            rowsChanged(page);
         }
 
         @Override
-        public void changed(RowPage page) {
+        public void rowsChanged(RowPage page) {
             page.rows().forEach(row -> heard.putIfAbsent(row.key(), now()));
         }
 
         @Override
-        public void current(long asOfMillis) {
+        public void currentAsOf(long asOfMillis) {
             // What was heard is all that matters here.
         }
 
         @Override
-        public void unusable(RuntimeException why) {
+        public void rowsUnusable(RuntimeException why) {
             throw new AssertionError("no row is wrong here", why);
         }
 
         @Override
-        public void lost(FailedCall call) {
+        public void storeLost(FailedCall call) {
             // What was heard is all that matters here.
         }
 
         @Override
-        public void stillLost(FailedCall call) {
+        public void storeStillLost(FailedCall call) {
             // What was heard is all that matters here.
         }
 
         @Override
-        public void regained(long awayMillis) {
+        public void storeRegained(long awayMillis) {
             // What was heard is all that matters here.
         }
     }
--- a/tarragonarch-core/src/test/java/org/tarragonarch/core/follow/TableFollowerTest.java
+++ b/tarragonarch-core/src/test/java/org/tarragonarch/core/follow/TableFollowerTest.java
@@ -41,7 +41,7 @@
 
     private void run(RowStore.Reply... replies) {
         script.addAll(List.of(replies));
-        new TableFollower(new ScriptedStore(), StoreTable.OPERATOR, timers, new Notes(), FollowPace.waiting(1_000))
+        new TableFollower(new ScriptedStore(), StoreTable.OPERATOR, timers, new Notes(), FollowPace.longPolling(1_000))
                 .start();
         timers.pass(10_000);
     }
@@ -56,18 +56,22 @@
 
     /** Guards against a node that takes a shard and reads the endpoints only after its long pause. */
     @Test
-    public void testChangePace_overdueCallIsMadeAtOnce() {
+    public void testChangePace_callOverdue() {
         TableFollowerTest test = new TableFollowerTest();
         test.script.addAll(List.of(page(5, "a"), page(6, "b"), page(7, "c")));
         TableFollower follower = new TableFollower(
-                test.new ScriptedStore(), StoreTable.ENDPOINTS, test.timers, test.new Notes(), FollowPace.every(3_600));
+                test.new ScriptedStore(),
+                StoreTable.ENDPOINTS,
+                test.timers,
+                test.new Notes(),
+                FollowPace.periodic(3_600));
         follower.start();
         test.timers.pass(1_000);
         assertEquals(test.seen, ImmutableList.of("read", "replaced [a]"));
-        follower.changePace(FollowPace.every(900));
+        follower.changePace(FollowPace.periodic(900));
         test.timers.pass(10);
         assertEquals(test.seen, ImmutableList.of("read", "replaced [a]", "follow 5", "changed [b]"));
-        follower.changePace(FollowPace.every(3_600));
+        follower.changePace(FollowPace.periodic(3_600));
         test.timers.pass(3_500);
         assertEquals(test.seen.size(), 4);
         test.timers.pass(200);
@@ -77,11 +81,15 @@
     /** The store forgets its history: what was missed is read whole, or a configuration would never be heard of. */
     /** Guards against a node that has claimed a shard and goes by a list that is up to 0.9 s old. */
     @Test
-    public void testFollowNow_duringThePause() {
+    public void testFollowNow_duringPause() {
         TableFollowerTest test = new TableFollowerTest();
         test.script.addAll(List.of(page(5, "a"), page(6, "b"), page(7, "c")));
         TableFollower follower = new TableFollower(
-                test.new ScriptedStore(), StoreTable.ENDPOINTS, test.timers, test.new Notes(), FollowPace.every(900));
+                test.new ScriptedStore(),
+                StoreTable.ENDPOINTS,
+                test.timers,
+                test.new Notes(),
+                FollowPace.periodic(900));
         follower.start();
         test.timers.pass(100);
         follower.followNow();
@@ -100,7 +108,11 @@
         test.answerAfterMillis = 50;
         test.script.addAll(List.of(page(5, "a"), page(6, "b")));
         TableFollower follower = new TableFollower(
-                test.new ScriptedStore(), StoreTable.ENDPOINTS, test.timers, test.new Notes(), FollowPace.every(900));
+                test.new ScriptedStore(),
+                StoreTable.ENDPOINTS,
+                test.timers,
+                test.new Notes(),
+                FollowPace.periodic(900));
         follower.start();
         follower.followNow();
         test.timers.pass(100);
@@ -138,7 +150,7 @@
 
     /** Guards against an answer held up on its way that is taken as valid for the moment of its arrival. */
     @Test
-    public void testCurrent_answerHeldUp() {
+    public void testCurrentAsOf_answerDelayed() {
         TableFollowerTest test = new TableFollowerTest();
         test.answerAfterMillis = 1_700;
         test.run(page(5, "a"), page(5), page(7, "b"));
@@ -147,7 +159,7 @@
 
     /** Guards against a follower that makes no further call after its listener threw. */
     @Test
-    public void testFollow_listenerBreaks() {
+    public void testFollow_listenerThrows() {
         TableFollowerTest test = new TableFollowerTest();
         test.run(page(5, "a"), page(7, BREAKING), page(8, "b"));
         assertEquals(
@@ -193,12 +205,12 @@
     /** Notes what a listener is told. */
     private final class Notes implements TableListener {
         @Override
-        public void replaced(RowPage page) {
+        public void tableReplaced(RowPage page) {
             seen.add("replaced " + page.rows().stream().map(StoreRow::key).toList());
         }
 
         @Override
-        public void changed(RowPage page) {
+        public void rowsChanged(RowPage page) {
             seen.add("changed " + page.rows().stream().map(StoreRow::key).toList());
             if (page.rows().get(0).key().equals(BREAKING)) {
                 throw new IllegalStateException("broken");
@@ -206,27 +218,27 @@
         }
 
         @Override
-        public void current(long asOfMillis) {
+        public void currentAsOf(long asOfMillis) {
             asOf.add(asOfMillis - BEGIN_MILLIS);
         }
 
         @Override
-        public void unusable(RuntimeException why) {
+        public void rowsUnusable(RuntimeException why) {
             seen.add("unusable: " + why.getMessage());
         }
 
         @Override
-        public void lost(FailedCall call) {
+        public void storeLost(FailedCall call) {
             seen.add("lost");
         }
 
         @Override
-        public void stillLost(FailedCall call) {
+        public void storeStillLost(FailedCall call) {
             seen.add("still lost after " + call.sinceAnswerMillis());
         }
 
         @Override
-        public void regained(long awayMillis) {
+        public void storeRegained(long awayMillis) {
             seen.add("regained after " + awayMillis);
         }
     }
--- a/tarragonarch-core/src/test/java/org/tarragonarch/core/membership/FakeNode.java
+++ b/tarragonarch-core/src/test/java/org/tarragonarch/core/membership/FakeNode.java
@@ -73,12 +73,12 @@
         return vm(identity.node().value(), identity.domain().value());
     }
 
-    void listed(long millis, VmRecord... vms) {
-        directory.listed(ImmutableList.copyOf(vms), millis(millis), actions::add);
+    void updateListed(long millis, VmRecord... vms) {
+        directory.updateListed(ImmutableList.copyOf(vms), millis(millis), actions::add);
     }
 
-    boolean heard(long millis, PeerReport report) {
-        return directory.heard(report, millis(millis), actions::add);
+    boolean recordReport(long millis, PeerReport report) {
+        return directory.recordReport(report, millis(millis), actions::add);
     }
 
     /** Hands in the passing of time as the node's shell does, every 10 ms. */
@@ -109,7 +109,7 @@
     }
 
     /** Returns the peers that an event was noted of, in order. */
-    ImmutableList<String> noted(NoteEvent event) {
+    ImmutableList<String> peersNoted(NoteEvent event) {
         return actions.stream()
                 .filter(Note.class::isInstance)
                 .map(Note.class::cast)
--- a/tarragonarch-core/src/test/java/org/tarragonarch/core/membership/LinkChoiceTest.java
+++ b/tarragonarch-core/src/test/java/org/tarragonarch/core/membership/LinkChoiceTest.java
@@ -21,7 +21,7 @@
     }
 
     @Test(dataProvider = "sizes")
-    public void testChoose_everyPairOfDomainsHasFourLinksEachWay(int domains, int nodes) {
+    public void testChoose_fourLinksBetweenDomains(int domains, int nodes) {
         Map<String, Integer> links = links(domains, nodes, ImmutableSet.of(), ImmutableSet.of());
         assertEquals(links.size(), domains * (domains - 1));
         links.forEach((pair, count) -> assertEquals((int) count, 4, pair));
@@ -29,7 +29,7 @@
 
     /** Guards against two domains without a link while the list still names a dead node in each. */
     @Test
-    public void testChoose_oneDeadNodeInEachDomainLeavesALink() {
+    public void testChoose_oneDeadNodePerDomain() {
         for (int dead = 0; dead < 4; dead++) {
             ImmutableSet<NodeId> gone = ImmutableSet.of(node(0, dead), node(1, 3 - dead));
             Map<String, Integer> links = links(3, 4, gone, gone);
@@ -39,7 +39,7 @@
     }
 
     @Test
-    public void testChoose_singleNodesAreLinked() {
+    public void testChoose_oneNodePerDomain() {
         Map<String, Integer> links = links(3, 1, ImmutableSet.of(), ImmutableSet.of());
         assertEquals(links.size(), 6);
     }
--- a/tarragonarch-core/src/test/java/org/tarragonarch/core/membership/ReporterTest.java
+++ b/tarragonarch-core/src/test/java/org/tarragonarch/core/membership/ReporterTest.java
@@ -26,11 +26,11 @@
     public void createNodes() {
         self = new FakeNode("hobart-1", "hobart", 5);
         other = new FakeNode("hobart-2", "hobart", 3);
-        self.listed(0, self.vm(), other.vm());
+        self.updateListed(0, self.vm(), other.vm());
     }
 
     @Test
-    public void testTimePassed_newPeerGetsAFullReportAtOnce() {
+    public void testTimePassed_newPeer() {
         self.loads.put(EndpointId.of("w-1"), 2);
         self.timePassed(0);
         SendReport sent = Iterables.getOnlyElement(self.takeSent());
@@ -40,13 +40,13 @@
     }
 
     @Test
-    public void testTimePassed_idleNodeReportsThreeTimesWithinSilence() {
+    public void testTimePassed_idleNode() {
         self.run(0, 20_000);
         assertEquals(self.takeSent().size(), 30, 1);
     }
 
     @Test
-    public void testTimePassed_busyNodeReportsAtTheInterval() {
+    public void testTimePassed_busyNode() {
         for (int second = 0; second < 20; second++) {
             for (int part = 0; part < 10; part++) {
                 self.loads.put(EndpointId.of("w-1"), part + 1);
@@ -58,7 +58,7 @@
 
     /** Guards against a wake at a time already past, for news that a round has sent meanwhile. */
     @Test
-    public void testTimePassed_roundLeavesNoLookDue() {
+    public void testTimePassed_roundAfterPostponedReport() {
         self.timePassed(0);
         self.reportNow(100);
         self.leaving = ImmutableSet.of(EndpointId.of("w-1"));
@@ -69,20 +69,20 @@
     }
 
     @Test
-    public void testTimePassed_otherDomainGetsEveryThirdRound() {
+    public void testTimePassed_peerOfOtherDomain() {
         FakeNode far = new FakeNode("devonport-1", "devonport", 3);
         FakeNode near = new FakeNode("hobart-1", "hobart", 5);
-        near.listed(0, near.vm(), far.vm());
+        near.updateListed(0, near.vm(), far.vm());
         near.run(0, 20_000);
         assertEquals(near.takeSent().size(), 10, 1);
     }
 
     /** A leaving endpoint or a new configuration is news that other domains must not wait three rounds for. */
     @Test
-    public void testReportNow_newsGoesToOtherDomainsAtOnce() {
+    public void testReportNow_peerOfOtherDomain() {
         FakeNode far = new FakeNode("devonport-1", "devonport", 3);
         FakeNode near = new FakeNode("hobart-1", "hobart", 5);
-        near.listed(0, near.vm(), far.vm());
+        near.updateListed(0, near.vm(), far.vm());
         near.timePassed(0);
         near.takeSent();
         near.leaving = ImmutableSet.of(EndpointId.of("w-1"));
@@ -92,7 +92,7 @@
 
     /** Guards against a message for each answer of a leaving endpoint instead of one for the first. */
     @Test
-    public void testReportNow_sendsOnceForOneNews() {
+    public void testReportNow_repeatedForOneChange() {
         self.timePassed(0);
         self.takeSent();
         self.leaving = ImmutableSet.of(EndpointId.of("w-1"));
@@ -103,7 +103,7 @@
     }
 
     @Test
-    public void testReportNow_newsWithinTheGapGoesAtItsEnd() {
+    public void testReportNow_changeWithinUrgentGap() {
         self.timePassed(0);
         self.reportNow(100);
         self.takeSent();
@@ -115,7 +115,7 @@
     }
 
     @Test
-    public void testTimePassed_newPhaseGoesAtOnce() {
+    public void testTimePassed_newPhase() {
         self.timePassed(0);
         self.takeSent();
         self.phase = NodePhase.FINISHING;
@@ -124,18 +124,18 @@
     }
 
     @Test
-    public void testTimePassed_restartedPeerGetsAFullReport() {
-        self.heard(0, other.report(1));
+    public void testTimePassed_restartedPeer() {
+        self.recordReport(0, other.report(1));
         self.run(0, 3_000);
         assertFalse(Iterables.getLast(self.takeSent()).report().full());
-        self.heard(3_000, new FakeNode("hobart-2", "hobart", 4).report(1));
+        self.recordReport(3_000, new FakeNode("hobart-2", "hobart", 4).report(1));
         self.run(3_010, 4_000);
         assertTrue(self.takeSent().get(0).report().full());
     }
 
     /** Random loads over 200 reports: what the peer puts together from deltas is what the node has. */
     @Test
-    public void testDeltas_addUpToTheLoads() {
+    public void testTimePassed_deltasAddUpToLoads() {
         Random random = new Random(11);
         Map<EndpointId, Integer> picture = new TreeMap<>();
         int deltas = 0;
@@ -153,7 +153,7 @@
 
     /** One report in three is lost: the picture is whole again with each full report. */
     @Test
-    public void testDeltas_lossIsMadeGoodByTheNextFullReport() {
+    public void testTimePassed_fullReportAfterLostReports() {
         Random random = new Random(12);
         Map<EndpointId, Integer> picture = new TreeMap<>();
         int fulls = 0;
@@ -175,12 +175,12 @@
 
     /** Guards against reports of 90 KB/s in a domain of 30 nodes and 110 endpoints under full load. */
     @Test
-    public void testTimePassed_manyPeersAndEndpointsStayWithinTheRate() {
+    public void testTimePassed_manyPeersAndEndpoints() {
         VmRecord[] vms = new VmRecord[31];
         for (int i = 0; i < vms.length; i++) {
             vms[i] = FakeNode.vm("hobart-" + (i + 1), "hobart");
         }
-        self.listed(0, vms);
+        self.updateListed(0, vms);
         Random random = new Random(13);
         long cost = 0;
         Map<String, Long> heardMillis = new TreeMap<>();
@@ -191,7 +191,7 @@
             }
             self.run(millis, millis + 40);
             for (SendReport sent : self.takeSent()) {
-                cost += ReportPacer.cost(sent.report().loads().size());
+                cost += ReportPacer.estimatedBytes(sent.report().loads().size());
                 long before = heardMillis.getOrDefault(sent.peer().value(), 0L);
                 assertTrue(millis - before <= 750, "silent from " + before + " to " + millis);
                 heardMillis.put(sent.peer().value(), millis);
--- a/tarragonarch-core/src/test/java/org/tarragonarch/core/runtime/RunTimeEstimatorTest.java
+++ b/tarragonarch-core/src/test/java/org/tarragonarch/core/runtime/RunTimeEstimatorTest.java
@@ -15,7 +15,7 @@
     private static final KindName KIND = KindName.of("spelling");
 
     @Test
-    public void testExpectedNanos_priorUntilSomethingIsLearnt() {
+    public void testExpectedNanos_nothingObserved() {
         RunTimeEstimator estimator = RunTimeEstimator.create();
         assertEquals(estimator.expectedNanos(SERVICE, KIND, Duration.ofMillis(200)), 200_000_000);
     }
@@ -26,7 +26,7 @@
     }
 
     @Test(dataProvider = "wrongPriors")
-    public void testExpectedNanos_declarationWrongByTenTimes(Duration declared) {
+    public void testExpectedNanos_declarationWrongByFactorTen(Duration declared) {
         // A client declares a tenth, or ten times, of what its tasks really take. Queue order and admission must not
         // follow it for more than a few tasks.
         RunTimeEstimator estimator = RunTimeEstimator.create();
@@ -38,7 +38,7 @@
     }
 
     @Test
-    public void testExpectedNanos_stragglersAndChange() {
+    public void testExpectedNanos_stragglersThenFasterTasks() {
         RunTimeEstimator estimator = RunTimeEstimator.create();
         Random random = new Random(3);
         for (int i = 0; i < 1000; i++) {
--- a/tarragonarch-core/src/test/java/org/tarragonarch/core/shard/ElectionFixture.java
+++ b/tarragonarch-core/src/test/java/org/tarragonarch/core/shard/ElectionFixture.java
@@ -29,7 +29,7 @@
                 ImmutableList.copyOf(held));
     }
 
-    static HeldShard held(FailureDomain shard, long term) {
+    static HeldShard heldShard(FailureDomain shard, long term) {
         return new HeldShard(shard, FencingToken.of(term, "10.0.0.9"), 0);
     }
 }
--- a/tarragonarch-core/src/test/java/org/tarragonarch/core/shard/SteadyListsTest.java
+++ b/tarragonarch-core/src/test/java/org/tarragonarch/core/shard/EndpointListStabilityTest.java
@@ -12,7 +12,7 @@
 import org.testng.annotations.Test;
 
 /** When a list of endpoints can be taken for whole. */
-public final class SteadyListsTest {
+public final class EndpointListStabilityTest {
     private static final FailureDomain HOBART = FailureDomain.of("hobart");
     private static final ImmutableSet<FailureDomain> SHARDS = ImmutableSet.of(HOBART);
 
@@ -23,38 +23,38 @@
 
     /** A domain was cut off for ten seconds; outside its list is empty, and then comes back one by one. */
     @Test
-    public void testIsSteady_entriesLapseAndComeBack() {
+    public void testIsStable_entriesLapseAndReturn() {
         EndpointList endpoints = new EndpointList();
-        endpoints.served(ImmutableSet.of("s"));
-        SteadyLists lists = new SteadyLists(endpoints);
-        endpoints.listed(entry("w-1"));
-        endpoints.listed(entry("w-2"));
+        endpoints.setServices(ImmutableSet.of("s"));
+        EndpointListStability lists = new EndpointListStability(endpoints);
+        endpoints.recordListed(entry("w-1"));
+        endpoints.recordListed(entry("w-2"));
         lists.update(SHARDS, 0);
-        assertFalse(lists.isSteady(HOBART, 1_900));
-        assertTrue(lists.isSteady(HOBART, 2_000));
-        endpoints.unlisted(EndpointId.of("w-1"), 10_000);
-        endpoints.unlisted(EndpointId.of("w-2"), 10_000);
+        assertFalse(lists.isStable(HOBART, 1_900));
+        assertTrue(lists.isStable(HOBART, 2_000));
+        endpoints.recordUnlisted(EndpointId.of("w-1"), 10_000);
+        endpoints.recordUnlisted(EndpointId.of("w-2"), 10_000);
         lists.update(SHARDS, 10_000);
-        assertFalse(lists.isSteady(HOBART, 20_000));
-        endpoints.listed(entry("w-1"));
+        assertFalse(lists.isStable(HOBART, 20_000));
+        endpoints.recordListed(entry("w-1"));
         lists.update(SHARDS, 20_000);
-        assertFalse(lists.isSteady(HOBART, 20_100));
-        endpoints.listed(entry("w-2"));
+        assertFalse(lists.isStable(HOBART, 20_100));
+        endpoints.recordListed(entry("w-2"));
         lists.update(SHARDS, 21_500);
-        assertTrue(lists.isSteady(HOBART, 23_500));
+        assertTrue(lists.isStable(HOBART, 23_500));
     }
 
     @Test
-    public void testIsSteady_storeIsAway() {
+    public void testIsStable_storeUnreadable() {
         EndpointList endpoints = new EndpointList();
-        endpoints.served(ImmutableSet.of("s"));
-        endpoints.listed(entry("w-1"));
-        SteadyLists lists = new SteadyLists(endpoints);
+        endpoints.setServices(ImmutableSet.of("s"));
+        endpoints.recordListed(entry("w-1"));
+        EndpointListStability lists = new EndpointListStability(endpoints);
         lists.update(SHARDS, 0);
-        endpoints.storeLost();
-        assertFalse(lists.isSteady(HOBART, 5_000));
-        endpoints.storeBack(6_000);
-        assertFalse(lists.isSteady(HOBART, 7_900));
-        assertTrue(lists.isSteady(HOBART, 8_000));
+        endpoints.recordStoreLost();
+        assertFalse(lists.isStable(HOBART, 5_000));
+        endpoints.recordStoreRegained(6_000);
+        assertFalse(lists.isStable(HOBART, 7_900));
+        assertTrue(lists.isStable(HOBART, 8_000));
     }
 }
--- a/tarragonarch-core/src/test/java/org/tarragonarch/core/shard/EndpointListTest.java
+++ b/tarragonarch-core/src/test/java/org/tarragonarch/core/shard/EndpointListTest.java
@@ -20,7 +20,7 @@
 
     private static EndpointList list() {
         EndpointList list = new EndpointList();
-        list.served(ImmutableSet.of("s"));
+        list.setServices(ImmutableSet.of("s"));
         return list;
     }
 
@@ -40,76 +40,77 @@
     }
 
     @Test
-    public void testUnlisted_calm() {
+    public void testRecordUnlisted_storeReadable() {
         EndpointList list = list();
-        list.listed(entry("w"));
-        assertTrue(list.unlisted(EndpointId.of("w"), 100));
+        list.recordListed(entry("w"));
+        assertTrue(list.recordUnlisted(EndpointId.of("w"), 100));
         assertTrue(list.isEmpty());
     }
 
     /** Guards against endpoints dropped since their entries lapsed while the store was away. */
     @Test
-    public void testUnlisted_afterOutage() {
+    public void testRecordUnlisted_afterOutage() {
         EndpointList list = list();
-        list.listed(entry("back"));
-        list.listed(entry("gone"));
-        list.storeLost();
-        list.storeBack(10_000);
-        assertFalse(list.unlisted(EndpointId.of("back"), 10_010));
-        assertFalse(list.unlisted(EndpointId.of("gone"), 10_010));
-        list.listed(entry("back"));
+        list.recordListed(entry("back"));
+        list.recordListed(entry("gone"));
+        list.recordStoreLost();
+        list.recordStoreRegained(10_000);
+        assertFalse(list.recordUnlisted(EndpointId.of("back"), 10_010));
+        assertFalse(list.recordUnlisted(EndpointId.of("gone"), 10_010));
+        list.recordListed(entry("back"));
         assertFalse(list.expire(12_000));
-        assertEquals(list.of(HOBART).size(), 2);
+        assertEquals(list.inDomain(HOBART).size(), 2);
         assertTrue(list.expire(12_600));
-        assertEquals(list.of(HOBART), ImmutableList.of(entry("back")));
+        assertEquals(list.inDomain(HOBART), ImmutableList.of(entry("back")));
     }
 
     /** Guards against a holder that does not read an endpoint which has lost its entry and runs on. */
     @Test
-    public void testWithDeparted_removedEntry() {
+    public void testInDomainWithDeparted_removedEntry() {
         EndpointList list = list();
-        list.listed(entry("w"));
-        list.unlisted(EndpointId.of("w"), 100);
-        assertEquals(list.of(HOBART), ImmutableList.of());
-        assertEquals(list.withDeparted(HOBART), ImmutableList.of(entry("w").asDraining()));
+        list.recordListed(entry("w"));
+        list.recordUnlisted(EndpointId.of("w"), 100);
+        assertEquals(list.inDomain(HOBART), ImmutableList.of());
+        assertEquals(
+                list.inDomainWithDeparted(HOBART), ImmutableList.of(entry("w").asDraining()));
         assertFalse(list.expire(15_099));
         assertTrue(list.expire(15_100));
-        assertEquals(list.withDeparted(HOBART), ImmutableList.of());
+        assertEquals(list.inDomainWithDeparted(HOBART), ImmutableList.of());
     }
 
     /** Guards against a holder that calls endpoints of a service that nobody knows. */
     @Test
-    public void testWithDeparted_unknownService() {
+    public void testInDomainWithDeparted_unknownService() {
         EndpointList list = list();
-        list.listed(entry("w", "unknown"));
-        list.unlisted(EndpointId.of("w"), 100);
-        assertEquals(list.withDeparted(HOBART), ImmutableList.of());
+        list.recordListed(entry("w", "unknown"));
+        list.recordUnlisted(EndpointId.of("w"), 100);
+        assertEquals(list.inDomainWithDeparted(HOBART), ImmutableList.of());
     }
 
     /** Guards against an endpoint that is back and gets nothing, or is held twice. */
     @Test
-    public void testWithDeparted_listedAgain() {
+    public void testInDomainWithDeparted_listedAgain() {
         EndpointList list = list();
-        list.listed(entry("w"));
-        list.unlisted(EndpointId.of("w"), 100);
-        list.listed(entry("w"));
-        assertEquals(list.withDeparted(HOBART), ImmutableList.of(entry("w")));
+        list.recordListed(entry("w"));
+        list.recordUnlisted(EndpointId.of("w"), 100);
+        list.recordListed(entry("w"));
+        assertEquals(list.inDomainWithDeparted(HOBART), ImmutableList.of(entry("w")));
     }
 
     /** Guards against jobs that wait for an endpoint which has left as it had announced. */
     @Test
-    public void testWithDeparted_announced() {
+    public void testInDomainWithDeparted_announced() {
         EndpointList list = list();
-        list.listed(entry("w").asDraining());
-        list.unlisted(EndpointId.of("w"), 100);
-        assertEquals(list.withDeparted(HOBART), ImmutableList.of());
+        list.recordListed(entry("w").asDraining());
+        list.recordUnlisted(EndpointId.of("w"), 100);
+        assertEquals(list.inDomainWithDeparted(HOBART), ImmutableList.of());
     }
 
     @Test
-    public void testListed_sameAgainIsNoChange() {
+    public void testRecordListed_sameEntryTwice() {
         EndpointList list = new EndpointList();
-        assertTrue(list.listed(entry("w")));
-        assertFalse(list.listed(entry("w")));
+        assertTrue(list.recordListed(entry("w")));
+        assertFalse(list.recordListed(entry("w")));
     }
 
     private static EndpointEntry started(long startedMillis) {
@@ -118,49 +119,49 @@
 
     /** Guards against an entry of an earlier incarnation that is read, or given by a peer, after a later one. */
     @Test
-    public void testListed_earlierIncarnation() {
+    public void testRecordListed_earlierIncarnation() {
         EndpointList list = list();
-        assertTrue(list.listed(started(2_000)));
-        assertFalse(list.listed(started(1_000)));
-        assertFalse(list.given(started(1_000)));
-        assertFalse(list.replaced(ImmutableList.of(started(1_000)), 100));
-        assertEquals(list.of(HOBART), ImmutableList.of(started(2_000)));
-        assertTrue(list.listed(started(3_000)));
-        assertEquals(list.of(HOBART), ImmutableList.of(started(3_000)));
+        assertTrue(list.recordListed(started(2_000)));
+        assertFalse(list.recordListed(started(1_000)));
+        assertFalse(list.recordFromPeer(started(1_000)));
+        assertFalse(list.replaceAll(ImmutableList.of(started(1_000)), 100));
+        assertEquals(list.inDomain(HOBART), ImmutableList.of(started(2_000)));
+        assertTrue(list.recordListed(started(3_000)));
+        assertEquals(list.inDomain(HOBART), ImmutableList.of(started(3_000)));
     }
 
     /** Guards against an entry of an earlier incarnation that is read while the later one is not listed. */
     @Test
-    public void testListed_earlierIncarnationWhileNothingIsListed() {
+    public void testRecordListed_earlierIncarnationWhileUnlisted() {
         EndpointList list = list();
-        list.listed(started(2_000));
-        list.unlisted(EndpointId.of("w"), 100);
-        assertFalse(list.listed(started(1_000)));
+        list.recordListed(started(2_000));
+        list.recordUnlisted(EndpointId.of("w"), 100);
+        assertFalse(list.recordListed(started(1_000)));
         assertTrue(list.isEmpty());
-        assertTrue(list.listed(started(2_000)));
+        assertTrue(list.recordListed(started(2_000)));
     }
 
     /** Guards against an entry by another writer, who does not know the start, that is taken for the endpoint's own. */
     @Test
-    public void testListed_withoutTheStartThatWasKnown() {
+    public void testRecordListed_withoutKnownStart() {
         EndpointList list = list();
-        list.listed(started(2_000));
-        assertTrue(list.listed(entry("w")));
+        list.recordListed(started(2_000));
+        assertTrue(list.recordListed(entry("w")));
         assertTrue(list.isEmpty());
-        assertTrue(list.listed(started(2_000)));
-        assertFalse(list.given(entry("w")));
-        assertEquals(list.of(HOBART), ImmutableList.of(started(2_000)));
+        assertTrue(list.recordListed(started(2_000)));
+        assertFalse(list.recordFromPeer(entry("w")));
+        assertEquals(list.inDomain(HOBART), ImmutableList.of(started(2_000)));
     }
 
     /** Another program's entry names a service that nobody configured; it gets no orders until somebody does. */
     @Test
-    public void testOf_serviceThatIsNotThere() {
+    public void testInDomain_unknownService() {
         EndpointList list = list();
-        list.listed(entry("w"));
-        list.listed(entry("foreign", "elsewhere"));
-        assertEquals(list.of(HOBART), ImmutableList.of(entry("w")));
-        list.served(ImmutableSet.of("s", "elsewhere"));
-        assertEquals(list.of(HOBART).size(), 2);
+        list.recordListed(entry("w"));
+        list.recordListed(entry("foreign", "elsewhere"));
+        assertEquals(list.inDomain(HOBART), ImmutableList.of(entry("w")));
+        list.setServices(ImmutableSet.of("s", "elsewhere"));
+        assertEquals(list.inDomain(HOBART).size(), 2);
     }
 
     /** Guards against tasks started on a leaving endpoint by a new holder with an old list. */
@@ -168,10 +169,10 @@
     public void testIsFresh() {
         EndpointList list = list();
         assertTrue(list.isFresh(0), "nothing else can be had");
-        list.currentAsOf(1_000);
+        list.recordCurrentAsOf(1_000);
         assertTrue(list.isFresh(2_800));
         assertFalse(list.isFresh(2_801));
-        list.storeLost();
+        list.recordStoreLost();
         assertTrue(list.isFresh(9_000));
     }
 }
--- a/tarragonarch-core/src/test/java/org/tarragonarch/core/shard/HeartbeatsTest.java
+++ b/tarragonarch-core/src/test/java/org/tarragonarch/core/shard/HeartbeatsTest.java
@@ -53,44 +53,44 @@
     }
 
     @Test
-    public void testDue_holdersOftenOthersSeldom() {
-        peers.received(holder(), 0);
-        peers.received(status(SUCCESSOR, false), 0);
+    public void testTakeDueAudience_nodeWithoutShards() {
+        peers.recordStatus(holder(), 0);
+        peers.recordStatus(status(SUCCESSOR, false), 0);
         heartbeats.review(ImmutableSet.of(), 0);
-        assertEquals(heartbeats.due(0), Audience.NEIGHBOURS);
-        assertEquals(heartbeats.due(100), Audience.NOBODY);
-        assertEquals(heartbeats.due(200), Audience.CLOSE);
-        assertEquals(heartbeats.close(), ImmutableList.of(HOLDER));
-        assertEquals(heartbeats.due(2_000), Audience.NEIGHBOURS);
+        assertEquals(heartbeats.takeDueAudience(0), Audience.NEIGHBOURS);
+        assertEquals(heartbeats.takeDueAudience(100), Audience.NOBODY);
+        assertEquals(heartbeats.takeDueAudience(200), Audience.FREQUENT);
+        assertEquals(heartbeats.frequentRecipients(), ImmutableList.of(HOLDER));
+        assertEquals(heartbeats.takeDueAudience(2_000), Audience.NEIGHBOURS);
     }
 
     @Test
-    public void testDue_holderSpeaksToAllOften() {
+    public void testTakeDueAudience_holder() {
         heartbeats.review(SHARDS, 0);
-        assertEquals(heartbeats.due(0), Audience.ALL);
-        assertEquals(heartbeats.due(200), Audience.ALL);
+        assertEquals(heartbeats.takeDueAudience(0), Audience.ALL);
+        assertEquals(heartbeats.takeDueAudience(200), Audience.ALL);
     }
 
     @Test
-    public void testClose_peerThatMissesAHolder() {
-        peers.received(status(SUCCESSOR, true), 0);
-        assertEquals(heartbeats.close(), ImmutableList.of(SUCCESSOR));
+    public void testFrequentRecipients_peerWithoutHolder() {
+        peers.recordStatus(status(SUCCESSOR, true), 0);
+        assertEquals(heartbeats.frequentRecipients(), ImmutableList.of(SUCCESSOR));
     }
 
     @Test
-    public void testExpire_nodesThatHoldNothingSpeakSeldom() {
-        peers.received(status(SUCCESSOR, false), 0);
+    public void testExpire_peerWithoutShards() {
+        peers.recordStatus(status(SUCCESSOR, false), 0);
         assertEquals(peers.expire(PeerTable.DISTANT_SILENCE_MILLIS), ImmutableList.of());
         assertEquals(peers.expire(PeerTable.DISTANT_SILENCE_MILLIS + 1), ImmutableList.of(SUCCESSOR));
     }
 
     /** Guards against a domain unserved for six seconds since the successor was lost with the holder. */
     @Test
-    public void testExpire_holderAndSuccessorAreLost() {
-        peers.received(holder(), 0);
-        peers.received(status(SUCCESSOR, false), 0);
+    public void testExpire_holderAndSuccessorLost() {
+        peers.recordStatus(holder(), 0);
+        peers.recordStatus(status(SUCCESSOR, false), 0);
         heartbeats.review(ImmutableSet.of(), 0);
-        assertFalse(heartbeats.withoutHolder());
+        assertFalse(heartbeats.isWithoutHolder());
         assertEquals(peers.expire(701), ImmutableList.of(HOLDER));
         assertTrue(heartbeats.review(ImmutableSet.of(), 701), "has to be told at once");
         assertEquals(peers.expire(1_401), ImmutableList.of());
@@ -99,46 +99,46 @@
 
     /** A node that has just become the holder has heard most peers a second ago; they are not gone for that. */
     @Test
-    public void testExpire_newHolderGivesItsPeersTime() {
-        peers.received(holder(), 0);
-        peers.received(status(SUCCESSOR, false), 0);
+    public void testExpire_newHolder() {
+        peers.recordStatus(holder(), 0);
+        peers.recordStatus(status(SUCCESSOR, false), 0);
         heartbeats.review(ImmutableSet.of(), 0);
-        peers.lost(HOLDER);
+        peers.recordConnectionLost(HOLDER);
         heartbeats.review(SHARDS, 1_900);
         assertEquals(peers.expire(2_000), ImmutableList.of());
     }
 
     /** Guards against connections to all nodes that fill the first second of each after a loss of power. */
     @Test
-    public void testDue_nodeThatMissesAHolderTellsItsPoolAlone() {
-        peers.received(status(SUCCESSOR, true), 0);
-        peers.received(holderOf(LAUNCESTON), 0);
+    public void testTakeDueAudience_nodeWithoutHolder() {
+        peers.recordStatus(status(SUCCESSOR, true), 0);
+        peers.recordStatus(holderOf(LAUNCESTON), 0);
         heartbeats.review(ImmutableSet.of(), 0);
-        assertTrue(heartbeats.withoutHolder());
-        assertEquals(heartbeats.due(0), Audience.NEIGHBOURS);
-        assertEquals(heartbeats.due(200), Audience.NEIGHBOURS);
+        assertTrue(heartbeats.isWithoutHolder());
+        assertEquals(heartbeats.takeDueAudience(0), Audience.NEIGHBOURS);
+        assertEquals(heartbeats.takeDueAudience(200), Audience.NEIGHBOURS);
         assertEquals(heartbeats.neighbours(), ImmutableSet.of(HOBART));
-        assertEquals(heartbeats.closeOutside(heartbeats.neighbours()), ImmutableList.of(OTHER_HOLDER));
+        assertEquals(heartbeats.frequentRecipientsOutside(heartbeats.neighbours()), ImmutableList.of(OTHER_HOLDER));
     }
 
     /** Another pool without a holder is no matter of this node: its next holder tells everybody. */
     @Test
-    public void testReview_onlyTheOwnPoolIsMissed() {
-        peers.received(holder(), 0);
+    public void testReview_otherPoolWithoutHolder() {
+        peers.recordStatus(holder(), 0);
         assertFalse(heartbeats.review(ImmutableSet.of(), 0));
-        assertFalse(heartbeats.withoutHolder());
+        assertFalse(heartbeats.isWithoutHolder());
     }
 
     /** A node of another pool has let go of its shard, and has no reason to speak to this one any more. */
     @Test
-    public void testExpire_nodeThatOwesNoStatusIsNotReported() {
-        peers.received(holder(), 0);
-        peers.received(holderOf(LAUNCESTON), 0);
+    public void testExpire_peerThatOwesNoStatus() {
+        peers.recordStatus(holder(), 0);
+        peers.recordStatus(holderOf(LAUNCESTON), 0);
         heartbeats.review(ImmutableSet.of(), 0);
-        peers.received(statusIn(LAUNCESTON), 100);
-        peers.received(holder(), 6_000);
+        peers.recordStatus(statusIn(LAUNCESTON), 100);
+        peers.recordStatus(holder(), 6_000);
         assertEquals(peers.expire(6_601), ImmutableList.of());
-        assertEquals(peers.present().size(), 1);
+        assertEquals(peers.reachable().size(), 1);
     }
 
     private static NodeStatus holderOf(FailureDomain domain) {
--- a/tarragonarch-core/src/test/java/org/tarragonarch/core/shard/HolderElectionTest.java
+++ b/tarragonarch-core/src/test/java/org/tarragonarch/core/shard/HolderElectionTest.java
@@ -2,7 +2,7 @@
 
 import static org.tarragonarch.core.shard.ElectionFixture.HOBART;
 import static org.tarragonarch.core.shard.ElectionFixture.LAUNCESTON;
-import static org.tarragonarch.core.shard.ElectionFixture.held;
+import static org.tarragonarch.core.shard.ElectionFixture.heldShard;
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertFalse;
 import static org.testng.Assert.assertTrue;
@@ -42,21 +42,21 @@
     @Test
     public void testShouldClaim_firstOfItsDomain() {
         PeerTable peers = new PeerTable();
-        peers.received(status("b", HOBART, false), 0);
+        peers.recordStatus(status("b", HOBART, false), 0);
         assertTrue(election("a", HOBART, peers).shouldClaim(HOBART, 0));
         assertFalse(election("c", HOBART, peers).shouldClaim(HOBART, 0));
     }
 
     @Test
-    public void testShouldClaim_leavingNodeIsPassedOver() {
+    public void testShouldClaim_leavingPeer() {
         PeerTable peers = new PeerTable();
-        peers.received(status("b", HOBART, true), 0);
+        peers.recordStatus(status("b", HOBART, true), 0);
         assertTrue(election("c", HOBART, peers).shouldClaim(HOBART, 0));
     }
 
     /** A domain is cut off and goes on by itself; nodes outside must not take its endpoints the moment they miss it. */
     @Test
-    public void testShouldClaim_otherDomainWaits() {
+    public void testShouldClaim_otherDomain() {
         PeerTable peers = new PeerTable();
         HolderElection outside = election("a", HOBART, peers);
         assertFalse(outside.shouldClaim(LAUNCESTON, 0));
@@ -65,12 +65,12 @@
     }
 
     @Test
-    public void testShouldClaim_holderDies() {
+    public void testShouldClaim_holderLost() {
         PeerTable peers = new PeerTable();
         HolderElection next = election("b", HOBART, peers);
-        peers.received(status("a", HOBART, false, held(HOBART, 7)), 0);
+        peers.recordStatus(status("a", HOBART, false, heldShard(HOBART, 7)), 0);
         assertFalse(next.shouldClaim(HOBART, 100));
-        peers.lost(NodeId.of("a"));
+        peers.recordConnectionLost(NodeId.of("a"));
         assertTrue(next.shouldClaim(HOBART, 200));
         assertEquals(next.claim(HOBART, 0).term(), 8);
     }
@@ -78,7 +78,7 @@
     @Test
     public void testExpire_silentPeer() {
         PeerTable peers = new PeerTable();
-        peers.received(status("a", HOBART, false, held(HOBART, 7)), 0);
+        peers.recordStatus(status("a", HOBART, false, heldShard(HOBART, 7)), 0);
         assertEquals(peers.expire(PeerTable.SILENCE_MILLIS), ImmutableList.of());
         assertEquals(peers.expire(PeerTable.SILENCE_MILLIS + 1), ImmutableList.of(NodeId.of("a")));
         assertTrue(peers.holder(HOBART).isEmpty());
@@ -86,29 +86,29 @@
 
     /** A node of another domain kept a shard while its own nodes were away; they take it back when they are there. */
     @Test
-    public void testShouldResign_homeNodeIsBack() {
+    public void testShouldResign_nodeOfShardsDomainReturns() {
         PeerTable peers = new PeerTable();
         HolderElection outside = election("a", HOBART, peers);
         outside.claim(LAUNCESTON, 0);
         assertFalse(outside.shouldResign(LAUNCESTON, 0));
-        peers.received(status("l", LAUNCESTON, false), 0);
+        peers.recordStatus(status("l", LAUNCESTON, false), 0);
         assertTrue(outside.shouldResign(LAUNCESTON, 0));
     }
 
     /** Two nodes that do not hear each other would take the endpoints from one another for ever. */
     @Test
-    public void testFenced_keepsAway() {
+    public void testRecordFenced_backsOff() {
         PeerTable peers = new PeerTable();
         HolderElection alone = election("a", HOBART, peers);
         alone.claim(HOBART, 0);
-        alone.fenced(HOBART, 1_000);
+        alone.recordFenced(HOBART, 1_000);
         assertFalse(alone.shouldClaim(HOBART, 3_900));
         assertTrue(alone.shouldClaim(HOBART, 4_000));
     }
 
     /** A restarted node remembers nothing; its tokens must still be above those of its earlier life. */
     @Test
-    public void testClaim_termFollowsTheTimeOfDay() {
+    public void testClaim_afterRestart() {
         HolderElection before = election("a", HOBART, new PeerTable());
         HolderElection after = election("a", HOBART, new PeerTable());
         FencingToken first = before.claim(HOBART, 1_700_000_000_000L);
@@ -118,38 +118,38 @@
 
     /** Guards against a domain's own holder that yields to a higher token from outside after a cut. */
     @Test
-    public void testShouldResign_homeHolderKeepsItsShardAfterACut() {
+    public void testShouldResign_higherTokenOfOtherDomain() {
         PeerTable peers = new PeerTable();
         HolderElection home = election("l", LAUNCESTON, peers);
         home.claim(LAUNCESTON, 0);
-        peers.received(status("a", HOBART, false, held(LAUNCESTON, 99)), 0);
+        peers.recordStatus(status("a", HOBART, false, heldShard(LAUNCESTON, 99)), 0);
         assertFalse(home.shouldResign(LAUNCESTON, 0));
     }
 
     @Test
-    public void testShouldResign_homeHolderYieldsToAnotherOfItsDomain() {
+    public void testShouldResign_higherTokenOfOwnDomain() {
         PeerTable peers = new PeerTable();
         HolderElection home = election("l", LAUNCESTON, peers);
         home.claim(LAUNCESTON, 0);
-        peers.received(status("m", LAUNCESTON, false, held(LAUNCESTON, 99)), 0);
+        peers.recordStatus(status("m", LAUNCESTON, false, heldShard(LAUNCESTON, 99)), 0);
         assertTrue(home.shouldResign(LAUNCESTON, 0));
     }
 
     @Test
-    public void testHolder_homeBeforeHigherToken() {
+    public void testHolder_ownDomainBeforeHigherToken() {
         PeerTable peers = new PeerTable();
-        peers.received(status("l", LAUNCESTON, false, held(LAUNCESTON, 3)), 0);
-        peers.received(status("a", HOBART, false, held(LAUNCESTON, 99)), 0);
+        peers.recordStatus(status("l", LAUNCESTON, false, heldShard(LAUNCESTON, 3)), 0);
+        peers.recordStatus(status("a", HOBART, false, heldShard(LAUNCESTON, 99)), 0);
         assertEquals(peers.holder(LAUNCESTON).orElseThrow().node(), NodeId.of("l"));
     }
 
     @Test
-    public void testUnreachable_keepsAway() {
+    public void testResignUnreachable_backsOff() {
         PeerTable peers = new PeerTable();
         HolderElection outside = election("a", HOBART, peers);
         assertFalse(outside.shouldClaim(LAUNCESTON, 0));
         outside.claim(LAUNCESTON, 0);
-        outside.unreachable(LAUNCESTON, 4_000);
+        outside.resignUnreachable(LAUNCESTON, 4_000);
         assertFalse(outside.shouldClaim(LAUNCESTON, 6_900));
         assertTrue(outside.shouldClaim(LAUNCESTON, 7_000));
     }
@@ -158,7 +158,7 @@
     @Test
     public void testShouldClaim_strongestOfItsDomain() {
         PeerTable peers = new PeerTable();
-        peers.received(strong("z", HOBART, false), 0);
+        peers.recordStatus(strong("z", HOBART, false), 0);
         assertFalse(election("a", HOBART, peers).shouldClaim(HOBART, 0));
         HolderElection strongest =
                 new HolderElection(NodeId.of("z"), HOBART, "10.0.0.6", STRONG, new PeerTable(), APART);
@@ -167,49 +167,49 @@
 
     /** Both large VMs were restarted, and a small one took the shard meanwhile; it hands it back once they are warm. */
     @Test
-    public void testShouldResign_muchStrongerNodeIsBack() {
+    public void testShouldResign_muchStrongerNodeReturns() {
         PeerTable peers = new PeerTable();
         HolderElection small = election("a", HOBART, peers);
         small.claim(HOBART, 0);
-        peers.received(strong("z", HOBART, false), 1_000);
-        peers.received(strong("z", HOBART, false), 2_900);
+        peers.recordStatus(strong("z", HOBART, false), 1_000);
+        peers.recordStatus(strong("z", HOBART, false), 2_900);
         assertFalse(small.shouldResign(HOBART, 2_900));
         assertTrue(small.shouldResign(HOBART, 3_000));
     }
 
     @Test
-    public void testShouldResign_strongerNodeLeavesOrIsElsewhere() {
+    public void testShouldResign_strongerNodeLeavingOrInOtherDomain() {
         PeerTable peers = new PeerTable();
         HolderElection small = election("a", HOBART, peers);
         small.claim(HOBART, 0);
-        peers.received(strong("y", LAUNCESTON, false), 0);
-        peers.received(strong("z", HOBART, true), 0);
+        peers.recordStatus(strong("y", LAUNCESTON, false), 0);
+        peers.recordStatus(strong("z", HOBART, true), 0);
         assertFalse(small.shouldResign(HOBART, 5_000));
     }
 
     /** Guards against two nodes that take a shard from each other twenty times a second. */
     @Test
-    public void testFenced_twoThatDoNotHearEachOther() {
+    public void testRecordFenced_twoHoldersUnreachableToEachOther() {
         PeerTable peers = new PeerTable();
-        peers.received(status("z", HOBART, false), 0);
+        peers.recordStatus(status("z", HOBART, false), 0);
         HolderElection one = election("a", HOBART, peers);
         one.claim(HOBART, 0);
-        one.fenced(HOBART, 1_000);
+        one.recordFenced(HOBART, 1_000);
         assertTrue(one.shouldClaim(HOBART, 1_000));
         one.claim(HOBART, 0);
-        one.fenced(HOBART, 1_050);
+        one.recordFenced(HOBART, 1_050);
         assertFalse(one.shouldClaim(HOBART, 1_100));
         assertTrue(one.shouldClaim(HOBART, 4_050));
     }
 
     /** Guards against a cut-off node that claims every shard and has most callers refused. */
     @Test
-    public void testShouldClaim_nodeThatLostAllPeersAtOnceWaits() {
+    public void testShouldClaim_allPeersSilentAtOnce() {
         PeerTable peers = new PeerTable();
         HolderElection cutOff = election("a", HOBART, peers);
-        peers.received(status("h", HOBART, false, held(HOBART, 7)), 1_000);
-        peers.received(status("l", LAUNCESTON, false, held(LAUNCESTON, 7)), 1_000);
-        peers.received(status("m", LAUNCESTON, false), 0);
+        peers.recordStatus(status("h", HOBART, false, heldShard(HOBART, 7)), 1_000);
+        peers.recordStatus(status("l", LAUNCESTON, false, heldShard(LAUNCESTON, 7)), 1_000);
+        peers.recordStatus(status("m", LAUNCESTON, false), 0);
         assertFalse(cutOff.shouldClaim(HOBART, 1_000));
         assertFalse(cutOff.shouldClaim(LAUNCESTON, 1_000));
         peers.expire(8_000);
@@ -227,23 +227,23 @@
         PeerTable peers = new PeerTable();
         HolderElection left = election("a", HOBART, peers);
         for (String name : List.of("b", "c", "d", "e")) {
-            peers.received(status(name, HOBART, false), 0);
+            peers.recordStatus(status(name, HOBART, false), 0);
         }
-        peers.received(status("h", HOBART, false, held(HOBART, 7)), 0);
+        peers.recordStatus(status("h", HOBART, false, heldShard(HOBART, 7)), 0);
         for (String name : List.of("b", "c", "d", "e", "h")) {
-            peers.lost(NodeId.of(name));
+            peers.recordConnectionLost(NodeId.of(name));
         }
         assertTrue(left.shouldClaim(HOBART, 10));
     }
 
     /** The only node of its domain is cut off with it, and its endpoints too: nobody else can serve that domain. */
     @Test
-    public void testShouldClaim_onlyNodeOfADomainThatIsCutOff() {
+    public void testShouldClaim_onlyNodeOfPartitionedDomain() {
         PeerTable peers = new PeerTable();
         HolderElection only = election("a", HOBART, peers);
-        peers.received(status("l", LAUNCESTON, false, held(LAUNCESTON, 7), held(HOBART, 7)), 0);
-        peers.received(status("m", LAUNCESTON, false), 0);
-        peers.received(status("n", LAUNCESTON, false), 0);
+        peers.recordStatus(status("l", LAUNCESTON, false, heldShard(LAUNCESTON, 7), heldShard(HOBART, 7)), 0);
+        peers.recordStatus(status("m", LAUNCESTON, false), 0);
+        peers.recordStatus(status("n", LAUNCESTON, false), 0);
         peers.expire(7_000);
         assertTrue(only.shouldClaim(HOBART, 7_000));
         assertFalse(only.shouldClaim(LAUNCESTON, 11_000));
@@ -254,9 +254,9 @@
     public void testShouldClaim_peersLostOneByOne() {
         PeerTable peers = new PeerTable();
         HolderElection last = election("a", HOBART, peers);
-        peers.received(status("h", HOBART, false, held(HOBART, 7)), 20_000);
-        peers.received(status("l", LAUNCESTON, false), 10_000);
-        peers.received(status("m", LAUNCESTON, false), 0);
+        peers.recordStatus(status("h", HOBART, false, heldShard(HOBART, 7)), 20_000);
+        peers.recordStatus(status("l", LAUNCESTON, false), 10_000);
+        peers.recordStatus(status("m", LAUNCESTON, false), 0);
         peers.expire(30_000);
         assertFalse(peers.isPartitioned());
         assertTrue(last.shouldClaim(HOBART, 30_000));
@@ -264,16 +264,16 @@
 
     /** Guards against several nodes that claim a lost domain's shard since they do not know each other. */
     @Test
-    public void testShouldClaim_foreignShardIsForHolders() {
+    public void testShouldClaim_otherPoolsShardOnlyByHolders() {
         PeerTable peers = new PeerTable();
         HolderElection outside = election("a", HOBART, peers);
-        peers.received(status("h", HOBART, false, held(HOBART, 7)), 0);
+        peers.recordStatus(status("h", HOBART, false, heldShard(HOBART, 7)), 0);
         assertFalse(outside.shouldClaim(LAUNCESTON, 0));
         assertFalse(outside.shouldClaim(LAUNCESTON, 3_000));
         PeerTable holdersPeers = new PeerTable();
         HolderElection holder = election("h", HOBART, holdersPeers);
         holder.claim(HOBART, 0);
-        holdersPeers.received(status("a", HOBART, false), 0);
+        holdersPeers.recordStatus(status("a", HOBART, false), 0);
         assertFalse(holder.shouldClaim(LAUNCESTON, 0));
         assertTrue(holder.shouldClaim(LAUNCESTON, 3_000));
     }
@@ -281,8 +281,8 @@
     @Test
     public void testIsSuccessor_firstAfterTheHolder() {
         PeerTable peers = new PeerTable();
-        peers.received(status("h", HOBART, false, held(HOBART, 7)), 0);
-        peers.received(status("c", HOBART, false), 0);
+        peers.recordStatus(status("h", HOBART, false, heldShard(HOBART, 7)), 0);
+        peers.recordStatus(status("c", HOBART, false), 0);
         assertTrue(election("b", HOBART, peers).isSuccessor(HOBART));
         assertFalse(election("d", HOBART, peers).isSuccessor(HOBART));
     }
--- a/tarragonarch-core/src/test/java/org/tarragonarch/core/shard/ListAtHandOverTest.java
+++ b/tarragonarch-core/src/test/java/org/tarragonarch/core/shard/ListAtHandOverTest.java
@@ -91,7 +91,7 @@
         second.readListAfter(200);
         timers.pass(10);
         first.review();
-        second.heard(first.status());
+        second.recordStatus(first.status());
         second.review();
         assertTrue(first.holdsShard());
         timers.pass(10 + READ_FOR_MILLIS);
@@ -102,7 +102,7 @@
         second.review();
         assertFalse(second.holdsShard());
         first.die();
-        second.lost(first);
+        second.recordConnectionLost(first);
         second.review();
         assertTrue(second.holdsShard());
         second.offer(repeated(offer, jobAgeMillis));
@@ -115,7 +115,7 @@
 
     /** Guards against a task that runs twice because its endpoint joined after the next holder had read the list. */
     @Test
-    public void testOffer_endpointJoinedAfterTheListWasRead() {
+    public void testOffer_endpointJoinedAfterListRead() {
         register(LISTED, LARGE, 900);
         firstClaims();
         timers.pass(2_900);
@@ -134,7 +134,7 @@
 
     /** Guards against a task that runs twice because its endpoint could not write to the store and lost its entry. */
     @Test
-    public void testOffer_endpointLostItsEntryWhileATaskRan() {
+    public void testOffer_entryLostWhileTaskRuns() {
         register(LISTED, LARGE, 5_000);
         FakeEndpoint dropped = register(UNLISTED, SMALL, 5_000);
         firstClaims();
@@ -155,7 +155,7 @@
 
     /** Guards against a task that runs twice because the next holder started after its endpoint had lost its entry. */
     @Test
-    public void testOffer_nextHolderStartedAfterAnEndpointLostItsEntry() {
+    public void testOffer_nextHolderStartedAfterEntryLost() {
         register(LISTED, LARGE, 6_000);
         FakeEndpoint dropped = register(UNLISTED, SMALL, 6_000);
         firstClaims();
@@ -169,7 +169,7 @@
         second = new ListReadingNode("b", store, orders, timers);
         second.readListAfter(0);
         timers.pass(10);
-        second.heard(first.status());
+        second.recordStatus(first.status());
         timers.pass(2_900);
         assertEquals(dropped.running(), 1);
         secondTakesOver(offer, 3_960);
--- a/tarragonarch-core/src/test/java/org/tarragonarch/core/shard/ListReadingNode.java
+++ b/tarragonarch-core/src/test/java/org/tarragonarch/core/shard/ListReadingNode.java
@@ -53,7 +53,7 @@
         this.timers = timers;
         ShardPools pools = new ShardPools(ImmutableMap.of(HOBART, Region.of("south")), endpoints);
         HolderElection election = new HolderElection(NodeId.of(name), HOBART, "10.0.0.9", CORES, peers, pools);
-        endpoints.served(ImmutableSet.of(SERVICE));
+        endpoints.setServices(ImmutableSet.of(SERVICE));
         this.ownership = new ShardOwnership(
                 pools,
                 election,
@@ -74,11 +74,11 @@
         if (dead) {
             return;
         }
-        boolean changed = endpoints.replaced(ImmutableList.copyOf(store.values()), timers.nowMillis());
+        boolean changed = endpoints.replaceAll(ImmutableList.copyOf(store.values()), timers.nowMillis());
         if (changed) {
             ownership.endpointsChanged();
         }
-        endpoints.currentAsOf(timers.nowMillis());
+        endpoints.recordCurrentAsOf(timers.nowMillis());
         readListAfter(LIST_PERIOD_MILLIS);
     }
 
@@ -95,13 +95,13 @@
         return ElectionFixture.status(name, HOBART, CORES, false, Iterables.toArray(ownership.held(), HeldShard.class));
     }
 
-    void heard(NodeStatus peer) {
-        peers.received(peer, timers.nowMillis());
+    void recordStatus(NodeStatus peer) {
+        peers.recordStatus(peer, timers.nowMillis());
     }
 
     /** The last connection with the peer broke. */
-    void lost(ListReadingNode peer) {
-        peers.lost(NodeId.of(peer.name));
+    void recordConnectionLost(ListReadingNode peer) {
+        peers.recordConnectionLost(NodeId.of(peer.name));
     }
 
     void offer(Offer offer) {
@@ -123,7 +123,7 @@
         return grounds;
     }
 
-    private final class Events implements ShardEvents {
+    private final class Events implements ShardOwnershipListener {
         @Override
         public void releasedAll() {}
 
--- a/tarragonarch-core/src/test/java/org/tarragonarch/core/shard/PooledHolderElectionTest.java
+++ b/tarragonarch-core/src/test/java/org/tarragonarch/core/shard/PooledHolderElectionTest.java
@@ -2,7 +2,7 @@
 
 import static org.tarragonarch.core.shard.ElectionFixture.HOBART;
 import static org.tarragonarch.core.shard.ElectionFixture.LAUNCESTON;
-import static org.tarragonarch.core.shard.ElectionFixture.held;
+import static org.tarragonarch.core.shard.ElectionFixture.heldShard;
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertFalse;
 import static org.testng.Assert.assertTrue;
@@ -36,7 +36,7 @@
     }
 
     private void received(String node, FailureDomain domain, int milliCores, long nowMillis, HeldShard... held) {
-        peers.received(ElectionFixture.status(node, domain, milliCores, false, held), nowMillis);
+        peers.recordStatus(ElectionFixture.status(node, domain, milliCores, false, held), nowMillis);
     }
 
     /** The holder of everything dies: the next in line takes every shard whose domain it hears, at once. */
@@ -47,14 +47,14 @@
         assertTrue(first.shouldClaim(HOBART, 0));
         first.claim(HOBART, 0);
         assertTrue(first.shouldClaim(LAUNCESTON, 0));
-        received("a", HOBART, CORES, 0, held(HOBART, 1));
+        received("a", HOBART, CORES, 0, heldShard(HOBART, 1));
         assertFalse(election("l", LAUNCESTON).shouldClaim(LAUNCESTON, 0));
     }
 
     /** Guards against a cut-off node that takes the pool as soon as it misses only the holder. */
     @Test
-    public void testShouldClaim_holderFellSilentAndNobodyElseSpeaks() {
-        received("l", LAUNCESTON, CORES, 900, held(HOBART, 1), held(LAUNCESTON, 1));
+    public void testShouldClaim_holderLossUnconfirmed() {
+        received("l", LAUNCESTON, CORES, 900, heldShard(HOBART, 1), heldShard(LAUNCESTON, 1));
         received("b", HOBART, CORES, 1_000);
         HolderElection partitioned = election("a", HOBART);
         peers.expire(1_800);
@@ -65,18 +65,18 @@
 
     /** Guards against a shard without a holder because the only other peer died with the holder. */
     @Test
-    public void testShouldClaim_peersThatCouldConfirmAreGoneToo() {
-        received("l", LAUNCESTON, CORES, 900, held(HOBART, 1), held(LAUNCESTON, 1));
+    public void testShouldClaim_confirmingPeersLost() {
+        received("l", LAUNCESTON, CORES, 900, heldShard(HOBART, 1), heldShard(LAUNCESTON, 1));
         received("b", HOBART, CORES, 1_000);
         HolderElection left = election("a", HOBART);
         peers.expire(1_800);
-        peers.lost(NodeId.of("b"));
+        peers.recordConnectionLost(NodeId.of("b"));
         assertTrue(left.shouldClaim(HOBART, 1_900));
     }
 
     /** A domain nobody hears may be cut off and going on by itself; its endpoints are not taken from it at once. */
     @Test
-    public void testShouldClaim_silentDomainWaits() {
+    public void testShouldClaim_silentDomain() {
         HolderElection alone = election("a", HOBART);
         assertTrue(alone.shouldClaim(HOBART, 0));
         assertFalse(alone.shouldClaim(LAUNCESTON, 0));
@@ -85,43 +85,43 @@
 
     /** Whoever holds most of a pool gets the rest of it, also if another would be first by name. */
     @Test
-    public void testShouldClaim_holderOfMostGoesFirst() {
-        received("z", LAUNCESTON, CORES, 0, held(LAUNCESTON, 4));
+    public void testShouldClaim_peerHoldsMostOfPool() {
+        received("z", LAUNCESTON, CORES, 0, heldShard(LAUNCESTON, 4));
         assertFalse(election("a", HOBART).shouldClaim(HOBART, 0));
     }
 
     /** Guards against an outside holder that keeps a domain's shard after the cut and stops what runs there. */
     @Test
-    public void testShouldResign_domainHasGoneOnByItself() {
+    public void testShouldResign_partitionedDomainHasOwnHolder() {
         HolderElection outside = election("a", HOBART);
         outside.claim(HOBART, 0);
         outside.claim(LAUNCESTON, 9_000);
-        received("l", LAUNCESTON, CORES, 0, held(LAUNCESTON, 2));
+        received("l", LAUNCESTON, CORES, 0, heldShard(LAUNCESTON, 2));
         assertTrue(outside.shouldResign(LAUNCESTON, 0));
         assertFalse(outside.shouldResign(HOBART, 0));
     }
 
     /** Two seconds later the domain's shard goes back into the pool, where jobs of all domains share the room. */
     @Test
-    public void testShouldResign_cutOffDomainJoinsThePoolAgain() {
+    public void testShouldResign_partitionedDomainRejoinsPool() {
         HolderElection inside = election("l", LAUNCESTON);
         inside.claim(LAUNCESTON, 0);
-        received("a", HOBART, CORES, 10_000, held(HOBART, 7));
+        received("a", HOBART, CORES, 10_000, heldShard(HOBART, 7));
         assertFalse(inside.shouldResign(LAUNCESTON, 11_900));
         assertTrue(inside.shouldResign(LAUNCESTON, 12_000));
     }
 
     /** Of two that hold as much, the first by name keeps it; both letting go would leave the pool without a holder. */
     @Test
-    public void testShouldResign_equalParts() {
+    public void testShouldResign_equalShardCounts() {
         HolderElection first = election("a", HOBART);
         first.claim(HOBART, 0);
-        received("l", LAUNCESTON, CORES, 0, held(LAUNCESTON, 7));
+        received("l", LAUNCESTON, CORES, 0, heldShard(LAUNCESTON, 7));
         assertFalse(first.shouldResign(HOBART, 5_000));
     }
 
     @Test
-    public void testShouldResign_weakHolderOfMostYieldsToTheStrong() {
+    public void testShouldResign_muchStrongerPeer() {
         HolderElection weak = election("a", HOBART);
         weak.claim(HOBART, 0);
         weak.claim(LAUNCESTON, 0);
@@ -134,9 +134,9 @@
     }
 
     @Test
-    public void testHolders_eachWithWhatItHoldsByRight() {
-        received("a", HOBART, CORES, 0, held(HOBART, 7), held(LAUNCESTON, 9));
-        received("l", LAUNCESTON, CORES, 0, held(LAUNCESTON, 2));
+    public void testHolders_shardClaimedTwice() {
+        received("a", HOBART, CORES, 0, heldShard(HOBART, 7), heldShard(LAUNCESTON, 9));
+        received("l", LAUNCESTON, CORES, 0, heldShard(LAUNCESTON, 2));
         assertEquals(
                 peers.holders().stream()
                         .map(status -> status.node() + " " + status.shards().size())
@@ -146,11 +146,11 @@
 
     /** What a node once claimed counts also when it has let go, for its runs may be there still. */
     @Test
-    public void testIsHighest_ofAllThatWereEverHeard() {
-        received("a", HOBART, CORES, 0, held(HOBART, 7));
+    public void testIsHighestToken_afterRelease() {
+        received("a", HOBART, CORES, 0, heldShard(HOBART, 7));
         received("a", HOBART, CORES, 100);
-        assertFalse(peers.isHighest(HOBART, FencingToken.of(6, "10.0.0.9")));
-        assertTrue(peers.isHighest(HOBART, FencingToken.of(7, "10.0.0.9")));
-        assertTrue(peers.isHighest(LAUNCESTON, FencingToken.of(1, "10.0.0.9")));
+        assertFalse(peers.isHighestToken(HOBART, FencingToken.of(6, "10.0.0.9")));
+        assertTrue(peers.isHighestToken(HOBART, FencingToken.of(7, "10.0.0.9")));
+        assertTrue(peers.isHighestToken(LAUNCESTON, FencingToken.of(1, "10.0.0.9")));
     }
 }
--- a/tarragonarch-core/src/test/java/org/tarragonarch/core/shard/ShardPoolsTest.java
+++ b/tarragonarch-core/src/test/java/org/tarragonarch/core/shard/ShardPoolsTest.java
@@ -27,7 +27,7 @@
         for (int i = from; i <= to; i++) {
             FailureDomain domain = i % 2 == 0 ? HOBART : LAUNCESTON;
             Resources capacity = new Resources(16_000, 32_768, 0);
-            endpoints.listed(new EndpointEntry(
+            endpoints.recordListed(new EndpointEntry(
                     EndpointId.of("w-" + i), "s", new Address("10.0.0.1", 80), domain, false, capacity, false));
         }
         pools.review();
@@ -44,16 +44,16 @@
 
     /** Guards against a pool that splits and joins each time a region crosses 96 endpoints. */
     @Test
-    public void testPoolOf_apartUntilWellBelow() {
+    public void testPoolOf_splitRegionShrinks() {
         ShardPoolsTest test = new ShardPoolsTest();
         test.list(1, 97);
         assertEquals(test.pools.poolOf(HOBART), ImmutableSet.of(HOBART));
         for (int i = 97; i > 81; i--) {
-            test.endpoints.unlisted(EndpointId.of("w-" + i), 0);
+            test.endpoints.recordUnlisted(EndpointId.of("w-" + i), 0);
             test.pools.review();
         }
         assertEquals(test.pools.poolOf(HOBART), ImmutableSet.of(HOBART));
-        test.endpoints.unlisted(EndpointId.of("w-81"), 0);
+        test.endpoints.recordUnlisted(EndpointId.of("w-81"), 0);
         test.pools.review();
         assertEquals(test.pools.poolOf(HOBART), ImmutableSet.of(HOBART, LAUNCESTON));
     }
--- a/tarragonarch-entry/src/main/java/org/tarragonarch/entry/cluster/ClusterNode.java
+++ b/tarragonarch-entry/src/main/java/org/tarragonarch/entry/cluster/ClusterNode.java
@@ -155,7 +155,7 @@
                 log,
                 meters);
         FollowPace configurationPace =
-                FollowPace.waiting(Math.round(settings.configurationMillis() / CONFIRMATIONS_PER_BOUND));
+                FollowPace.longPolling(Math.round(settings.configurationMillis() / CONFIRMATIONS_PER_BOUND));
         new TableFollower(store, StoreTable.OPERATOR, timers, operatorRows, configurationPace).start();
         endpointRows.follow(store);
         review();
@@ -218,7 +218,7 @@
 
     @Override
     public void disconnected(NodeId peer) {
-        if (coordinator.peers().lost(peer)) {
+        if (coordinator.peers().recordConnectionLost(peer)) {
             lost(peer, "disconnected");
         }
     }
@@ -288,7 +288,7 @@
     @Override
     public void endpointsGiven(ImmutableList<EndpointEntry> given) {
         if (endpoints.isEmpty()) {
-            given.forEach(endpoints::given);
+            given.forEach(endpoints::recordFromPeer);
             coordinator.endpointsChanged();
         }
     }
--- a/tarragonarch-entry/src/main/java/org/tarragonarch/entry/cluster/EndpointRows.java
+++ b/tarragonarch-entry/src/main/java/org/tarragonarch/entry/cluster/EndpointRows.java
@@ -25,13 +25,13 @@
      * entry every 1.5 s, so a notification of each change would cost a call for every heartbeat of every endpoint; an
      * endpoint that drains must get nothing new 2 s after it said so.
      */
-    private static final FollowPace LIST_PACE = FollowPace.every(900);
+    private static final FollowPace LIST_PACE = FollowPace.periodic(900);
 
     /**
      * How every other node reads the list. Entries lapse after three heartbeats, 4.5 s, so an outage of the store in
      * which they do is noticed, and they are kept.
      */
-    private static final FollowPace SELDOM_LIST_PACE = FollowPace.every(3_600);
+    private static final FollowPace SELDOM_LIST_PACE = FollowPace.periodic(3_600);
 
     private final EndpointList endpoints;
     private final Runnable listChanged;
@@ -67,22 +67,23 @@
     }
 
     @Override
-    public void replaced(RowPage page) {
+    public void tableReplaced(RowPage page) {
         ImmutableList.Builder<EndpointEntry> entries = ImmutableList.builder();
         boolean changed = false;
         for (StoreRow row : page.rows()) {
             Optional<EndpointEntry> entry = read(row);
             entry.ifPresent(entries::add);
-            changed |= entry.isEmpty() && id(row).map(endpoints::overwritten).orElse(false);
+            changed |=
+                    entry.isEmpty() && id(row).map(endpoints::recordOverwritten).orElse(false);
         }
-        changed |= endpoints.replaced(entries.build(), timers.nowMillis());
+        changed |= endpoints.replaceAll(entries.build(), timers.nowMillis());
         if (changed) {
             listChanged.run();
         }
     }
 
     @Override
-    public void changed(RowPage page) {
+    public void rowsChanged(RowPage page) {
         boolean changed = false;
         for (StoreRow row : page.rows()) {
             changed |= changed(row);
@@ -98,28 +99,28 @@
             return false;
         }
         if (row.deleted()) {
-            return endpoints.unlisted(id.get(), timers.nowMillis());
+            return endpoints.recordUnlisted(id.get(), timers.nowMillis());
         }
         Optional<EndpointEntry> entry = read(row);
-        return entry.isPresent() ? endpoints.listed(entry.get()) : endpoints.overwritten(id.get());
+        return entry.isPresent() ? endpoints.recordListed(entry.get()) : endpoints.recordOverwritten(id.get());
     }
 
     @Override
-    public void current(long asOfMillis) {
-        endpoints.currentAsOf(asOfMillis);
-        super.current(asOfMillis);
+    public void currentAsOf(long asOfMillis) {
+        endpoints.recordCurrentAsOf(asOfMillis);
+        super.currentAsOf(asOfMillis);
     }
 
     @Override
-    public void lost(FailedCall call) {
-        endpoints.storeLost();
-        super.lost(call);
+    public void storeLost(FailedCall call) {
+        endpoints.recordStoreLost();
+        super.storeLost(call);
     }
 
     @Override
-    public void regained(long awayMillis) {
-        endpoints.storeBack(timers.nowMillis());
-        super.regained(awayMillis);
+    public void storeRegained(long awayMillis) {
+        endpoints.recordStoreRegained(timers.nowMillis());
+        super.storeRegained(awayMillis);
     }
 
     private Optional<EndpointEntry> read(StoreRow row) {
--- a/tarragonarch-entry/src/main/java/org/tarragonarch/entry/cluster/LoggedTable.java
+++ b/tarragonarch-entry/src/main/java/org/tarragonarch/entry/cluster/LoggedTable.java
@@ -29,27 +29,27 @@
     }
 
     @Override
-    public void current(long asOfMillis) {
+    public void currentAsOf(long asOfMillis) {
         answeredAtMillis = timers.nowMillis();
     }
 
     @Override
-    public void unusable(RuntimeException why) {
+    public void rowsUnusable(RuntimeException why) {
         log.line(NodeEvent.STORE_ROWS_UNUSABLE, "table", table, "reason", why);
     }
 
     @Override
-    public void lost(FailedCall call) {
+    public void storeLost(FailedCall call) {
         failed(NodeEvent.STORE_LOST, call);
     }
 
     @Override
-    public void stillLost(FailedCall call) {
+    public void storeStillLost(FailedCall call) {
         failed(NodeEvent.STORE_CALL_FAILED, call);
     }
 
     @Override
-    public void regained(long awayMillis) {
+    public void storeRegained(long awayMillis) {
         log.line(NodeEvent.STORE_REGAINED, "table", table, "away-ms", awayMillis);
     }
 
--- a/tarragonarch-entry/src/main/java/org/tarragonarch/entry/cluster/OperatorRows.java
+++ b/tarragonarch-entry/src/main/java/org/tarragonarch/entry/cluster/OperatorRows.java
@@ -50,13 +50,13 @@
     }
 
     @Override
-    public void replaced(RowPage page) {
+    public void tableReplaced(RowPage page) {
         drained.clear();
-        changed(page);
+        rowsChanged(page);
     }
 
     @Override
-    public void changed(RowPage page) {
+    public void rowsChanged(RowPage page) {
         page.rows().forEach(this::takeDrain);
         drainedDomains.accept(new DrainedDomains(page.version(), ImmutableSet.copyOf(drained)));
         takeConfiguration(page.rows());
@@ -90,8 +90,8 @@
     }
 
     @Override
-    public void current(long asOfMillis) {
-        super.current(asOfMillis);
+    public void currentAsOf(long asOfMillis) {
+        super.currentAsOf(asOfMillis);
         configuration.confirmed(asOfMillis);
     }
 }
--- a/tarragonarch-entry/src/test/java/org/tarragonarch/entry/cluster/EndpointRowsTest.java
+++ b/tarragonarch-entry/src/test/java/org/tarragonarch/entry/cluster/EndpointRowsTest.java
@@ -56,18 +56,18 @@
     /** Guards against a follower that stops at a key that is not that of an endpoint. */
     @Test
     public void testChanged_foreignKey() {
-        rows.changed(page(row("Not An Id", "x"), row("w-1", GOOD)));
-        rows.changed(page(deleted("Not An Id"), row("w-2", GOOD)));
+        rows.rowsChanged(page(row("Not An Id", "x"), row("w-1", GOOD)));
+        rows.rowsChanged(page(deleted("Not An Id"), row("w-2", GOOD)));
         assertEquals(listed(), ImmutableList.of("w-1", "w-2"));
     }
 
     /** An endpoint's entry is written over by another program: it gets nothing new until its next heartbeat. */
     @Test
     public void testChanged_writtenOver() {
-        rows.changed(page(row("w-1", GOOD), row("w-2", GOOD)));
-        rows.changed(page(row("w-1", GOOD.replace("ready", "resting"))));
+        rows.rowsChanged(page(row("w-1", GOOD), row("w-2", GOOD)));
+        rows.rowsChanged(page(row("w-1", GOOD.replace("ready", "resting"))));
         assertEquals(listed(), ImmutableList.of("w-2"));
-        rows.changed(page(row("w-1", GOOD)));
+        rows.rowsChanged(page(row("w-1", GOOD)));
         assertEquals(listed(), ImmutableList.of("w-1", "w-2"));
         assertEquals(changes, 3);
         assertEquals(meters.scrape().contains("tarragonarch_endpoint_rows_unreadable_total 1.0"), true);
@@ -77,17 +77,17 @@
     @Test
     public void testReplaced_writtenOver() {
         String started = "{\"born\":1700000000000," + GOOD.substring(1);
-        rows.replaced(page(row("w-1", started), row("w-2", GOOD)));
-        rows.replaced(page(row("w-1", GOOD), row("w-2", GOOD)));
+        rows.tableReplaced(page(row("w-1", started), row("w-2", GOOD)));
+        rows.tableReplaced(page(row("w-1", GOOD), row("w-2", GOOD)));
         assertEquals(listed(), ImmutableList.of("w-2"));
-        endpoints.storeLost();
-        rows.replaced(page(row("w-1", started), row("w-2", "{}")));
+        endpoints.recordStoreLost();
+        rows.tableReplaced(page(row("w-1", started), row("w-2", "{}")));
         assertEquals(listed(), ImmutableList.of("w-1"));
     }
 
     @Test
     public void testReplaced_foreignRowsAreLeftOut() {
-        rows.replaced(page(row("", GOOD), row("w-1", GOOD), row("w-2", "\u0000"), row("w-3", "{}")));
+        rows.tableReplaced(page(row("", GOOD), row("w-1", GOOD), row("w-2", "\u0000"), row("w-3", "{}")));
         assertEquals(listed(), ImmutableList.of("w-1"));
     }
 }
--- a/tarragonarch-entry/src/test/java/org/tarragonarch/entry/cluster/NodeMetersTest.java
+++ b/tarragonarch-entry/src/test/java/org/tarragonarch/entry/cluster/NodeMetersTest.java
@@ -65,10 +65,10 @@
         assertShows("tarragonarch_configuration_version 0.0");
         assertShows("tarragonarch_configuration_age_seconds NaN");
         configuration.offered(CONFIGURATION, "store");
-        rows.current(timers.nowMillis());
+        rows.currentAsOf(timers.nowMillis());
         timers.pass(5_000);
-        rows.lost(new FailedCall(StoreResult.UNKNOWN, 2_000, 5_000));
-        rows.stillLost(new FailedCall(StoreResult.UNKNOWN, 1_000, 5_000));
+        rows.storeLost(new FailedCall(StoreResult.UNKNOWN, 2_000, 5_000));
+        rows.storeStillLost(new FailedCall(StoreResult.UNKNOWN, 1_000, 5_000));
         assertShows("tarragonarch_configuration_version 9.0");
         assertShows("tarragonarch_configuration_age_seconds 5.0");
         assertShows("tarragonarch_store_answer_age_seconds{table=\"operator\"} 5.0");
--- a/tarragonarch-entry/src/test/java/org/tarragonarch/entry/cluster/OperatorRowsTest.java
+++ b/tarragonarch-entry/src/test/java/org/tarragonarch/entry/cluster/OperatorRowsTest.java
@@ -64,30 +64,30 @@
     /** Guards against a node that starts in the middle of a drain and places by the configuration first. */
     @Test
     public void testReplaced_drainsAreToldBeforeTheConfiguration() {
-        rows.replaced(page(4, row("config", CONFIGURATION), drain(HOBART)));
+        rows.tableReplaced(page(4, row("config", CONFIGURATION), drain(HOBART)));
         assertEquals(told, ImmutableList.of("[hobart] at 4", "configuration 9"));
     }
 
     @Test
     public void testChanged_twoDrainsThatEndOneAfterTheOther() {
-        rows.changed(page(4, drain(HOBART), drain(LAUNCESTON)));
-        rows.changed(page(6, undrain(HOBART)));
-        rows.changed(page(8, undrain(LAUNCESTON)));
+        rows.rowsChanged(page(4, drain(HOBART), drain(LAUNCESTON)));
+        rows.rowsChanged(page(6, undrain(HOBART)));
+        rows.rowsChanged(page(8, undrain(LAUNCESTON)));
         assertEquals(told, ImmutableList.of("[hobart, launceston] at 4", "[launceston] at 6", "[] at 8"));
     }
 
     /** Guards against a domain that was taken back while the store's history was lost, and stays drained. */
     @Test
     public void testReplaced_whatIsNotListedIsNotDrained() {
-        rows.changed(page(4, drain(HOBART)));
-        rows.replaced(page(9, drain(LAUNCESTON)));
+        rows.rowsChanged(page(4, drain(HOBART)));
+        rows.tableReplaced(page(9, drain(LAUNCESTON)));
         assertEquals(told, ImmutableList.of("[hobart] at 4", "[launceston] at 9"));
     }
 
     /** Guards against a row of another writer that keeps a node from hearing of the operators' other rows. */
     @Test
     public void testChanged_unreadableDomainIsLeftOut() {
-        rows.changed(page(4, row("evacuate/Not A Domain!", "{}"), drain(HOBART)));
+        rows.rowsChanged(page(4, row("evacuate/Not A Domain!", "{}"), drain(HOBART)));
         assertEquals(told, ImmutableList.of("[hobart] at 4"));
     }
 }
--- a/tarragonarch-wire/src/test/java/org/tarragonarch/wire/ReportCostMeasurement.java
+++ b/tarragonarch-wire/src/test/java/org/tarragonarch/wire/ReportCostMeasurement.java
@@ -74,7 +74,7 @@
             NodeId self = NodeId.of("d0-" + node);
             PeerDirectory directory =
                     PeerDirectory.create(new NodeIdentity(self, Incarnation.of(5), own, ADDRESS), NodePolicy.DEFAULT);
-            directory.listed(vms.build(), 0, action -> {});
+            directory.updateListed(vms.build(), 0, action -> {});
             for (int peer = 0; peer < 7; peer++) {
                 hearOnce(directory, NodeId.of("d0-" + peer), own);
             }
@@ -97,7 +97,7 @@
 
     private static void hearOnce(PeerDirectory directory, NodeId peer, FailureDomain domain) {
         Hello hello = Hello.of(peer, Incarnation.of(1), domain);
-        directory.heard(Samples.report(hello, 1, ImmutableList.of()), 0, action -> {});
+        directory.recordReport(Samples.report(hello, 1, ImmutableList.of()), 0, action -> {});
     }
 
     private static VmRecord vm(String name, FailureDomain domain) {
@@ -160,7 +160,7 @@
         long before = threadCpuNanos();
         for (int i = 0; i < toFirst.size(); i++) {
             ReportFrame frame = (ReportFrame) FrameCodec.decode("hobart-0", Optional.of(hello), toFirst.get(i));
-            receiver.heard(frame.report(), Duration.ofMillis(250L * i).toNanos(), action -> {});
+            receiver.recordReport(frame.report(), Duration.ofMillis(250L * i).toNanos(), action -> {});
         }
         long receiveCpu = threadCpuNanos() - before;
         if (printed) {
@@ -191,7 +191,7 @@
         for (int i = 0; i <= peers; i++) {
             vms.add(vm("hobart-" + i, domain));
         }
-        directory.listed(vms.build(), 0, action -> {});
+        directory.updateListed(vms.build(), 0, action -> {});
         return directory;
     }
 
