--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/follow/FailedCall.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/follow/FailedCall.java
@@ -6,15 +6,19 @@
 import org.tarragonarch.model.store.StoreResult;
 
 /**
- * A call to the store that brought nothing.
+ * A call to the store that failed.
  *
- * @param result how it ended
- * @param tookMillis how long it was under way, in milliseconds
- * @param sinceAnswerMillis how long ago the store last answered for the table, in milliseconds; if it never did, how
- *     long ago it was first asked
+ * @param result the result of the call
+ * @param tookMillis the duration of the call, in milliseconds
+ * @param sinceAnswerMillis the time since the store last answered a call for the table, or since the first call if it
+ *     never did, in milliseconds
  */
 public record FailedCall(StoreResult result, long tookMillis, long sinceAnswerMillis) {
-    /** Checks the parts. */
+    /**
+     * Creates the description of a failed call.
+     *
+     * @throws IllegalArgumentException if a time is negative
+     */
     public FailedCall {
         checkNotNull(result, "result");
         checkArgument(tookMillis >= 0, "tookMillis %s is negative", tookMillis);
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/follow/TableFollower.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/follow/TableFollower.java
@@ -10,25 +10,24 @@
 import org.tarragonarch.model.task.Timers;
 
 /**
- * Reads a table whole, then follows its changes indefinitely.
+ * Reads a whole table, then follows its changes indefinitely.
  *
- * <p>When the store forgets its history, the table is read whole again; when it does not answer, the same call is made
- * again after a growing pause.
+ * <p>If the store no longer has the history since the last answer, the whole table is read again. A failed call is
+ * repeated after an increasing pause.
  *
- * <p>Guards against a call that a silent store, or a connection that has gone silent, swallowed: it looks the same as
- * one that waits at a store that is well, and whatever changes meanwhile is not seen. Two things bound how long
- * that goes unnoticed. The store has to answer within {@link FollowPace#waitMillis} even if nothing has changed. And
- * after a call that failed the next ones do not wait at all, until one is answered: a store that is back shows so by
- * the first call that reaches it, at the latest when the call before has timed out.
+ * <p>A call lost in a store or connection that went silent looks like one waiting for a change, and hides all changes
+ * until it times out. Two rules limit that time. The store must answer within {@link FollowPace#waitMillis} even if
+ * nothing changed. After a failed call the store must answer at once until a call succeeds, so that the first call to
+ * reach a recovered store shows the recovery.
  */
 public final class TableFollower {
     /**
-     * From a call that failed to the next one, in milliseconds; short against the two seconds in which a new
-     * configuration has to be in force. A call that has taken longer than this is followed by the next at once.
+     * The time from the start of the first failed call to the next call, in milliseconds; short compared with the two
+     * seconds within which a new configuration must be in force. A call that took longer is repeated at once.
      */
     private static final long FIRST_PAUSE_MILLIS = 200;
 
-    /** Three calls every 0.8 s from each of 2,000 nodes are what the store carries when it comes back. */
+    /** The longest pause; a recovering store can serve three calls every 0.8 s from each of 2,000 nodes. */
     private static final long LONGEST_PAUSE_MILLIS = 800;
 
     private final RowStore store;
@@ -39,13 +38,13 @@
     private Optional<Timers.Handle> nextCall = Optional.empty();
     private long version = -1;
     private long pauseMillis = FIRST_PAUSE_MILLIS;
-    private boolean away;
-    private long awaySinceMillis;
+    private boolean unreachable;
+    private long unreachableSinceMillis;
     private long calledAtMillis;
     private long waitMillis;
     private long answeredAtMillis;
 
-    /** Creates a follower that has not begun. */
+    /** Creates a follower that makes no call until it is started. */
     public TableFollower(RowStore store, StoreTable table, Timers timers, TableListener listener, FollowPace pace) {
         this.store = checkNotNull(store, "store");
         this.table = checkNotNull(table, "table");
@@ -54,16 +53,16 @@
         this.pace = checkNotNull(pace, "pace");
     }
 
-    /** Begins with reading the whole table. */
+    /** Starts by reading the whole table. */
     public void start() {
         answeredAtMillis = timers.nowMillis();
         readAll();
     }
 
     /**
-     * Changes the pace; a call that would be due already under the new one is made at once.
+     * Changes the pace; a call that is overdue under the new pace is made at once.
      *
-     * <p>For a reader that needs the table up to date at some times only.
+     * <p>Used where an up-to-date table is needed only at some times.
      */
     public void changePace(FollowPace next) {
         if (next.equals(pace)) {
@@ -76,7 +75,7 @@
         }
     }
 
-    /** Asks for changes at once, unless a call is under way. */
+    /** Asks for changes at once, unless a call is pending. */
     public void followNow() {
         if (nextCall.isPresent()) {
             nextCall.get().cancel();
@@ -102,7 +101,7 @@
     private void follow() {
         nextCall = Optional.empty();
         calledAtMillis = timers.nowMillis();
-        waitMillis = away ? 0 : pace.waitMillis();
+        waitMillis = unreachable ? 0 : pace.waitMillis();
         store.follow(table, version, waitMillis, this::followAnswered);
     }
 
@@ -112,14 +111,14 @@
             return;
         }
         RowPage page = reply.page().orElseThrow();
-        take(page.version(), calledAtMillis, () -> listener.tableReplaced(page));
+        process(page.version(), calledAtMillis, () -> listener.tableReplaced(page));
     }
 
     private void followAnswered(RowStore.Reply reply) {
         switch (reply.result()) {
             case DONE -> {
                 RowPage page = reply.page().orElseThrow();
-                take(Math.max(version, page.version()), asOf(page), () -> handOver(page));
+                process(Math.max(version, page.version()), asOf(page), () -> handOver(page));
             }
             case HISTORY_GONE -> readAll();
             default -> failed(reply.result());
@@ -127,15 +126,15 @@
     }
 
     /**
-     * Returns as of when an answer is certainly complete: a call that waited in vain waited to its end.
+     * Returns the latest time at which an answer was certainly complete.
      *
-     * <p>Guards against an answer that was held up on the way and seems to be news of now: of any other, no more is
-     * known than that it was written after the call had left.
+     * <p>An answer may be delayed on the way, so it is known only to have been written after the call was sent. If it
+     * has no rows and the wait is over, the store waited until the end of that time.
      */
     private long asOf(RowPage page) {
         long waitedUntil = calledAtMillis + waitMillis;
-        boolean waitedInVain = page.rows().isEmpty() && timers.nowMillis() >= waitedUntil;
-        return waitedInVain ? waitedUntil : calledAtMillis;
+        boolean waitedWithoutChange = page.rows().isEmpty() && timers.nowMillis() >= waitedUntil;
+        return waitedWithoutChange ? waitedUntil : calledAtMillis;
     }
 
     private void handOver(RowPage page) {
@@ -145,13 +144,13 @@
     }
 
     /**
-     * Processes an answer and goes on.
+     * Passes an answer to the listener and schedules the next call.
      *
-     * <p>Guards against rows that the listener breaks on: no further call would be made, and the node would keep what
-     * it knew until its next start, without a word. The table is read whole again instead, and until that is taken
-     * nothing counts as current.
+     * <p>If the listener throws, the whole table is read again, and the table does not count as current until that
+     * succeeds. Otherwise no further call would be made, and the node would silently keep outdated rows until its next
+     * start.
      */
-    private void take(long newVersion, long asOf, Runnable handOver) {
+    private void process(long newVersion, long asOf, Runnable handOver) {
         succeeded();
         try {
             handOver.run();
@@ -168,20 +167,20 @@
     private void succeeded() {
         pauseMillis = FIRST_PAUSE_MILLIS;
         answeredAtMillis = timers.nowMillis();
-        if (away) {
-            away = false;
-            listener.storeRegained(timers.nowMillis() - awaySinceMillis);
+        if (unreachable) {
+            unreachable = false;
+            listener.storeRegained(timers.nowMillis() - unreachableSinceMillis);
         }
     }
 
     private void failed(StoreResult result) {
         long now = timers.nowMillis();
         FailedCall call = new FailedCall(result, now - calledAtMillis, now - answeredAtMillis);
-        if (away) {
+        if (unreachable) {
             listener.storeStillLost(call);
         } else {
-            away = true;
-            awaySinceMillis = now;
+            unreachable = true;
+            unreachableSinceMillis = now;
             listener.storeLost(call);
         }
         timers.after(Math.max(0, pauseMillis - call.tookMillis()), () -> {
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/follow/TableListener.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/follow/TableListener.java
@@ -2,30 +2,34 @@
 
 import org.tarragonarch.model.store.RowPage;
 
-/** Takes what a {@link TableFollower} learns. */
+/** Listener for the contents of a table and the outages of its store; see {@link TableFollower}. */
 public interface TableListener {
-    /** The whole table, as of the page's version. */
+    /** The table was read whole; the page has all its rows as of the page's version. */
     void tableReplaced(RowPage page);
 
-    /** Rows that were written or deleted up to the page's version, in order; at least one. */
+    /** Rows were written or deleted; the page has at least one, in order, up to the page's version. */
     void rowsChanged(RowPage page);
 
     /**
-     * The store has answered, and every row that it had has been handed over.
+     * The store answered, and this listener has received every row.
      *
-     * @param asOfMillis the latest moment, on the steady clock, as of which that certainly is all there is to know
+     * @param asOfMillis the latest time, on the steady clock, at which the received rows certainly were complete
      */
     void currentAsOf(long asOfMillis);
 
-    /** What the store answered could not be taken; the table is read whole again. */
+    /** This listener threw an exception when it received rows; the table is read whole again. */
     void rowsUnusable(RuntimeException why);
 
-    /** The store cannot be read; what is known grows old from now on. */
+    /** A call failed; the received rows may be outdated from now on. */
     void storeLost(FailedCall call);
 
-    /** Another call has failed since the store was lost. */
+    /** Another call failed since the store was lost. */
     void storeStillLost(FailedCall call);
 
-    /** The store can be read again. */
-    void storeRegained(long awayMillis);
+    /**
+     * The store can be read again.
+     *
+     * @param outageMillis the time since the first failed call ended, in milliseconds
+     */
+    void storeRegained(long outageMillis);
 }
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/follow/package-info.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/follow/package-info.java
@@ -1,2 +1,2 @@
-/** Keeping up with tables of the platform's store through outages and lost history. */
+/** Following the changes of tables in the platform's store, through outages and lost history. */
 package org.tarragonarch.core.follow;
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/lifecycle/Lifecycle.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/lifecycle/Lifecycle.java
@@ -8,11 +8,12 @@
 import org.tarragonarch.model.report.NodePhase;
 
 /**
- * Takes a node through its phases, from start to leaving.
+ * The phases of a node, from start to leaving.
  *
- * <p>A leaving node first says that it is not ready and still takes work, because the balancer needs a while to hear of
- * it and sends callers until then; refusing at once would fail them. Then it finishes what it has. Not safe for use by
- * several threads.
+ * <p>A leaving node first reports that it is not ready but still accepts work, because the load balancer takes a while
+ * to notice and sends requests until then, which would fail if refused. After that the node finishes the work it has.
+ *
+ * <p>Not safe for use by several threads.
  */
 public final class Lifecycle {
     private final NodePolicy policy;
@@ -23,24 +24,24 @@
         this.policy = checkNotNull(policy, "policy");
     }
 
-    /** Returns the lifecycle of a node that has just started. */
+    /** Returns the lifecycle of a node in phase {@link NodePhase#STARTING}. */
     public static Lifecycle create(NodePolicy policy) {
         return new Lifecycle(policy);
     }
 
-    /** Returns the phase. */
+    /** Returns the current phase. */
     public NodePhase phase() {
         return phase;
     }
 
-    /** Starts serving, if the node was only waiting for what it needs to do so. */
+    /** Starts serving once configuration and endpoints are known; has no effect in later phases. */
     public void startServing(ActionSink sink) {
         if (phase == NodePhase.STARTING) {
             enter(NodePhase.SERVING, "configuration and endpoints are known", sink);
         }
     }
 
-    /** Starts to leave; a node that leaves already goes on as it was. */
+    /** Starts to leave; has no effect on a node that is already leaving. */
     public void drain(String reason, long nowNanos, ActionSink sink) {
         if (phase == NodePhase.STARTING) {
             enter(NodePhase.LEFT, reason, sink);
@@ -50,9 +51,13 @@
         }
     }
 
-    /** Goes on to the next phase when it is time; {@code idle} is whether nothing is left to do. */
+    /**
+     * Enters the next phase if it is due.
+     *
+     * @param idle whether the node has no work left
+     */
     public void timePassed(boolean idle, long nowNanos, ActionSink sink) {
-        if (phase == NodePhase.DRAINING && nowNanos >= finishingAt()) {
+        if (phase == NodePhase.DRAINING && nowNanos >= finishingNanos()) {
             enter(NodePhase.FINISHING, "the drain delay is over", sink);
         }
         if (phase == NodePhase.FINISHING && idle) {
@@ -60,26 +65,26 @@
         }
     }
 
-    /** Returns whether the drain deadline has passed, so that what is left must be cut. */
+    /** Returns whether the drain deadline has passed, so that the remaining work must be aborted. */
     public boolean isDrainDeadlinePassed(long nowNanos) {
-        return phase == NodePhase.FINISHING && nowNanos >= cutAt();
+        return phase == NodePhase.FINISHING && nowNanos >= drainDeadlineNanos();
     }
 
-    /** Returns when {@link #timePassed} is next due; {@code Long.MAX_VALUE} for never. */
+    /** Returns when {@link #timePassed} is next due; {@code Long.MAX_VALUE} if it is not. */
     public long nextWakeNanos() {
         return switch (phase) {
-            case DRAINING -> finishingAt();
-            case FINISHING -> cutAt();
+            case DRAINING -> finishingNanos();
+            case FINISHING -> drainDeadlineNanos();
             default -> Long.MAX_VALUE;
         };
     }
 
-    private long finishingAt() {
+    private long finishingNanos() {
         return drainStartedNanos + policy.drainDelay().toNanos();
     }
 
-    private long cutAt() {
-        return finishingAt() + policy.drainDeadline().toNanos();
+    private long drainDeadlineNanos() {
+        return finishingNanos() + policy.drainDeadline().toNanos();
     }
 
     private void enter(NodePhase next, String reason, ActionSink sink) {
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/lifecycle/package-info.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/lifecycle/package-info.java
@@ -1,2 +1,2 @@
-/** The phases of a node from start to leaving. */
+/** The lifecycle of a node. */
 package org.tarragonarch.core.lifecycle;
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/membership/LinkChoice.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/membership/LinkChoice.java
@@ -10,18 +10,17 @@
 import org.tarragonarch.model.id.NodeId;
 
 /**
- * Chooses the peers that get this node's reports: every one of the own failure domain, and a few of each other.
+ * Chooses the peers that receive this node's reports: all in its own failure domain, and a few in each other domain.
  *
- * <p>From each domain to each other, {@value #SENDERS} nodes send to {@value #RECEIVERS} nodes each, both chosen by
- * rendezvous hashing on the pair of domains; with fewer nodes than that, all. Either node of a pair may fail at once
- * with one of the other domain and a link is still left. The number of links grows with the domains, not with the
- * nodes in them.
+ * <p>From each domain to each other domain, {@value #SENDERS} nodes send to {@value #RECEIVERS} nodes each, both chosen
+ * by rendezvous hashing on the pair of domains; in a smaller domain all nodes do. A link remains if one node in each of
+ * the two domains fails. The number of links grows with the number of domains, not with the nodes in them.
  */
 final class LinkChoice {
-    /** How many nodes of a domain send to another domain. */
+    /** The number of nodes of a domain that send to another domain. */
     static final int SENDERS = 2;
 
-    /** How many nodes of the other domain each of them sends to. */
+    /** The number of nodes of the other domain to which each sender sends. */
     static final int RECEIVERS = 2;
 
     private final NodeId self;
@@ -33,10 +32,10 @@
     }
 
     /**
-     * Returns the peers to report to.
+     * Returns the peers that receive reports.
      *
      * @param peers every peer with an address
-     * @param aliveInDomain the nodes of the own domain that are alive, this one among them
+     * @param aliveInDomain the live nodes of the own domain, including this one
      */
     ImmutableSet<NodeId> choose(Collection<Peer> peers, Set<NodeId> aliveInDomain) {
         ImmutableSet.Builder<NodeId> chosen = ImmutableSet.builder();
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/membership/LoadUpdate.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/membership/LoadUpdate.java
@@ -4,12 +4,12 @@
 import org.tarragonarch.model.report.EndpointLoad;
 
 /**
- * What one report says of loads.
+ * The loads in one report.
  *
- * @param loads the loads named
- * @param full whether endpoints that are not named have nothing in flight
+ * @param loads the loads of the listed endpoints
+ * @param full whether endpoints that are not listed have nothing in flight
  */
 record LoadUpdate(ImmutableList<EndpointLoad> loads, boolean full) {
-    /** Reports nothing, and takes nothing back. */
+    /** An update that changes no load. */
     static final LoadUpdate NONE = new LoadUpdate(ImmutableList.of(), false);
 }
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/membership/Peer.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/membership/Peer.java
@@ -12,17 +12,17 @@
 import org.tarragonarch.model.report.NodePhase;
 import org.tarragonarch.model.report.PeerReport;
 
-/** What is known of one other node, from the platform's list and from its own reports. */
+/** The state of another node, known from the platform's list and from the node's reports. */
 final class Peer {
     private final NodeId node;
     private final ReportStream stream = new ReportStream();
     private FailureDomain domain;
     private Optional<Address> address = Optional.empty();
     private boolean listed;
-    private boolean isListedLive;
-    private boolean isAlive;
+    private boolean listedLive;
+    private boolean alive;
     private boolean missesLoads;
-    private Optional<Incarnation> run = Optional.empty();
+    private Optional<Incarnation> incarnation = Optional.empty();
     private long sequence;
     private long lastReportNanos;
     private long lastSignNanos;
@@ -43,35 +43,35 @@
         return domain;
     }
 
-    /** Returns where the peer listens; empty while no list has named it. */
+    /** Returns the address on which the peer listens; empty until a list has named it. */
     Optional<Address> address() {
         return address;
     }
 
-    /** Returns the numbering and deltas of what this node reports to the peer. */
+    /** Returns the state of the reports that this node sends to the peer. */
     ReportStream stream() {
         return stream;
     }
 
     boolean isAlive() {
-        return isAlive;
+        return alive;
     }
 
-    /** Returns whether the list names the peer as one that stays. */
+    /** Returns whether the list has the peer as {@link VmState#LIVE}. */
     boolean isListedLive() {
-        return isListedLive;
+        return listedLive;
     }
 
     boolean takesWork() {
-        return isAlive && phase.takesWork();
+        return alive && phase.takesWork();
     }
 
-    /** Returns whether a report was lost, so that the peer's loads may be partly old until its next full report. */
+    /** Returns whether a report was lost, so that some loads of the peer may be outdated until its next full report. */
     boolean missesLoads() {
         return missesLoads;
     }
 
-    /** Returns when the last report came in; of no meaning if none did. */
+    /** Returns when the last report arrived; undefined if none did. */
     long lastReportNanos() {
         return lastReportNanos;
     }
@@ -87,49 +87,53 @@
 
     void listed(VmRecord vm, long nowNanos) {
         listed = true;
-        isListedLive = vm.state() == VmState.LIVE;
+        listedLive = vm.state() == VmState.LIVE;
         address = Optional.of(vm.address());
         lastSignNanos = nowNanos;
-        if (run.isEmpty()) {
+        if (incarnation.isEmpty()) {
             domain = vm.domain();
         }
     }
 
     void unlisted() {
         listed = false;
-        isListedLive = false;
+        listedLive = false;
     }
 
-    /** Returns whether a report is of an earlier run, or comes after a later one of the same run. */
+    /**
+     * Returns whether a report is from an earlier incarnation, or not newer than the last one of the same incarnation.
+     */
     boolean isStale(PeerReport report) {
-        int order = run.map(known -> report.incarnation().compareTo(known)).orElse(1);
+        int order =
+                incarnation.map(known -> report.incarnation().compareTo(known)).orElse(1);
         return order < 0 || (order == 0 && report.sequence() <= sequence);
     }
 
-    /** Records a report that is not old. */
+    /** Records a report that is not stale. */
     void recordReport(PeerReport report, long nowNanos) {
-        boolean newRun = run.filter(report.incarnation()::equals).isEmpty();
-        boolean gap = newRun || report.sequence() != sequence + 1;
+        boolean isNewIncarnation =
+                incarnation.filter(report.incarnation()::equals).isEmpty();
+        boolean gap = isNewIncarnation || report.sequence() != sequence + 1;
         missesLoads = !report.full() && (missesLoads || gap);
-        if (newRun || !isAlive) {
-            // It knows nothing of this node yet, or has dropped what it knew while no report came in.
+        if (isNewIncarnation || !alive) {
+            // The peer knows no loads of this node, or may have dropped them while it was silent.
             stream.requireFullReport();
         }
-        run = Optional.of(report.incarnation());
+        incarnation = Optional.of(report.incarnation());
         sequence = report.sequence();
         domain = report.domain();
         phase = report.phase();
         configuration = report.configuration();
-        isAlive = true;
+        alive = true;
         lastReportNanos = nowNanos;
         lastSignNanos = nowNanos;
     }
 
     void markSilent() {
-        isAlive = false;
+        alive = false;
     }
 
     PeerStatus status() {
-        return new PeerStatus(node, domain, isAlive, phase, configuration);
+        return new PeerStatus(node, domain, alive, phase, configuration);
     }
 }
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/membership/PeerDirectory.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/membership/PeerDirectory.java
@@ -23,18 +23,18 @@
 import org.tarragonarch.model.report.PeerReport;
 
 /**
- * The other nodes: which are alive, and when each gets its next report.
+ * The other nodes: which are alive, and when each receives its next report.
  *
- * <p>A peer is alive while its reports come in, whatever the platform's list says: the list lags, and may be out. The
- * list says only where a peer listens, and that it exists.
+ * <p>A peer is alive while its reports arrive, whatever the platform's list contains, since the list lags and may be
+ * unavailable. The list only provides the names and addresses of peers.
  *
  * <p>Not safe for use by several threads.
  */
 public final class PeerDirectory {
-    /** The most peers kept; reports of others are dropped. */
+    /** The maximum number of peers; reports from further ones are dropped. */
     private static final int MAX_PEERS = 2_048;
 
-    /** How long a peer that is neither listed nor reports is kept; it may only be cut off and still use its share. */
+    /** How long an unlisted, silent peer is kept; it may merely be partitioned and still use its share of quotas. */
     private static final Duration FORGET_AFTER = Duration.ofMinutes(1);
 
     private final NodeIdentity self;
@@ -45,7 +45,7 @@
     private final Map<NodeId, Peer> peers = new TreeMap<>();
     private ImmutableSet<NodeId> aliveInDomain;
     private ImmutableSet<NodeId> quotaSharers;
-    private long nextCheckNanos = Long.MAX_VALUE;
+    private long nextSilenceCheckNanos = Long.MAX_VALUE;
 
     private PeerDirectory(NodeIdentity self, NodePolicy policy) {
         this.self = self;
@@ -57,12 +57,12 @@
         this.quotaSharers = aliveInDomain;
     }
 
-    /** Returns a directory that knows no peer. */
+    /** Returns an empty directory. */
     public static PeerDirectory create(NodeIdentity self, NodePolicy policy) {
         return new PeerDirectory(self, policy);
     }
 
-    /** Updates the endpoints from the platform's list. */
+    /** Updates the peers from the platform's list, and forgets unlisted peers that have been silent for a minute. */
     public void updateListed(ImmutableList<VmRecord> vms, long nowNanos, ActionSink sink) {
         peers.values().forEach(Peer::unlisted);
         for (VmRecord vm : vms) {
@@ -75,10 +75,10 @@
                 .removeIf(peer -> !peer.listed()
                         && !peer.isAlive()
                         && nowNanos - pause.silentSinceNanos(peer.lastSignNanos()) > FORGET_AFTER.toNanos());
-        changed(nowNanos);
+        refresh(nowNanos);
     }
 
-    /** Records a report; returns whether it is news, and not from an earlier run or out of order. */
+    /** Records a report; returns false if it is dropped: stale, from this node's own name, or from a peer too many. */
     public boolean recordReport(PeerReport report, long nowNanos, ActionSink sink) {
         Optional<Peer> found = find(report.from(), () -> new Peer(report.from(), report.domain(), nowNanos));
         if (found.isEmpty() || found.get().isStale(report)) {
@@ -93,39 +93,40 @@
         Peer peer = found.get();
         boolean wasAlive = peer.isAlive();
         boolean tookWork = peer.takesWork();
-        boolean wasBehind = peer.missesLoads();
+        boolean missedLoads = peer.missesLoads();
         peer.recordReport(report, nowNanos);
         if (!wasAlive) {
             note(NoteEvent.PEER_ALIVE, peer, sink);
         }
-        if (peer.missesLoads() && !wasBehind) {
+        if (peer.missesLoads() && !missedLoads) {
             note(NoteEvent.REPORT_GAP, peer, sink);
         }
-        nextCheckNanos = Math.min(nextCheckNanos, nowNanos + pause.maxCallGapNanos());
+        nextSilenceCheckNanos = Math.min(nextSilenceCheckNanos, nowNanos + pause.maxCallGapNanos());
         if (!wasAlive || tookWork != peer.takesWork()) {
-            changed(nowNanos);
+            refresh(nowNanos);
         }
         return true;
     }
 
-    /** Notes peers that fell silent and sends the reports that are due; costs next to nothing when nothing is due. */
+    /** Detects silent peers and sends the reports that are due; cheap if nothing is due. */
     public void timePassed(long nowNanos, ReportSource source, ActionSink sink) {
         if (pause.recordCall(nowNanos)) {
             sink.emit(Note.of(
                     NoteEvent.SLEPT_PAST_LEASE, Step.LIFECYCLE, self.node().value()));
-            // Peers have dropped what they knew of a node that they did not hear.
+            // Peers may have dropped the loads of this node while it was silent.
             peers.values().forEach(peer -> peer.stream().requireFullReport());
         }
-        if (nowNanos >= nextCheckNanos) {
+        if (nowNanos >= nextSilenceCheckNanos) {
             checkSilence(nowNanos, sink);
         }
         reporter.timePassed(peers, nowNanos, source, sink);
     }
 
     /**
-     * Sends every peer a report now, if what must be known at once has changed since the last one.
+     * Sends a report to every linked peer now if the urgent state has changed since the last one.
      *
-     * <p>Called for each answer of an endpoint that is leaving, thousands a second; only the first brings news.
+     * <p>This is called for each answer of a leaving endpoint, thousands of times a second; only the first call finds a
+     * change.
      */
     public void reportNow(long nowNanos, ReportSource source, ActionSink sink) {
         reporter.reportNow(peers, nowNanos, source, sink);
@@ -133,25 +134,25 @@
 
     /** Returns when {@link #timePassed} is next due. */
     public long nextWakeNanos() {
-        return Math.min(nextCheckNanos, reporter.nextRoundNanos());
+        return Math.min(nextSilenceCheckNanos, reporter.nextRoundNanos());
     }
 
-    /** Returns the nodes of the own failure domain that are alive and take work, this one among them. */
+    /** Returns the live nodes of the own failure domain that accept work, including this one. */
     public ImmutableSet<NodeId> aliveInDomain() {
         return aliveInDomain;
     }
 
     /**
-     * Returns the nodes among which a quota of the own failure domain must be shared, this one among them.
+     * Returns the nodes that share the quotas of the own failure domain, including this one.
      *
-     * <p>Holds every node that the list names or that has reported, also silent ones: a node that is only cut off still
+     * <p>These are all nodes that are listed or have reported, including silent ones, since a partitioned node still
      * uses its share.
      */
     public ImmutableSet<NodeId> quotaSharers() {
         return quotaSharers;
     }
 
-    /** Returns a line for each peer. */
+    /** Returns the status of each peer. */
     public ImmutableList<PeerStatus> status() {
         return peers.values().stream().map(Peer::status).collect(ImmutableList.toImmutableList());
     }
@@ -169,22 +170,22 @@
     }
 
     private void checkSilence(long nowNanos, ActionSink sink) {
-        nextCheckNanos = Long.MAX_VALUE;
-        boolean fell = false;
+        nextSilenceCheckNanos = Long.MAX_VALUE;
+        boolean anySilent = false;
         for (Peer peer : peers.values()) {
             if (peer.isAlive()) {
                 long due = pause.silentSinceNanos(peer.lastReportNanos()) + silenceNanos(peer);
                 if (nowNanos >= due) {
                     peer.markSilent();
-                    fell = true;
+                    anySilent = true;
                     note(NoteEvent.PEER_SILENT, peer, sink);
                 } else {
-                    nextCheckNanos = Longs.min(nextCheckNanos, due, nowNanos + pause.maxCallGapNanos());
+                    nextSilenceCheckNanos = Longs.min(nextSilenceCheckNanos, due, nowNanos + pause.maxCallGapNanos());
                 }
             }
         }
-        if (fell) {
-            changed(nowNanos);
+        if (anySilent) {
+            refresh(nowNanos);
         }
     }
 
@@ -192,7 +193,7 @@
         return peer.domain().equals(self.domain()) ? silenceNanos : silenceNanos * Reporter.ROUNDS_PER_FAR_REPORT;
     }
 
-    private void changed(long nowNanos) {
+    private void refresh(long nowNanos) {
         ImmutableSet.Builder<NodeId> workers = ImmutableSet.builder();
         ImmutableSet.Builder<NodeId> alive = ImmutableSet.builder();
         workers.add(self.node());
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/membership/ReportPacer.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/membership/ReportPacer.java
@@ -4,27 +4,27 @@
 import org.tarragonarch.core.node.NodePolicy;
 
 /**
- * How often reports go out and how much they may hold, so that their cost stays within a fixed rate of bytes.
+ * Limits the frequency and size of reports so that they stay within a fixed number of bytes per second.
  *
- * <p>The rate is what keeps a domain of many nodes and endpoints within the budget of a node: with more of either,
- * loads are sent less often. A report without loads always goes, since silence would mean that the node is gone.
+ * <p>The more nodes and endpoints a domain has, the less often loads are sent. A report without loads is always sent,
+ * since a silent node counts as lost.
  */
 final class ReportPacer {
-    /** The bytes a second that reports may cost, of the 7 KB/s that all control may cost a node. */
+    /** The limit for reports in bytes per second, of the 7 KB/s that a node may use for all control messages. */
     static final int BYTES_PER_SECOND = 6_000;
 
-    /** What a report costs besides endpoints: 14 bytes of frame, 4 of length, 52 of headers, 15 of a first name. */
+    /** The bytes of a report without endpoints: 14 for the frame, 4 length, 52 headers, 15 for the first name. */
     static final int BYTES_PER_REPORT = 85;
 
-    /** What an endpoint that is named costs at most, where names are alike. */
+    /** The most bytes that an endpoint adds to a report if the names of endpoints share a prefix. */
     static final int BYTES_PER_ENDPOINT = 6;
 
     private static final int REPORTS_PER_SILENCE = 3;
 
     private final long busyNanos;
     private final long idleNanos;
-    private long credit = BYTES_PER_SECOND;
-    private long creditNanos = Long.MIN_VALUE;
+    private long budgetBytes = BYTES_PER_SECOND;
+    private long budgetUpdatedNanos = Long.MIN_VALUE;
 
     ReportPacer(NodePolicy policy) {
         this.idleNanos = policy.peerSilence().toNanos() / REPORTS_PER_SILENCE;
@@ -39,39 +39,41 @@
     /**
      * Returns the time until the next round of reports.
      *
-     * @param changed whether loads changed since the round before
-     * @param roundBytes what the round that just went out cost
+     * @param changed whether loads changed since the previous round
+     * @param roundBytes the estimated bytes of the round just sent
      */
     long nanosUntilNextRound(boolean changed, long roundBytes) {
         if (!changed) {
             return idleNanos;
         }
-        long affordable = roundBytes * Duration.ofSeconds(1).toNanos() / BYTES_PER_SECOND;
-        return Math.min(idleNanos, Math.max(busyNanos, affordable));
+        long nanosForRound = roundBytes * Duration.ofSeconds(1).toNanos() / BYTES_PER_SECOND;
+        return Math.min(idleNanos, Math.max(busyNanos, nanosForRound));
     }
 
-    /** Records that time has passed. */
+    /** Replenishes the budget for the time since the last call. */
     void timePassed(long nowNanos) {
-        if (creditNanos != Long.MIN_VALUE) {
-            long passed = Math.min(nowNanos - creditNanos, Duration.ofSeconds(1).toNanos());
-            credit = Math.min(
+        if (budgetUpdatedNanos != Long.MIN_VALUE) {
+            long passed = Math.min(
+                    nowNanos - budgetUpdatedNanos, Duration.ofSeconds(1).toNanos());
+            budgetBytes = Math.min(
                     BYTES_PER_SECOND,
-                    credit + passed * BYTES_PER_SECOND / Duration.ofSeconds(1).toNanos());
+                    budgetBytes
+                            + passed * BYTES_PER_SECOND / Duration.ofSeconds(1).toNanos());
         }
-        creditNanos = nowNanos;
+        budgetUpdatedNanos = nowNanos;
     }
 
-    /** Returns whether a report of this cost may go now. */
+    /** Returns whether a report of this size may be sent now. */
     boolean canAfford(long bytes) {
-        return bytes <= credit;
+        return bytes <= budgetBytes;
     }
 
-    /** Takes note of a report that goes. */
+    /** Deducts a sent report from the budget. */
     void spend(long bytes) {
-        credit = Math.max(credit - bytes, -BYTES_PER_SECOND);
+        budgetBytes = Math.max(budgetBytes - bytes, -BYTES_PER_SECOND);
     }
 
-    /** Returns the estimated cost of a report that names this many endpoints. */
+    /** Returns the estimated size of a report with the loads of this many endpoints. */
     static long estimatedBytes(int endpoints) {
         return BYTES_PER_REPORT + (long) BYTES_PER_ENDPOINT * endpoints;
     }
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/membership/ReportSource.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/membership/ReportSource.java
@@ -7,15 +7,15 @@
 import org.tarragonarch.model.report.EndpointLoad;
 import org.tarragonarch.model.report.NodePhase;
 
-/** What a node has to report, asked for only when a report is due. */
+/** Supplies the contents of a node's reports; called only when a report is due. */
 public interface ReportSource {
     /** Returns the node's phase. */
     NodePhase phase();
 
-    /** Returns the version in force. */
+    /** Returns the version of the configuration in force. */
     ConfigurationVersion configuration();
 
-    /** Returns the in-flight count of each endpoint where it is not 0. */
+    /** Returns the number of tasks in flight at each endpoint that has any. */
     ImmutableList<EndpointLoad> loads();
 
     /** Returns the endpoints known to be leaving. */
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/membership/ReportStream.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/membership/ReportStream.java
@@ -8,28 +8,28 @@
 import org.tarragonarch.model.report.EndpointLoad;
 
 /**
- * The numbers of the reports to one peer, and the loads it was sent, so that a report names only what changed.
+ * The sequence of reports to one peer, with the loads already sent, so that a report contains only changed loads.
  *
- * <p>Reports are numbered without gaps for each peer, so that the peer can tell a lost one by its number. A lost delta
- * leaves some loads old at the peer until the next full report, which comes after {@value #FULL_EVERY} reports with
- * loads at the latest.
+ * <p>The reports to each peer are numbered without gaps, so that the peer detects a lost one. After the loss of a delta
+ * some loads are outdated at the peer until the next full report, which is sent after at most {@value #FULL_EVERY}
+ * reports with loads.
  */
 final class ReportStream {
-    /** A full report is sent after this many reports with loads. */
+    /** The number of reports with loads after which a full one is sent. */
     static final int FULL_EVERY = 8;
 
-    private final Map<EndpointId, Integer> recordSent = new HashMap<>();
+    private final Map<EndpointId, Integer> sentLoads = new HashMap<>();
     private long sequence;
-    private int sinceFull;
+    private int reportsSinceFull;
     private boolean fullDue = true;
     private long loadsSentNanos = Long.MIN_VALUE;
 
-    /** Returns the number of the next report. */
+    /** Advances to the next report and returns its number. */
     long nextSequence() {
         return ++sequence;
     }
 
-    /** Returns when the peer was last sent loads. */
+    /** Returns when loads were last sent to the peer. */
     long loadsSentNanos() {
         return loadsSentNanos;
     }
@@ -39,9 +39,9 @@
         fullDue = true;
     }
 
-    /** Returns what to report of the loads, if they are sent now; costs time in proportion to the endpoints in use. */
+    /** Returns the loads to include in a report sent now; takes time proportional to the number of endpoints in use. */
     LoadUpdate pendingLoads(ImmutableMap<EndpointId, Integer> now) {
-        if (!fullDue && sinceFull < FULL_EVERY) {
+        if (!fullDue && reportsSinceFull < FULL_EVERY) {
             ImmutableList<EndpointLoad> changes = changes(now);
             if (changes.size() <= now.size()) {
                 return new LoadUpdate(changes, false);
@@ -52,19 +52,19 @@
         return new LoadUpdate(all.build(), true);
     }
 
-    /** Records that this is sent to the peer. */
-    void recordSent(LoadUpdate news, long nowNanos) {
+    /** Records that the loads are sent to the peer. */
+    void recordSent(LoadUpdate update, long nowNanos) {
         loadsSentNanos = nowNanos;
         fullDue = false;
-        sinceFull = news.full() ? 0 : sinceFull + 1;
-        if (news.full()) {
-            recordSent.clear();
+        reportsSinceFull = update.full() ? 0 : reportsSinceFull + 1;
+        if (update.full()) {
+            sentLoads.clear();
         }
-        for (EndpointLoad load : news.loads()) {
+        for (EndpointLoad load : update.loads()) {
             if (load.inFlight() == 0) {
-                recordSent.remove(load.endpoint());
+                sentLoads.remove(load.endpoint());
             } else {
-                recordSent.put(load.endpoint(), load.inFlight());
+                sentLoads.put(load.endpoint(), load.inFlight());
             }
         }
     }
@@ -72,11 +72,11 @@
     private ImmutableList<EndpointLoad> changes(ImmutableMap<EndpointId, Integer> now) {
         ImmutableList.Builder<EndpointLoad> changes = ImmutableList.builder();
         now.forEach((endpoint, inFlight) -> {
-            if (!inFlight.equals(recordSent.get(endpoint))) {
+            if (!inFlight.equals(sentLoads.get(endpoint))) {
                 changes.add(new EndpointLoad(endpoint, inFlight));
             }
         });
-        for (EndpointId endpoint : recordSent.keySet()) {
+        for (EndpointId endpoint : sentLoads.keySet()) {
             if (!now.containsKey(endpoint)) {
                 changes.add(new EndpointLoad(endpoint, 0));
             }
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/membership/Reporter.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/membership/Reporter.java
@@ -18,103 +18,107 @@
 import org.tarragonarch.model.report.PeerReport;
 
 /**
- * Sends the reports, in rounds: one to each linked peer.
+ * Sends reports in rounds, one report to each linked peer.
  *
- * <p>Peers of other failure domains learn nothing from a report but that this node lives, and what is urgent goes to
- * them at once; so without urgent news they are left out of most rounds.
+ * <p>Most rounds omit peers of other failure domains. They need a report only as a sign of life, apart from changes of
+ * the urgent state, which are sent to every linked peer at once.
  */
 final class Reporter {
-    /** The least time between two looks for urgent news, so that a burst of asking costs little. */
+    /** The minimum time between two checks for a change of the urgent state; limits the cost of bursts of calls. */
     private static final long URGENT_GAP_NANOS = Duration.ofMillis(50).toNanos();
 
-    /** Of so many rounds without urgent news, one also goes to peers of other failure domains. */
+    /** Without urgent changes, one in this many rounds includes peers of other failure domains. */
     static final int ROUNDS_PER_FAR_REPORT = 3;
 
     private final NodeIdentity self;
     private final ReportPacer pacer;
-    private ImmutableSet<NodeId> setLinks = ImmutableSet.of();
-    private Optional<UrgentState> reported = Optional.empty();
-    private ImmutableMap<EndpointId, Integer> loadsBefore = ImmutableMap.of();
-    private int roundsUntilFar;
+    private ImmutableSet<NodeId> links = ImmutableSet.of();
+    private Optional<UrgentState> lastUrgent = Optional.empty();
+    private ImmutableMap<EndpointId, Integer> lastLoads = ImmutableMap.of();
+    private int roundsUntilFarReport;
     private long nextRoundNanos = Long.MAX_VALUE;
-    private long nextUrgentNanos = Long.MAX_VALUE;
-    private long urgentLookNanos = Long.MIN_VALUE;
+    private long nextUrgentCheckNanos = Long.MAX_VALUE;
+    private long urgentCheckNanos = Long.MIN_VALUE;
 
     Reporter(NodeIdentity self, ReportPacer pacer) {
         this.self = self;
         this.pacer = pacer;
     }
 
-    /** Returns when something may next be due. */
+    /** Returns when the next round or check for an urgent change is due. */
     long nextRoundNanos() {
-        return Math.min(nextRoundNanos, nextUrgentNanos);
+        return Math.min(nextRoundNanos, nextUrgentCheckNanos);
     }
 
-    /** Records the peers that get reports from now on; a new one gets its first at once. */
+    /** Sets the peers that receive reports; a new one causes a round at once. */
     void setLinks(ImmutableSet<NodeId> now, long nowNanos) {
-        if (!setLinks.containsAll(now)) {
-            roundsUntilFar = 0;
+        if (!links.containsAll(now)) {
+            roundsUntilFarReport = 0;
             nextRoundNanos = nowNanos;
         }
-        setLinks = now;
-        if (setLinks.isEmpty()) {
+        links = now;
+        if (links.isEmpty()) {
             nextRoundNanos = Long.MAX_VALUE;
-            nextUrgentNanos = Long.MAX_VALUE;
+            nextUrgentCheckNanos = Long.MAX_VALUE;
         }
     }
 
     void timePassed(Map<NodeId, Peer> peers, long nowNanos, ReportSource source, ActionSink sink) {
-        if (setLinks.isEmpty()) {
+        if (links.isEmpty()) {
             return;
         }
         boolean newPhase =
-                reported.filter(last -> last.phase() != source.phase()).isPresent();
+                lastUrgent.filter(last -> last.phase() != source.phase()).isPresent();
         if (nowNanos >= nextRoundNanos || newPhase) {
-            round(peers, UrgentState.of(source), nowNanos, source, sink);
-        } else if (nowNanos >= nextUrgentNanos) {
+            sendRound(peers, UrgentState.of(source), nowNanos, source, sink);
+        } else if (nowNanos >= nextUrgentCheckNanos) {
             reportNow(peers, nowNanos, source, sink);
         }
     }
 
-    /** Sends a round if there is urgent news; asked again within the gap, looks once more at its end. */
+    /**
+     * Sends a round if the urgent state has changed.
+     *
+     * <p>A call less than 50 ms after the last check is postponed to the end of that time.
+     */
     void reportNow(Map<NodeId, Peer> peers, long nowNanos, ReportSource source, ActionSink sink) {
-        if (setLinks.isEmpty()) {
+        if (links.isEmpty()) {
             return;
         }
-        if (urgentLookNanos != Long.MIN_VALUE && nowNanos - urgentLookNanos < URGENT_GAP_NANOS) {
-            nextUrgentNanos = urgentLookNanos + URGENT_GAP_NANOS;
+        if (urgentCheckNanos != Long.MIN_VALUE && nowNanos - urgentCheckNanos < URGENT_GAP_NANOS) {
+            nextUrgentCheckNanos = urgentCheckNanos + URGENT_GAP_NANOS;
             return;
         }
-        urgentLookNanos = nowNanos;
-        nextUrgentNanos = Long.MAX_VALUE;
+        urgentCheckNanos = nowNanos;
+        nextUrgentCheckNanos = Long.MAX_VALUE;
         UrgentState urgent = UrgentState.of(source);
-        if (!reported.equals(Optional.of(urgent))) {
-            round(peers, urgent, nowNanos, source, sink);
+        if (!lastUrgent.equals(Optional.of(urgent))) {
+            sendRound(peers, urgent, nowNanos, source, sink);
         }
     }
 
-    private void round(
+    private void sendRound(
             Map<NodeId, Peer> peers, UrgentState urgent, long nowNanos, ReportSource source, ActionSink sink) {
         ImmutableMap<EndpointId, Integer> loads = source.loads().stream()
                 .collect(ImmutableMap.toImmutableMap(EndpointLoad::endpoint, EndpointLoad::inFlight));
         pacer.timePassed(nowNanos);
-        boolean far = roundsUntilFar == 0 || !reported.equals(Optional.of(urgent));
-        roundsUntilFar = far ? ROUNDS_PER_FAR_REPORT - 1 : roundsUntilFar - 1;
+        boolean includesFar = roundsUntilFarReport == 0 || !lastUrgent.equals(Optional.of(urgent));
+        roundsUntilFarReport = includesFar ? ROUNDS_PER_FAR_REPORT - 1 : roundsUntilFarReport - 1;
         long bytes = 0;
-        for (Peer peer : longestUntoldFirst(peers)) {
-            if (far || peer.domain().equals(self.domain())) {
+        for (Peer peer : oldestLoadsFirst(peers)) {
+            if (includesFar || peer.domain().equals(self.domain())) {
                 bytes += report(peer, urgent, loads, nowNanos, sink);
             }
         }
-        nextRoundNanos = nowNanos + pacer.nanosUntilNextRound(!loads.equals(loadsBefore), bytes);
-        loadsBefore = loads;
-        reported = Optional.of(urgent);
-        // The round sent all there is, also what a look at the end of the gap would have found.
-        nextUrgentNanos = Long.MAX_VALUE;
+        nextRoundNanos = nowNanos + pacer.nanosUntilNextRound(!loads.equals(lastLoads), bytes);
+        lastLoads = loads;
+        lastUrgent = Optional.of(urgent);
+        // The round included the urgent state, so a postponed check is no longer needed.
+        nextUrgentCheckNanos = Long.MAX_VALUE;
     }
 
-    private ImmutableList<Peer> longestUntoldFirst(Map<NodeId, Peer> peers) {
-        return setLinks.stream()
+    private ImmutableList<Peer> oldestLoadsFirst(Map<NodeId, Peer> peers) {
+        return links.stream()
                 .map(peers::get)
                 .filter(Objects::nonNull)
                 .sorted(comparingLong(peer -> peer.stream().loadsSentNanos()))
@@ -123,17 +127,17 @@
 
     private long report(
             Peer peer, UrgentState urgent, ImmutableMap<EndpointId, Integer> loads, long nowNanos, ActionSink sink) {
-        int always = urgent.leaving().size() + urgent.quarantined().size();
-        LoadUpdate news = LoadUpdate.NONE;
+        int urgentEndpoints = urgent.leaving().size() + urgent.quarantined().size();
+        LoadUpdate update = LoadUpdate.NONE;
         if (peer.domain().equals(self.domain())) {
-            LoadUpdate wanted = peer.stream().pendingLoads(loads);
+            LoadUpdate pending = peer.stream().pendingLoads(loads);
             if (pacer.canAfford(
-                    ReportPacer.estimatedBytes(always + wanted.loads().size()))) {
-                news = wanted;
-                peer.stream().recordSent(wanted, nowNanos);
+                    ReportPacer.estimatedBytes(urgentEndpoints + pending.loads().size()))) {
+                update = pending;
+                peer.stream().recordSent(pending, nowNanos);
             }
         }
-        long cost = ReportPacer.estimatedBytes(always + news.loads().size());
+        long cost = ReportPacer.estimatedBytes(urgentEndpoints + update.loads().size());
         pacer.spend(cost);
         PeerReport report = new PeerReport(
                 self.node(),
@@ -142,8 +146,8 @@
                 self.domain(),
                 urgent.phase(),
                 urgent.configuration(),
-                news.loads(),
-                news.full(),
+                update.loads(),
+                update.full(),
                 urgent.leaving(),
                 urgent.quarantined());
         sink.emit(new SendReport(peer.node(), peer.address().orElseThrow(), report));
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/membership/UrgentState.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/membership/UrgentState.java
@@ -5,7 +5,7 @@
 import org.tarragonarch.model.id.EndpointId;
 import org.tarragonarch.model.report.NodePhase;
 
-/** The part of a report that peers need at once when it changes; every report holds it whole. */
+/** The part of a report whose changes are sent at once; every report contains all of it. */
 record UrgentState(
         NodePhase phase,
         ConfigurationVersion configuration,
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/membership/package-info.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/membership/package-info.java
@@ -1,2 +1,2 @@
-/** Which nodes are alive, and what is reported to them. */
+/** Detection of the nodes that are alive, and the reports sent to them. */
 package org.tarragonarch.core.membership;
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/runtime/RunTimeEstimator.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/runtime/RunTimeEstimator.java
@@ -7,24 +7,26 @@
 import org.tarragonarch.model.id.ServiceName;
 
 /**
- * Learns how long tasks of a kind run, since what callers declare is often far from the truth.
+ * Estimates the run times of tasks by kind from observations, since the times declared by callers are often wrong.
  *
- * <p>The estimate is a decaying mean. What is declared counts as one observation before the first, as a half after it,
- * as a third after the second and so on, so a declaration that is wrong by ten times is within a factor of two of the
- * truth after a few tasks. Not safe for use by several threads. Each call takes constant time.
+ * <p>The estimate is a decaying mean. The declared time counts as one observation before the first task, as half of one
+ * after it, as a third after the second and so on. If it is wrong by a factor of ten, the estimate is within a factor
+ * of two of the true time after a few tasks.
+ *
+ * <p>Not safe for use by several threads. Each call takes constant time.
  */
 public final class RunTimeEstimator {
-    /** After so many tasks what was learnt weighs enough to refuse work by it. */
-    private static final int ENOUGH_TASKS = 10;
+    /** The number of observed tasks from which on the estimate may be used to refuse work. */
+    private static final int MIN_TASKS = 10;
 
-    /** The least part that a new run time has in the mean, so that the last fifty or so tasks decide. */
-    private static final double LEAST_PART = 0.02;
+    /** The minimum weight of a new run time, so that about the last fifty tasks determine the mean. */
+    private static final double MIN_WEIGHT = 0.02;
 
     private final Map<Kind, Mean> means = new HashMap<>();
 
     private RunTimeEstimator() {}
 
-    /** Returns an estimator that has learnt nothing. */
+    /** Returns an estimator without observations. */
     public static RunTimeEstimator create() {
         return new RunTimeEstimator();
     }
@@ -34,16 +36,16 @@
         means.computeIfAbsent(new Kind(service, kind), key -> new Mean()).add(nanos);
     }
 
-    /** Returns the expected run time of a task of a kind, in nanoseconds; the prior where nothing was learnt. */
+    /** Returns the expected run time of a task of a kind, in nanoseconds; the prior if no task was observed. */
     public long expectedNanos(ServiceName service, KindName kind, Duration prior) {
         Mean mean = means.get(new Kind(service, kind));
-        return mean == null ? prior.toNanos() : mean.with(prior.toNanos());
+        return mean == null ? prior.toNanos() : mean.combinedWith(prior.toNanos());
     }
 
-    /** Returns whether enough tasks of a kind have ended for the expectation to rest on them. */
+    /** Returns whether enough tasks of a kind were observed to refuse work by the estimate. */
     public boolean hasEnoughTasks(ServiceName service, KindName kind) {
         Mean mean = means.get(new Kind(service, kind));
-        return mean != null && mean.count >= ENOUGH_TASKS;
+        return mean != null && mean.count >= MIN_TASKS;
     }
 
     private record Kind(ServiceName service, KindName kind) {}
@@ -54,12 +56,12 @@
 
         void add(long observed) {
             count++;
-            nanos += Math.max(LEAST_PART, 1.0 / count) * (observed - nanos);
+            nanos += Math.max(MIN_WEIGHT, 1.0 / count) * (observed - nanos);
         }
 
-        long with(long prior) {
-            double priorPart = 1.0 / (1 + count);
-            return (long) ((priorPart * prior + count * nanos) / (priorPart + count));
+        long combinedWith(long prior) {
+            double priorWeight = 1.0 / (1 + count);
+            return (long) ((priorWeight * prior + count * nanos) / (priorWeight + count));
         }
     }
 }
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/runtime/package-info.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/runtime/package-info.java
@@ -1,2 +1,2 @@
-/** How long tasks of a kind take, learnt from those that ended. */
+/** Estimation of the run times of tasks from those that succeeded. */
 package org.tarragonarch.core.runtime;
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/shard/CandidateRanking.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/shard/CandidateRanking.java
@@ -8,21 +8,21 @@
 import org.tarragonarch.model.report.NodeStatus;
 
 /**
- * Ranks this node among those that may hold a shard.
+ * Ranks this node among the candidates for holding a shard.
  *
- * <p>Each node works the order out alone, from what its peers said last. Nodes of the shard's pool go before all
- * others; among these the one that holds most of the pool, then the strongest, then the first by name. Outside the pool
- * holders go first, since they alone speak to everybody.
+ * <p>Each node computes the order alone, from the last statuses of its peers. Nodes of the shard's pool rank before all
+ * others; among these the one that holds most of the pool, then the one with most processor time, then the first by
+ * name. Outside the pool holders rank first, since only they send their status to every node.
  */
 final class CandidateRanking {
     /**
-     * A holder hands its shards to a node of the same pool that has at least this many times its processor time.
+     * Ratio of processor time from which on a holder hands its shards to a stronger node of the same pool.
      *
-     * <p>A holder works for all endpoints of its pool. On a third of a core it falls behind in a burst that a core
-     * and a half carry easily, and every caller of the domain waits. Less than twice is not worth a takeover, which
-     * stops what runs.
+     * <p>A holder works for all endpoints of its pool. With a third of a core it falls behind in a burst that one and a
+     * half cores handle easily, and every caller of the domain waits. A smaller ratio is not worth a change of holder,
+     * which stops running tasks.
      */
-    private static final int MUCH_STRONGER = 2;
+    private static final int TAKEOVER_STRENGTH_RATIO = 2;
 
     private final NodeId own;
     private final FailureDomain ownDomain;
@@ -34,7 +34,7 @@
     /**
      * Creates the ranking of one node.
      *
-     * @param held the shards that this node holds, as they are at each call
+     * @param held a live view of the shards that this node holds
      */
     CandidateRanking(
             NodeId own,
@@ -51,12 +51,12 @@
         this.pools = pools;
     }
 
-    /** Returns whether nobody goes before this node. */
+    /** Returns whether no reachable peer ranks before this node. */
     boolean isHighestRanked(FailureDomain shard) {
         return higherRankedCount(shard) == 0;
     }
 
-    /** Returns how many reachable peers rank before this node. */
+    /** Returns the number of reachable peers, other than leaving ones, that rank before this node. */
     long higherRankedCount(FailureDomain shard) {
         ImmutableSet<FailureDomain> pool = pools.poolOf(shard);
         return peers.reachable().stream()
@@ -65,33 +65,36 @@
     }
 
     /**
-     * Returns whether a node of the pool should have what this one holds of it: because it is much stronger, or because
-     * it holds more of the pool already, as when a domain that was cut off went on by itself and can be reached again.
+     * Returns whether this node should release its shards of the pool to a peer in the pool.
+     *
+     * <p>It should if the peer is much stronger, or if the two are comparable and the peer holds more of the pool. The
+     * latter occurs after a network partition in which each side had its own holder.
      */
     boolean shouldYieldTo(NodeStatus peer, ImmutableSet<FailureDomain> pool) {
-        if (peer.milliCores() >= MUCH_STRONGER * ownMilliCores) {
+        if (peer.milliCores() >= TAKEOVER_STRENGTH_RATIO * ownMilliCores) {
             return true;
         }
-        if (ownMilliCores >= MUCH_STRONGER * peer.milliCores()) {
+        if (ownMilliCores >= TAKEOVER_STRENGTH_RATIO * peer.milliCores()) {
             return false;
         }
-        long theirs = heldOf(pool, peer);
-        long ours = ownHeldOf(pool);
-        return theirs > ours || theirs == ours && theirs > 0 && peer.node().compareTo(own) < 0;
+        long peerCount = heldCount(pool, peer);
+        long ownCount = ownHeldCount(pool);
+        return peerCount > ownCount
+                || peerCount == ownCount && peerCount > 0 && peer.node().compareTo(own) < 0;
     }
 
     private boolean ranksBefore(NodeStatus peer, ImmutableSet<FailureDomain> pool) {
-        boolean peerIsNear = pool.contains(peer.domain());
-        if (peerIsNear != pool.contains(ownDomain)) {
-            return peerIsNear;
+        boolean peerInPool = pool.contains(peer.domain());
+        if (peerInPool != pool.contains(ownDomain)) {
+            return peerInPool;
         }
-        if (!peerIsNear && peer.shards().isEmpty() != held.isEmpty()) {
+        if (!peerInPool && peer.shards().isEmpty() != held.isEmpty()) {
             return held.isEmpty();
         }
-        long theirs = heldOf(pool, peer);
-        long ours = ownHeldOf(pool);
-        if (theirs != ours) {
-            return theirs > ours;
+        long peerCount = heldCount(pool, peer);
+        long ownCount = ownHeldCount(pool);
+        if (peerCount != ownCount) {
+            return peerCount > ownCount;
         }
         if (peer.milliCores() != ownMilliCores) {
             return peer.milliCores() > ownMilliCores;
@@ -99,7 +102,7 @@
         return peer.node().compareTo(own) < 0;
     }
 
-    private static long heldOf(ImmutableSet<FailureDomain> pool, NodeStatus peer) {
+    private static long heldCount(ImmutableSet<FailureDomain> pool, NodeStatus peer) {
         long count = 0;
         for (HeldShard shard : peer.shards()) {
             count += pool.contains(shard.domain()) ? 1 : 0;
@@ -107,7 +110,7 @@
         return count;
     }
 
-    private long ownHeldOf(ImmutableSet<FailureDomain> pool) {
+    private long ownHeldCount(ImmutableSet<FailureDomain> pool) {
         return held.stream().filter(pool::contains).count();
     }
 }
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/shard/DepartedEndpoints.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/shard/DepartedEndpoints.java
@@ -7,42 +7,42 @@
 import org.tarragonarch.model.task.EndpointEntry;
 
 /**
- * Endpoints whose entries were removed a short while ago although they had not announced to leave.
+ * Endpoints whose entries were removed recently although they had not announced that they leave.
  *
- * <p>Guards against a task that runs twice: an endpoint that cannot write to the store loses its entry and runs on, and
- * a holder that does not read it takes what runs there for over.
+ * <p>Guards against a task that runs twice: an endpoint that cannot write to the store loses its entry but keeps
+ * running tasks, and a new holder that does not ask this endpoint would take those runs to have ended.
  */
 final class DepartedEndpoints {
     /**
-     * How long an endpoint counts as departed. Its holder starts nothing there from its next reading of the list, and
-     * no run outlasts the deadline of its job; clients wait less than this.
+     * How long a departed endpoint is kept. Its holder starts nothing there once it has read the list again, no run
+     * outlasts the deadline of its job, and deadlines are shorter than this.
      */
     static final long RETENTION_MILLIS = 15_000;
 
     private final Map<EndpointId, Departed> departed = new HashMap<>();
 
-    /** Records that an entry was removed. */
+    /** Records that an entry was removed; ignores one that was draining. */
     void add(EndpointEntry entry, long nowMillis) {
         if (!entry.draining()) {
             departed.put(entry.id(), new Departed(entry, nowMillis));
         }
     }
 
-    /** Records that an endpoint is listed. */
+    /** Forgets an endpoint, because it is listed again. */
     void remove(EndpointId id) {
         departed.remove(id);
     }
 
-    /** Forgets those that departed too long ago; returns whether there were any. */
+    /** Forgets endpoints that departed {@value #RETENTION_MILLIS} ms ago or longer; returns whether there were any. */
     boolean expire(long nowMillis) {
-        return departed.values().removeIf(endpoint -> nowMillis - endpoint.atMillis() >= RETENTION_MILLIS);
+        return departed.values().removeIf(endpoint -> nowMillis - endpoint.removedAtMillis() >= RETENTION_MILLIS);
     }
 
-    /** Returns their last entries. */
+    /** Returns the last entry of each departed endpoint. */
     ImmutableList<EndpointEntry> entries() {
         return departed.values().stream().map(Departed::entry).collect(ImmutableList.toImmutableList());
     }
 
-    /** An endpoint's last entry, and when it was removed. */
-    private record Departed(EndpointEntry entry, long atMillis) {}
+    /** The last entry of an endpoint, and the time of its removal on the steady clock. */
+    private record Departed(EndpointEntry entry, long removedAtMillis) {}
 }
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/shard/EndpointList.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/shard/EndpointList.java
@@ -15,75 +15,78 @@
 /**
  * The endpoints that the platform lists.
  *
- * <p>Guards against entries that lapse because the platform's store was away, while their endpoints live: they show as
- * deleted right after it is back, and return within {@value #RETURN_MILLIS} ms. Until that time is over a deleted entry
- * is kept; what is still missing then is gone.
+ * <p>During an outage of the platform's store the entries of live endpoints lapse. They appear as deleted right after
+ * the outage and return within {@value #RETURN_MILLIS} ms, so entries deleted in that time are kept until it is over.
  */
 public final class EndpointList {
-    /** The platform promises two seconds; the rest is for the way of the news. */
+    /** The platform guarantees two seconds; the rest covers the delay until this node reads the entry. */
     private static final long RETURN_MILLIS = 2_500;
 
     /**
-     * The oldest list by which a shard is taken: two readings of a node that needs it, and less than the two seconds in
-     * which an endpoint that leaves has to be left.
+     * Age up to which the list may be used to claim a shard: two reading periods of a node that needs the list, and
+     * less than the two seconds within which a node must stop using an endpoint that leaves.
      */
-    private static final long FRESH_MILLIS = 1_800;
+    private static final long MAX_AGE_MILLIS = 1_800;
 
     private final Map<EndpointId, EndpointEntry> entries = new HashMap<>();
-    private final Map<EndpointId, Long> missingUntil = new HashMap<>();
+    private final Map<EndpointId, Long> missingUntilMillis = new HashMap<>();
     private final DepartedEndpoints departed = new DepartedEndpoints();
-    private final LatestIncarnations starts = new LatestIncarnations();
+    private final LatestIncarnations incarnations = new LatestIncarnations();
     private ImmutableSet<String> services = ImmutableSet.of();
-    private ImmutableSet<FailureDomain> setDrainedDomains = ImmutableSet.of();
-    private boolean storeAway;
-    private long storeBackAtMillis = Long.MIN_VALUE / 2;
+    private ImmutableSet<FailureDomain> drainedDomains = ImmutableSet.of();
+    private boolean storeUnreadable;
+    private long storeRegainedAtMillis = Long.MIN_VALUE / 2;
     private OptionalLong currentAsOfMillis = OptionalLong.empty();
     private long firstAsOfMillis;
 
     /** Creates an empty list. */
     public EndpointList() {}
 
-    /** Returns whether nothing is listed. */
+    /** Returns whether no endpoint is listed. */
     public boolean isEmpty() {
         return entries.isEmpty();
     }
 
     /**
-     * Records an entry that the store has; returns whether that changes anything.
+     * Records an entry read from the store; returns whether the list changed.
      *
-     * <p>An entry of an earlier incarnation than the latest known is dropped. One without a start, where the endpoint
-     * has told it before, is by another writer.
+     * <p>An entry of an earlier incarnation than the latest known is dropped. An entry without a start time, for an
+     * endpoint whose start time is known, comes from another writer and removes the endpoint from the list.
      */
     public boolean recordListed(EndpointEntry entry) {
-        if (starts.lacksKnownStart(entry.incarnation())) {
+        if (incarnations.lacksKnownStart(entry.incarnation())) {
             return recordOverwritten(entry.id());
         }
-        return recordUnlessOver(entry);
+        return recordUnlessSuperseded(entry);
     }
 
     /**
-     * Records an entry that a peer has given; returns whether that changes anything.
+     * Records an entry received from a peer; returns whether the list changed.
      *
-     * <p>A peer may not know the start, so its entry without one is no evidence of another writer.
+     * <p>A peer may not know the start time, so an entry without one does not indicate another writer and is dropped.
      */
     public boolean recordFromPeer(EndpointEntry entry) {
-        return !starts.lacksKnownStart(entry.incarnation()) && recordUnlessOver(entry);
+        return !incarnations.lacksKnownStart(entry.incarnation()) && recordUnlessSuperseded(entry);
     }
 
-    private boolean recordUnlessOver(EndpointEntry entry) {
-        if (starts.isSuperseded(entry.incarnation())) {
+    private boolean recordUnlessSuperseded(EndpointEntry entry) {
+        if (incarnations.isSuperseded(entry.incarnation())) {
             return false;
         }
-        starts.record(entry.incarnation());
-        missingUntil.remove(entry.id());
+        incarnations.record(entry.incarnation());
+        missingUntilMillis.remove(entry.id());
         departed.remove(entry.id());
         return !Objects.equals(entries.put(entry.id(), entry), entry);
     }
 
-    /** Records that an entry is no longer there; returns whether that changes anything now. */
+    /**
+     * Records that an entry is no longer in the store; returns whether the list changed.
+     *
+     * <p>During an outage of the store and shortly after it the entry is kept for now.
+     */
     public boolean recordUnlisted(EndpointId id, long nowMillis) {
-        if (storeAway || nowMillis - storeBackAtMillis < RETURN_MILLIS) {
-            missingUntil.putIfAbsent(id, Math.max(nowMillis, storeBackAtMillis) + RETURN_MILLIS);
+        if (storeUnreadable || nowMillis - storeRegainedAtMillis < RETURN_MILLIS) {
+            missingUntilMillis.putIfAbsent(id, Math.max(nowMillis, storeRegainedAtMillis) + RETURN_MILLIS);
             return false;
         }
         return remove(id, nowMillis);
@@ -98,21 +101,21 @@
     }
 
     /**
-     * Records that something else stands where an entry stood; returns whether there was one.
+     * Removes an endpoint whose entry another writer has overwritten; returns whether it was listed.
      *
-     * <p>Guards against an entry that another writer wrote over: what it says now is not the endpoint's word, so the
-     * endpoint gets nothing new until its next heartbeat has put its own entry back.
+     * <p>The entry no longer describes the endpoint, so no task starts there until the endpoint's next heartbeat
+     * restores its own entry.
      */
     public boolean recordOverwritten(EndpointId id) {
-        missingUntil.remove(id);
+        missingUntilMillis.remove(id);
         return entries.remove(id) != null;
     }
 
-    /** Replaces the whole list; returns whether anything changed. */
-    public boolean replaceAll(Iterable<EndpointEntry> all, long nowMillis) {
+    /** Replaces the whole list by the entries read from the store; returns whether it changed. */
+    public boolean replaceAll(Iterable<EndpointEntry> listed, long nowMillis) {
         boolean changed = false;
         Set<EndpointId> missing = new HashSet<>(entries.keySet());
-        for (EndpointEntry entry : all) {
+        for (EndpointEntry entry : listed) {
             changed |= recordListed(entry);
             missing.remove(entry.id());
         }
@@ -122,20 +125,20 @@
         return changed;
     }
 
-    /** Notes that the store cannot be read. */
+    /** Records that the store cannot be read. */
     public void recordStoreLost() {
-        storeAway = true;
+        storeUnreadable = true;
     }
 
-    /** Notes that the store can be read again. */
+    /** Records that the store can be read again. */
     public void recordStoreRegained(long nowMillis) {
-        if (storeAway) {
-            storeAway = false;
-            storeBackAtMillis = nowMillis;
+        if (storeUnreadable) {
+            storeUnreadable = false;
+            storeRegainedAtMillis = nowMillis;
         }
     }
 
-    /** Notes as of when the list is all that the store has. */
+    /** Records that the list held every entry of the store at this time, on the steady clock. */
     public void recordCurrentAsOf(long millis) {
         if (currentAsOfMillis.isEmpty()) {
             firstAsOfMillis = millis;
@@ -144,43 +147,50 @@
     }
 
     /**
-     * Returns whether every endpoint on which something may run is listed or known to have departed.
+     * Returns whether every endpoint that may run tasks is listed or known to have departed.
      *
-     * <p>Guards against a node that has started after an endpoint had lost its entry.
+     * <p>A node does not know the endpoints that lost their entries before it first read the list, so this holds only
+     * after it has read the list for as long as departed endpoints are kept.
      */
     boolean areDeparturesKnown(long nowMillis) {
         return currentAsOfMillis.isPresent() && nowMillis - firstAsOfMillis >= DepartedEndpoints.RETENTION_MILLIS;
     }
 
     /**
-     * Returns whether the list is new enough to start tasks by, or is all that can be had.
+     * Returns whether the list is recent enough to start tasks from it, or no newer one is available.
      *
-     * <p>Guards against a node that reads the list seldom, takes a shard, and starts tasks on an endpoint that said a
-     * while ago that it leaves.
+     * <p>Guards against a node that reads the list infrequently, claims a shard, and starts tasks on an endpoint that
+     * has announced since the last reading that it leaves.
      */
     boolean isFresh(long nowMillis) {
-        return storeAway || currentAsOfMillis.isEmpty() || nowMillis - currentAsOfMillis.getAsLong() <= FRESH_MILLIS;
+        return storeUnreadable
+                || currentAsOfMillis.isEmpty()
+                || nowMillis - currentAsOfMillis.getAsLong() <= MAX_AGE_MILLIS;
     }
 
-    /** Returns whether the list is all that the store had at this time or later, on the steady clock. */
+    /** Returns whether the list held every entry of the store at this time or later, on the steady clock. */
     boolean isReadSince(long millis) {
         return currentAsOfMillis.isPresent() && currentAsOfMillis.getAsLong() >= millis;
     }
 
-    /** Returns whether the store could be read for at least this long. */
+    /** Returns whether the store has been readable for at least this long. */
     boolean isStoreReadableFor(long millis, long nowMillis) {
-        return !storeAway && nowMillis - storeBackAtMillis >= millis;
+        return !storeUnreadable && nowMillis - storeRegainedAtMillis >= millis;
     }
 
-    /** Removes what has been missing, or was removed, for too long; returns whether there was anything. */
+    /**
+     * Removes entries that did not return in time after an outage, and forgets endpoints that departed too long ago.
+     *
+     * @return whether the list or the departed endpoints changed
+     */
     public boolean expire(long nowMillis) {
         boolean changed = departed.expire(nowMillis);
-        if (storeAway) {
+        if (storeUnreadable) {
             return changed;
         }
-        for (Map.Entry<EndpointId, Long> missing : ImmutableList.copyOf(missingUntil.entrySet())) {
+        for (Map.Entry<EndpointId, Long> missing : ImmutableList.copyOf(missingUntilMillis.entrySet())) {
             if (nowMillis >= missing.getValue()) {
-                missingUntil.remove(missing.getKey());
+                missingUntilMillis.remove(missing.getKey());
                 changed |= remove(missing.getKey(), nowMillis);
             }
         }
@@ -188,49 +198,50 @@
     }
 
     /**
-     * Records which services there are.
+     * Sets the configured services; endpoints of other services are not returned.
      *
-     * <p>Guards against entries of another writer that name a service which nobody knows: such an endpoint would get no
-     * task, but it would be looked at ten times a second.
+     * <p>An entry of another writer may name an unknown service. Such an endpoint would get no task, but would be
+     * considered ten times a second.
      */
-    public void setServices(ImmutableSet<String> known) {
-        services = known;
+    public void setServices(ImmutableSet<String> configured) {
+        services = configured;
     }
 
-    /** Records which failure domains are drained. */
+    /** Sets the failure domains that are drained. */
     public void setDrainedDomains(ImmutableSet<FailureDomain> domains) {
-        setDrainedDomains = domains;
+        drainedDomains = domains;
     }
 
     /**
-     * Returns the endpoints of one failure domain on which something may run: those that {@link #inDomain} returns, and those
-     * that were removed a short while ago, as draining.
+     * Returns the endpoints of a failure domain that may run tasks: those that {@link #inDomain} returns, and those
+     * that departed recently, marked as draining.
      */
     public ImmutableList<EndpointEntry> inDomainWithDeparted(FailureDomain domain) {
         return ImmutableList.<EndpointEntry>builder()
                 .addAll(inDomain(domain))
                 .addAll(departed.entries().stream()
-                        .filter(entry -> isIn(domain, entry))
+                        .filter(entry -> isServedIn(domain, entry))
                         .map(EndpointEntry::asDraining)
                         .iterator())
                 .build();
     }
 
-    /** Returns the endpoints of one failure domain that work for a service that there is; draining if the domain is. */
+    /**
+     * Returns the endpoints of a failure domain with a configured service, marked as draining if the domain is drained.
+     */
     public ImmutableList<EndpointEntry> inDomain(FailureDomain domain) {
-        boolean isDrained = setDrainedDomains.contains(domain);
+        boolean isDrained = drainedDomains.contains(domain);
         return entries.values().stream()
-                .filter(entry -> isIn(domain, entry))
+                .filter(entry -> isServedIn(domain, entry))
                 .map(entry -> isDrained ? entry.asDraining() : entry)
                 .collect(ImmutableList.toImmutableList());
     }
 
-    /** Returns whether the endpoint is one of the failure domain, and works for a service that there is. */
-    private boolean isIn(FailureDomain domain, EndpointEntry entry) {
+    private boolean isServedIn(FailureDomain domain, EndpointEntry entry) {
         return entry.domain().equals(domain) && services.contains(entry.service());
     }
 
-    /** Returns how many endpoints there are in these failure domains together. */
+    /** Returns the number of listed endpoints in these failure domains. */
     public int countIn(Set<FailureDomain> domains) {
         int count = 0;
         for (EndpointEntry entry : entries.values()) {
@@ -239,7 +250,7 @@
         return count;
     }
 
-    /** Returns every endpoint. */
+    /** Returns every listed endpoint, whatever its service. */
     public ImmutableList<EndpointEntry> all() {
         return ImmutableList.copyOf(entries.values());
     }
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/shard/EndpointListStability.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/shard/EndpointListStability.java
@@ -8,20 +8,21 @@
 import org.tarragonarch.model.task.EndpointEntry;
 
 /**
- * Tells which shards have had the same endpoints for a while, so that the list can be taken for whole.
+ * Tracks which shards have had the same listed endpoints for long enough that the list counts as complete.
  *
- * <p>Guards against tasks that run twice after a domain was cut off: its endpoints cannot reach the platform's store
- * either, so their entries lapse outside, and come back one by one in the seconds after the cut. A holder outside that
- * has read all endpoints on its list has then not read all that there are, and a job that runs on one that is missing
- * looks to it like one that does not run.
+ * <p>Guards against tasks that run twice after a network partition of a domain. Its endpoints cannot reach the
+ * platform's store, so their entries lapse and return one by one in the seconds after the partition. A holder in
+ * another domain that has asked every listed endpoint for its runs has then missed some, and would start the tasks
+ * running there again.
  */
 final class EndpointListStability {
     /**
-     * For how long nothing may come or go, in milliseconds. Each endpoint writes its entry every 1.5 s, so of several
-     * that come back two follow each other by less; the rest is for reading the list every 0.9 s. More keeps nodes that
-     * were just restarted from going on with jobs, and in an update one of them is the next holder.
+     * How long the endpoints of a shard must be unchanged, in milliseconds. Each endpoint writes its entry every 1.5 s,
+     * so returning entries follow each other within that time; the rest allows for reading the list every 0.9 s. A
+     * longer time delays the recovery of jobs by a node that was just restarted, as the next holder is during an
+     * update.
      */
-    private static final long STEADY_MILLIS = 2_000;
+    private static final long STABLE_MILLIS = 2_000;
 
     private final EndpointList endpoints;
     private final Map<FailureDomain, ImmutableSet<EndpointId>> listed = new HashMap<>();
@@ -31,7 +32,7 @@
         this.endpoints = endpoints;
     }
 
-    /** Records the list as it is now. */
+    /** Records the endpoints now listed in each shard. */
     void update(ImmutableSet<FailureDomain> shards, long nowMillis) {
         for (FailureDomain shard : shards) {
             ImmutableSet<EndpointId> now =
@@ -42,11 +43,12 @@
         }
     }
 
+    /** Returns whether the shard has endpoints, and neither they nor the access to the store changed recently. */
     boolean isStable(FailureDomain shard, long nowMillis) {
         Long changed = changedAtMillis.get(shard);
         return changed != null
-                && nowMillis - changed >= STEADY_MILLIS
+                && nowMillis - changed >= STABLE_MILLIS
                 && !listed.get(shard).isEmpty()
-                && endpoints.isStoreReadableFor(STEADY_MILLIS, nowMillis);
+                && endpoints.isStoreReadableFor(STABLE_MILLIS, nowMillis);
     }
 }
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/shard/ForwardingShardObserver.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/shard/ForwardingShardObserver.java
@@ -6,7 +6,7 @@
 import org.tarragonarch.model.task.FencingToken;
 import org.tarragonarch.model.task.JobId;
 
-/** An observer that forwards every call to another one; subclasses override the calls to which they add something. */
+/** An observer that forwards every call to a delegate; subclasses override the calls that they extend. */
 public abstract class ForwardingShardObserver extends ForwardingPlacementObserver implements ShardObserver {
     private final ShardObserver delegate;
 
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/shard/Heartbeats.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/shard/Heartbeats.java
@@ -10,44 +10,47 @@
 import org.tarragonarch.model.report.NodeStatus;
 
 /**
- * Decides whom this node tells its status, and how often.
+ * Decides which peers receive this node's status, and how often.
  *
- * <p>Jobs pass between a holder and everybody else, so these have to miss each other within a second: a holder speaks
- * to every node, and every node to the holders, every {@value PeerTable#STATUS_PERIOD_MILLIS} ms. Nodes that hold
- * nothing matter to each other only where they may be the next holder, within the domains of one pool; they hear each
- * other every {@value PeerTable#DISTANT_PERIOD_MILLIS} ms. So what a node sends grows with the number of holders and
- * with the size of its pool, and not with that of the cluster; at a start it connects to its neighbours alone.
+ * <p>A holder exchanges jobs with every other node, so each must detect the loss of the other within a second: a holder
+ * sends its status to every node, and every node sends its own to the holders, every {@value
+ * PeerTable#STATUS_PERIOD_MILLIS} ms. Two nodes without shards need each other's status only if either may become the
+ * next holder, that is within the domains of one pool; they send it every {@value PeerTable#DISTANT_PERIOD_MILLIS} ms.
+ * The traffic of a node thus grows with the number of holders and the size of its pool, not with the size of the
+ * cluster. A node that starts connects to its neighbours only.
  *
- * <p>A node that misses the holder of a shard of its own pool says so in its status: it speaks to its neighbours often,
- * and they to it, until the next holder is known. So a holder and its successor may die at the same moment, and the one
- * after them is still found within a second.
+ * <p>A node that knows of no holder for a shard of its pool reports this in its status. It and its neighbours then
+ * exchange their statuses frequently until the next holder is known. Thus, even if a holder and its successor fail at
+ * the same moment, the next candidate takes over within a second.
  */
 public final class Heartbeats {
-    /** How long a shard may take to get its next holder: 0.2 s as a rule, a second where every node starts cold. */
+    /**
+     * The time in which a shard should get its next holder: usually 0.2 s, one second if all nodes have just started.
+     */
     private static final long TAKEOVER_MILLIS = 1_000;
 
     private final PeerTable peers;
     private final ShardPools pools;
     private final FailureDomain ownDomain;
     private boolean holding;
-    private boolean isWithoutHolder;
+    private boolean withoutHolder;
     private long withoutHolderSinceMillis;
-    private long closeSentAtMillis = Long.MIN_VALUE / 2;
+    private long frequentSentAtMillis = Long.MIN_VALUE / 2;
     private long neighboursSentAtMillis = Long.MIN_VALUE / 2;
 
-    /** Creates the plan of a node that has sent nothing yet. */
+    /** Creates the schedule of a node that has sent nothing yet. */
     public Heartbeats(PeerTable peers, ShardPools pools, FailureDomain ownDomain) {
         this.peers = checkNotNull(peers, "peers");
         this.pools = checkNotNull(pools, "pools");
         this.ownDomain = checkNotNull(ownDomain, "ownDomain");
     }
 
-    /** Returns the failure domains whose nodes may succeed this node as a holder, or this node them. */
+    /** Returns the failure domains whose nodes may take over shards from this node, or this node from them. */
     public ImmutableSet<FailureDomain> neighbours() {
         return pools.neighbours(ownDomain);
     }
 
-    /** Returns the last status of every reachable neighbour. */
+    /** Returns the last status of every reachable peer in the neighbouring domains. */
     public ImmutableList<NodeStatus> reachableNeighbours() {
         return peers.reachable().stream()
                 .filter(peer -> neighbours().contains(peer.domain()))
@@ -55,66 +58,66 @@
     }
 
     /**
-     * Records which shards this node holds, and which of its pool have no holder.
+     * Updates which shards this node holds, and whether a shard of its pool has no holder.
      *
-     * @return whether peers have to be told at once, because this node has just begun to miss a holder
+     * @return whether this node must send its status at once because a shard of its pool has just lost its holder
      */
     public boolean review(Set<FailureDomain> held, long nowMillis) {
-        boolean withoutBefore = isWithoutHolder;
+        boolean withoutBefore = withoutHolder;
         holding = !held.isEmpty();
-        isWithoutHolder = neighbours().stream()
+        withoutHolder = neighbours().stream()
                 .anyMatch(shard -> !held.contains(shard) && peers.holder(shard).isEmpty());
-        if (isWithoutHolder && !withoutBefore) {
+        if (withoutHolder && !withoutBefore) {
             withoutHolderSinceMillis = nowMillis;
         }
-        peers.expectStatusesFrom(neighbours(), holding, holding || isWithoutHolder, nowMillis);
-        return isWithoutHolder && !withoutBefore;
+        peers.expectStatusesFrom(neighbours(), holding, holding || withoutHolder, nowMillis);
+        return withoutHolder && !withoutBefore;
     }
 
-    /** Returns whether this node misses the holder of a shard of its pool. */
+    /** Returns whether this node knows of no holder for a shard of its pool. */
     public boolean isWithoutHolder() {
-        return isWithoutHolder;
+        return withoutHolder;
     }
 
-    /** Returns whether a shard has lately lost its holder and should have the next one within moments. */
+    /** Returns whether a shard of the pool lost its holder less than {@value #TAKEOVER_MILLIS} ms ago. */
     public boolean isHolderExpected(long nowMillis) {
-        return isWithoutHolder && nowMillis - withoutHolderSinceMillis < TAKEOVER_MILLIS;
+        return withoutHolder && nowMillis - withoutHolderSinceMillis < TAKEOVER_MILLIS;
     }
 
-    /** Returns who is due to hear this node's status now, noted as sent; whoever calls this tells them. */
+    /** Returns the peers to which the caller must send this node's status now, and records it as sent. */
     public Audience takeDueAudience(long nowMillis) {
-        long period = holding || isWithoutHolder ? PeerTable.STATUS_PERIOD_MILLIS : PeerTable.DISTANT_PERIOD_MILLIS;
+        long period = holding || withoutHolder ? PeerTable.STATUS_PERIOD_MILLIS : PeerTable.DISTANT_PERIOD_MILLIS;
         if (nowMillis - neighboursSentAtMillis >= period) {
             Audience audience = changeAudience();
             recordSent(audience, nowMillis);
             return audience;
         }
-        if (nowMillis - closeSentAtMillis >= PeerTable.STATUS_PERIOD_MILLIS) {
+        if (nowMillis - frequentSentAtMillis >= PeerTable.STATUS_PERIOD_MILLIS) {
             recordSent(Audience.FREQUENT, nowMillis);
             return Audience.FREQUENT;
         }
         return Audience.NOBODY;
     }
 
-    /** Returns who has to hear of a change of this node's status. */
+    /** Returns the peers to which a change of this node's status must be sent. */
     public Audience changeAudience() {
         return holding ? Audience.ALL : Audience.NEIGHBOURS;
     }
 
-    /** Notes who was sent the status. */
+    /** Records that the status was sent to these peers. */
     public void recordSent(Audience audience, long nowMillis) {
-        closeSentAtMillis = nowMillis;
+        frequentSentAtMillis = nowMillis;
         if (audience != Audience.FREQUENT) {
             neighboursSentAtMillis = nowMillis;
         }
     }
 
-    /** Returns the peers that need to hear this node often: holders, and nodes that miss one. */
+    /** Returns the peers that need this node's status frequently: holders, and nodes that know of no holder. */
     public ImmutableList<NodeId> frequentRecipients() {
         return frequentRecipientsOutside(ImmutableSet.of());
     }
 
-    /** Returns the peers that need to hear this node often and do not stand in these failure domains. */
+    /** Returns the peers outside these failure domains that need this node's status frequently. */
     public ImmutableList<NodeId> frequentRecipientsOutside(ImmutableSet<FailureDomain> domains) {
         return peers.reachable().stream()
                 .filter(peer -> !peer.shards().isEmpty() || peer.withoutHolder())
@@ -123,15 +126,15 @@
                 .collect(ImmutableList.toImmutableList());
     }
 
-    /** Who is due to hear a status. */
+    /** The recipients of a status. */
     public enum Audience {
-        /** Nobody yet. */
+        /** No peer. */
         NOBODY,
-        /** Those that need to hear this node often. */
+        /** The peers of {@link #frequentRecipients()}. */
         FREQUENT,
-        /** Those, and every node of the own pool. */
+        /** The peers of {@link #frequentRecipients()}, and every node of the neighbouring domains. */
         NEIGHBOURS,
-        /** Every node that was ever known, since it may be back. */
+        /** Every known node, including those that are unreachable, since they may have returned. */
         ALL
     }
 }
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/shard/LastStatus.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/shard/LastStatus.java
@@ -6,13 +6,14 @@
 import org.tarragonarch.model.report.NodeStatus;
 
 /**
- * The last status of one peer.
+ * The last status of a peer, and whether the peer is reachable.
  *
  * @param status the status
- * @param receivedAtMillis when it was received, on the steady clock
- * @param reachableSinceMillis since when the peer has been reachable without a break, on the steady clock
+ * @param receivedAtMillis the time of its receipt, on the steady clock
+ * @param reachableSinceMillis the time since which the peer has been reachable without interruption, on the steady
+ *     clock
  * @param reachable whether the peer is reachable
- * @param fellSilent whether the peer was lost by a missing status, and not by the end of its connections
+ * @param fellSilent whether the peer was lost because its status was overdue, not because its connections ended
  */
 record LastStatus(
         NodeStatus status, long receivedAtMillis, long reachableSinceMillis, boolean reachable, boolean fellSilent) {
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/shard/LatestIncarnations.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/shard/LatestIncarnations.java
@@ -6,9 +6,9 @@
 import org.tarragonarch.model.id.EndpointIncarnation;
 
 /**
- * The latest known incarnation of each endpoint, kept also while the endpoint is not listed.
+ * The latest known incarnation of each endpoint, also of endpoints that are not listed.
  *
- * <p>Guards against an entry of an earlier incarnation that is read after the entry of a later one was removed.
+ * <p>Guards against accepting an entry of an earlier incarnation after the entry of a later one was removed.
  */
 final class LatestIncarnations {
     /** About three times the endpoints of the largest region; the least recently accessed entry is dropped. */
@@ -17,20 +17,20 @@
     private final Map<EndpointId, EndpointIncarnation> latest =
             BoundedMaps.evictingLeastRecentlyAccessed(MAX_ENDPOINTS);
 
-    /** Records an incarnation if its start is known. */
+    /** Records an incarnation; ignores one without a start time. */
     void record(EndpointIncarnation incarnation) {
         if (incarnation.hasStart()) {
             latest.put(incarnation.id(), incarnation);
         }
     }
 
-    /** Returns whether a later incarnation is known. */
+    /** Returns whether a later incarnation of the endpoint is known. */
     boolean isSuperseded(EndpointIncarnation incarnation) {
         EndpointIncarnation known = latest.get(incarnation.id());
         return known != null && known.isLaterThan(incarnation);
     }
 
-    /** Returns whether a start of the endpoint is known and this incarnation has none. */
+    /** Returns whether the incarnation has no start time although one is known for its endpoint. */
     boolean lacksKnownStart(EndpointIncarnation incarnation) {
         return !incarnation.hasStart() && latest.containsKey(incarnation.id());
     }
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/shard/PeerTable.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/shard/PeerTable.java
@@ -14,55 +14,58 @@
 import org.tarragonarch.model.report.NodeStatus;
 import org.tarragonarch.model.task.FencingToken;
 
-/** What the peers last said of themselves, and which of them are reachable. */
+/** The last status of each peer, and which peers are reachable. */
 public final class PeerTable {
     /**
-     * How long a peer that speaks often may say nothing before it counts as gone, in milliseconds.
+     * The time without a status after which a peer that sends it frequently counts as lost, in milliseconds.
      *
-     * <p>Such peers speak every {@link #STATUS_PERIOD_MILLIS}; three missed in a row and some slack for a slow VM.
-     * Shorter takes shards from nodes that merely pause for a collection of garbage; longer leaves callers waiting.
+     * <p>Allows three statuses in a row to be missed, sent every {@link #STATUS_PERIOD_MILLIS}, and some slack for a
+     * slow VM. A shorter time takes shards from nodes during a garbage collection; a longer one keeps callers waiting.
      */
     public static final long SILENCE_MILLIS = 700;
 
-    /** How often a node tells its status to those that need to hear it often, in milliseconds. */
+    /** The period at which a node sends its status to peers that need it frequently, in milliseconds. */
     public static final long STATUS_PERIOD_MILLIS = 200;
 
     /**
-     * How much later than one of two nodes that have lost each other the other may notice it, in milliseconds: the last
-     * status of one may be a period older than the other's, and each looks for silent peers twice a period.
+     * The longest time between the moments at which two nodes detect that they have lost each other, in milliseconds.
+     *
+     * <p>The last status of one may be a period older than that of the other, and each checks for silent peers twice a
+     * period.
      */
     public static final long DETECTION_SKEW_MILLIS = STATUS_PERIOD_MILLIS + STATUS_PERIOD_MILLIS / 2;
 
-    /** How often a node tells its status to all others, in milliseconds; {@link Heartbeats} says who they are. */
+    /** The period at which a node sends its status to other peers, in milliseconds; see {@link Heartbeats}. */
     public static final long DISTANT_PERIOD_MILLIS = 2_000;
 
-    /** How long a peer that speaks seldom may say nothing, in milliseconds; three missed in a row and some slack. */
+    /** The time after which a peer that sends its status infrequently counts as lost; three missed and some slack. */
     public static final long DISTANT_SILENCE_MILLIS = 3 * DISTANT_PERIOD_MILLIS + 500;
 
     /**
-     * Peers whose last statuses came within this time of each other fell silent together: what lies between two
-     * heartbeats of a peer that speaks seldom, and the time after which silence counts.
+     * The time within which the last statuses of peers must have arrived for their loss to count as simultaneous.
+     *
+     * <p>It consists of the longest period between two statuses and the time after which silence counts as a loss.
      */
-    private static final long AT_ONCE_MILLIS = DISTANT_PERIOD_MILLIS + SILENCE_MILLIS;
+    private static final long SIMULTANEOUS_LOSS_MILLIS = DISTANT_PERIOD_MILLIS + SILENCE_MILLIS;
 
-    /** A peer that spoke this much later than a silent holder spoke after the moment of a partition. */
+    /** A status that arrived this long after the last one of a silent holder was sent after the holder was lost. */
     private static final long CONFIRMATION_MILLIS = 2 * STATUS_PERIOD_MILLIS;
 
-    /** So many peers do not fail together by chance. */
-    private static final int SEVERAL = 3;
+    /** The fewest simultaneous losses that indicate a partition rather than failures of single peers. */
+    private static final int PARTITION_MIN_PEERS = 3;
 
     private final Map<NodeId, LastStatus> peers = new TreeMap<>();
     private final Map<FailureDomain, FencingToken> highestTokens = new HashMap<>();
     private Optional<ImmutableList<NodeStatus>> holders = Optional.empty();
     private ImmutableSet<FailureDomain> neighbours = ImmutableSet.of();
-    private boolean allSpeak = true;
-    private boolean neighboursSpeakOften;
-    private long oftenSinceMillis;
+    private boolean expectsAll = true;
+    private boolean expectsFrequent;
+    private long frequentSinceMillis;
 
-    /** Creates a table that knows nobody. */
+    /** Creates an empty table. */
     public PeerTable() {}
 
-    /** Records a status; returns whether the peer was not there before. */
+    /** Records a status; returns whether the peer was unknown or unreachable before. */
     public boolean recordStatus(NodeStatus status, long nowMillis) {
         LastStatus before = peers.get(status.node());
         boolean joined = before == null || !before.reachable();
@@ -74,18 +77,18 @@
         return joined;
     }
 
-    /** Notes that a node, a peer or this one, has claimed a shard under a token. */
+    /** Records that this node or a peer has claimed a shard under a token. */
     public void recordClaim(FailureDomain shard, FencingToken token) {
         highestTokens.merge(shard, token, (first, second) -> first.compareTo(second) >= 0 ? first : second);
     }
 
-    /** Returns whether no claim of the shard under a higher token is known. */
+    /** Returns whether no claim of the shard under a higher token is known, including claims that have ended. */
     public boolean isHighestToken(FailureDomain shard, FencingToken token) {
         FencingToken highest = highestTokens.get(shard);
         return highest == null || token.compareTo(highest) >= 0;
     }
 
-    /** Notes that the last connection with the peer broke; returns whether it was there before. */
+    /** Records that the last connection to the peer broke; returns whether the peer was reachable before. */
     public boolean recordConnectionLost(NodeId peer) {
         LastStatus known = peers.get(peer);
         if (known == null || !known.reachable()) {
@@ -97,32 +100,32 @@
     }
 
     /**
-     * Notes who should speak to this node, and how often.
+     * Sets which peers should send their status to this node, and how often.
      *
-     * <p>From the moment on when a peer should speak often it has {@link #SILENCE_MILLIS} to do so, as it may have
-     * been silent for longer than that with good reason.
+     * <p>A peer has {@link #SILENCE_MILLIS} from the moment at which its status is first expected frequently, since its
+     * last status may legitimately be older than that.
      *
-     * @param domains the failure domains whose nodes always speak to this one
-     * @param all whether all other nodes do too, as to a holder
-     * @param often whether those that speak should do so often
+     * @param domains the failure domains whose nodes always send their status to this node
+     * @param all whether all other nodes do so too, as they do to a holder
+     * @param frequent whether the expected statuses should be frequent
      */
-    void expectStatusesFrom(ImmutableSet<FailureDomain> domains, boolean all, boolean often, long nowMillis) {
-        if (often && !neighboursSpeakOften || all && !allSpeak) {
-            oftenSinceMillis = nowMillis;
+    void expectStatusesFrom(ImmutableSet<FailureDomain> domains, boolean all, boolean frequent, long nowMillis) {
+        if (frequent && !expectsFrequent || all && !expectsAll) {
+            frequentSinceMillis = nowMillis;
         }
         neighbours = domains;
-        allSpeak = all;
-        neighboursSpeakOften = often;
+        expectsAll = all;
+        expectsFrequent = frequent;
     }
 
-    /** Returns the peers that have been silent for too long, and takes them for gone from now on. */
+    /** Marks peers that have been silent for too long as lost, and returns those whose status was expected. */
     public ImmutableList<NodeId> expire(long nowMillis) {
         ImmutableList.Builder<NodeId> silent = ImmutableList.builder();
         for (LastStatus last : ImmutableList.copyOf(peers.values())) {
-            if (last.reachable() && silent(last, nowMillis)) {
+            if (last.reachable() && isSilent(last, nowMillis)) {
                 peers.put(last.status().node(), last.asLost(true));
                 holders = Optional.empty();
-                if (shouldSpeak(last.status())) {
+                if (shouldSendStatus(last.status())) {
                     silent.add(last.status().node());
                 }
             }
@@ -131,20 +134,20 @@
     }
 
     /**
-     * Returns whether every peer fell silent at about the same moment.
+     * Returns whether this node appears to be partitioned: no peer is reachable, and several fell silent together.
      *
-     * <p>Several nodes hardly ever fail together, and one that is cut off loses sight of them all: most likely they go
-     * on without this one. Peers whose connections ended are not counted; a process that is killed shows so.
+     * <p>Several nodes rarely fail together, while a partitioned node loses all its peers at about the same time. Peers
+     * whose connections ended are not counted, since that indicates a killed process.
      */
     public boolean isPartitioned() {
-        return reachable().isEmpty() && lostLast(lost -> true) >= SEVERAL;
+        return reachable().isEmpty() && countLastSilent(lost -> true) >= PARTITION_MIN_PEERS;
     }
 
     /**
-     * Returns whether no peer has spoken since a holder fell silent.
+     * Returns whether a holder fell silent and no reachable peer has sent a status since.
      *
-     * <p>A node that is partitioned misses holders first, since these speak most often. Peers that miss the holder too
-     * speak at once, so their word shows that the holder is gone.
+     * <p>A partitioned node loses holders first, since their statuses are the most frequent. Peers that lose the holder
+     * too send a status at once, so a status received after the loss shows that this node is not partitioned.
      */
     public boolean isHolderLossUnconfirmed() {
         OptionalLong holderLastHeard = lastHeardMillis(
@@ -155,22 +158,24 @@
                 && peerLastHeard.getAsLong() <= holderLastHeard.getAsLong() + CONFIRMATION_MILLIS;
     }
 
-    /** Returns whether a node of the failure domain is among those that fell silent last, at about the same moment. */
+    /**
+     * Returns whether a node of the failure domain is among the peers that fell silent last, at about the same time.
+     */
     public boolean hasLastSilentPeerIn(FailureDomain domain) {
-        return lostLast(lost -> lost.status().domain().equals(domain)) > 0;
+        return countLastSilent(lost -> lost.status().domain().equals(domain)) > 0;
     }
 
-    /** Counts the peers that fell silent last. */
-    private long lostLast(Predicate<LastStatus> wanted) {
+    /** Returns the number of matching peers among those that fell silent last, at about the same time. */
+    private long countLastSilent(Predicate<LastStatus> wanted) {
         OptionalLong lastReceived = lastHeardMillis(LastStatus::fellSilent);
         return peers.values().stream()
-                .filter(last ->
-                        last.fellSilent() && last.receivedAtMillis() >= lastReceived.orElseThrow() - AT_ONCE_MILLIS)
+                .filter(last -> last.fellSilent()
+                        && last.receivedAtMillis() >= lastReceived.orElseThrow() - SIMULTANEOUS_LOSS_MILLIS)
                 .filter(wanted)
                 .count();
     }
 
-    /** Returns when the last status came from any of these peers, on the steady clock; empty if there is none. */
+    /** Returns when the last status of the matching peers arrived, on the steady clock; empty if there is none. */
     private OptionalLong lastHeardMillis(Predicate<LastStatus> wanted) {
         return peers.values().stream()
                 .filter(wanted)
@@ -178,23 +183,23 @@
                 .max();
     }
 
-    /** Returns when the peer's last status came, on the steady clock; empty if there is none. */
+    /** Returns when the peer's last status arrived, on the steady clock; empty if there is none. */
     public OptionalLong lastStatusMillis(NodeId peer) {
         LastStatus last = peers.get(peer);
         return last == null ? OptionalLong.empty() : OptionalLong.of(last.receivedAtMillis());
     }
 
-    /** Returns the last status of every peer that is there. */
+    /** Returns the last status of every reachable peer. */
     public ImmutableList<NodeStatus> reachable() {
         return statuses(last -> true);
     }
 
-    /** Returns the last status of every peer that has been there since this time or longer, on the steady clock. */
+    /** Returns the last status of every peer reachable since this time, on the steady clock, or longer. */
     public ImmutableList<NodeStatus> reachableSince(long sinceMillis) {
         return statuses(last -> last.reachableSinceMillis() <= sinceMillis);
     }
 
-    /** Returns the highest term under which any peer said that it held the shard. */
+    /** Returns the highest term in the last statuses of all peers for the shard; 0 if none holds it. */
     public long highestTerm(FailureDomain shard) {
         long highest = 0;
         for (LastStatus last : peers.values()) {
@@ -205,17 +210,17 @@
     }
 
     /**
-     * Returns the peer that holds the shard, of those that are there.
+     * Returns the reachable peer that holds the shard.
      *
-     * <p>Right after a cut has healed there may be two: a node of the shard's own failure domain goes before one of
-     * another, and then the higher token.
+     * <p>Right after a network partition there may be two holders: a node of the shard's own failure domain precedes
+     * one of another domain, then the higher token wins.
      */
     public Optional<ShardHolder> holder(FailureDomain shard) {
-        Optional<ShardHolder> home = highest(shard, true);
-        return home.isPresent() ? home : highest(shard, false);
+        Optional<ShardHolder> local = highestHolder(shard, true);
+        return local.isPresent() ? local : highestHolder(shard, false);
     }
 
-    /** Returns the peers that hold shards, each with those that no other peer holds with better right. */
+    /** Returns the reachable holders, each with the shards for which {@link #holder} returns it. */
     public ImmutableList<NodeStatus> holders() {
         if (holders.isEmpty()) {
             holders = Optional.of(findHolders());
@@ -240,11 +245,12 @@
         return holder(shard).filter(holder -> holder.node().equals(node)).isPresent();
     }
 
-    private Optional<ShardHolder> highest(FailureDomain shard, boolean home) {
+    private Optional<ShardHolder> highestHolder(FailureDomain shard, boolean ofShardsDomain) {
         Optional<ShardHolder> best = Optional.empty();
         for (LastStatus last : peers.values()) {
-            boolean mayHold = last.reachable() && !last.status().shards().isEmpty();
-            if (!mayHold || last.status().domain().equals(shard) != home) {
+            boolean isReachableHolder =
+                    last.reachable() && !last.status().shards().isEmpty();
+            if (!isReachableHolder || last.status().domain().equals(shard) != ofShardsDomain) {
                 continue;
             }
             Optional<HeldShard> held = last.held(shard);
@@ -256,25 +262,25 @@
         return best;
     }
 
-    /** Returns whether the peer, by its last status, stands in the failure domain. */
+    /** Returns whether the peer is in the failure domain according to its last status. */
     public boolean isInDomain(NodeId peer, FailureDomain domain) {
         LastStatus last = peers.get(peer);
         return last != null && last.status().domain().equals(domain);
     }
 
-    private boolean silent(LastStatus last, long nowMillis) {
+    private boolean isSilent(LastStatus last, long nowMillis) {
         if (!last.status().shards().isEmpty()) {
             return nowMillis - last.receivedAtMillis() > SILENCE_MILLIS;
         }
-        if (neighboursSpeakOften && shouldSpeak(last.status())) {
-            return nowMillis - Math.max(last.receivedAtMillis(), oftenSinceMillis) > SILENCE_MILLIS;
+        if (expectsFrequent && shouldSendStatus(last.status())) {
+            return nowMillis - Math.max(last.receivedAtMillis(), frequentSinceMillis) > SILENCE_MILLIS;
         }
         return nowMillis - last.receivedAtMillis() > DISTANT_SILENCE_MILLIS;
     }
 
-    /** Returns whether the peer should speak to this node, so that its silence means something. */
-    private boolean shouldSpeak(NodeStatus peer) {
-        return allSpeak || !peer.shards().isEmpty() || neighbours.contains(peer.domain());
+    /** Returns whether the peer should send its status to this node, so that its silence indicates a loss. */
+    private boolean shouldSendStatus(NodeStatus peer) {
+        return expectsAll || !peer.shards().isEmpty() || neighbours.contains(peer.domain());
     }
 
     private ImmutableList<NodeStatus> statuses(Predicate<LastStatus> wanted) {
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/shard/ShardHolder.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/shard/ShardHolder.java
@@ -8,16 +8,17 @@
 /**
  * A node that holds a shard.
  *
- * @param node the node
- * @param held what it says of the shard
+ * @param node the holder
+ * @param held the shard as described in the holder's last status
  */
 public record ShardHolder(NodeId node, HeldShard held) {
-    /** Checks the parts. */
+    /** Creates the pair of a holder and its shard. */
     public ShardHolder {
         checkNotNull(node, "node");
         checkNotNull(held, "held");
     }
 
+    /** Returns whether this holder's token is higher than the other one. */
     boolean outranks(HeldShard other) {
         return held.token().compareTo(other.token()) > 0;
     }
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/shard/ShardObserver.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/shard/ShardObserver.java
@@ -14,17 +14,17 @@
     /** The node claimed a shard with this many endpoints. */
     default void claimed(FailureDomain shard, FencingToken token, int endpoints) {}
 
-    /** The node released a shard of its own accord. */
+    /** The node released a shard voluntarily. */
     default void resigned(FailureDomain shard, FencingToken token) {}
 
-    /** The endpoints of a shard obey another node. */
+    /** The endpoints of a shard obey a higher token than this node's. */
     default void fenced(FailureDomain shard, FencingToken token) {}
 
     /**
-     * A failure domain is drained or taken back into use from now on.
+     * A failure domain was drained or undrained.
      *
-     * @param version the version of the store at which that was read
-     * @param source who read it: the store's follower, or a peer
+     * @param version the version of the store that showed the change
+     * @param source where the change was read: the store's follower, or a peer
      */
     default void drainChanged(FailureDomain domain, boolean isDrained, long version, String source) {}
 }
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/shard/ShardOwnership.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/shard/ShardOwnership.java
@@ -24,13 +24,13 @@
 import org.tarragonarch.model.task.Timers;
 import org.tarragonarch.model.task.Verdict;
 
-/** The shards that this node holds, with the placer for all of them, from claim to resignation. */
+/** The shards that this node holds, from claim to release, with the placer of their tasks. */
 public final class ShardOwnership {
     /**
-     * How long the free room of the shards held here is not added up anew: it is asked for with every job, and only
-     * tells which of several holders goes first. Peers tell theirs ten times less often.
+     * How long the free capacity of the held shards is cached, in milliseconds. Each job needs it, but only to choose
+     * between several holders, and that of peers is updated ten times less often.
      */
-    private static final long HELD_FOR_MILLIS = 20;
+    private static final long HELD_CACHE_MILLIS = 20;
 
     private final ShardPools pools;
     private final HolderElection election;
@@ -40,19 +40,19 @@
     private final Timers timers;
     private final LongSupplier wallMillis;
     private final ShardOwnershipListener events;
-    private final EndpointListStability steadyLists;
+    private final EndpointListStability listStability;
     private final Relay relay;
     private final RunTimes runTimes = new RunTimes();
     private final Map<FailureDomain, Long> claimedAtMillis = new HashMap<>();
     private Optional<Placer> placer = Optional.empty();
     private ImmutableList<HeldShard> held = ImmutableList.of();
-    private long heldUntilMillis = Long.MIN_VALUE;
+    private long heldValidUntilMillis = Long.MIN_VALUE;
 
     /**
      * Creates the ownership of a node that holds nothing.
      *
-     * @param pools all shards, and which of them go together
-     * @param wallMillis the time of day, for terms that rise over restarts
+     * @param pools all shards, grouped by holder
+     * @param wallMillis the time of day in milliseconds, from which terms that increase over restarts are derived
      */
     public ShardOwnership(
             ShardPools pools,
@@ -72,10 +72,10 @@
         this.wallMillis = checkNotNull(wallMillis, "wallMillis");
         this.events = checkNotNull(events, "events");
         this.relay = new Relay(events);
-        this.steadyLists = new EndpointListStability(endpoints);
+        this.listStability = new EndpointListStability(endpoints);
     }
 
-    /** Claims what has no holder and releases what another should hold; returns whether anything changed. */
+    /** Claims and releases shards as the election decides; returns whether anything changed. */
     public boolean review() {
         pools.review();
         boolean changed = false;
@@ -87,7 +87,7 @@
                 resign(shard);
                 election.resignUnreachable(shard, timers.nowMillis());
                 changed = true;
-            } else if (election.shouldClaim(shard, timers.nowMillis()) && listUsable()) {
+            } else if (election.shouldClaim(shard, timers.nowMillis()) && isListUsable()) {
                 claim(shard);
                 changed = true;
             }
@@ -95,62 +95,63 @@
         return changed;
     }
 
-    private boolean listUsable() {
+    private boolean isListUsable() {
         return !endpoints.isEmpty() && endpoints.isFresh(timers.nowMillis());
     }
 
-    /** Lets the placer look after what runs; to be called a few times a second. */
+    /** Lets the placer review the running tasks; to be called a few times a second. */
     public void reviewRuns() {
         placer.ifPresent(Placer::review);
     }
 
-    /** Releases every shard, because this node leaves. */
+    /** Releases every shard because this node leaves. */
     public void resignAll() {
         heldShards().forEach(this::resign);
     }
 
-    /** Passes the list of endpoints on to the placer. */
+    /** Updates pools and placer after a change of the list of endpoints. */
     public void endpointsChanged() {
         pools.review();
-        steadyLists.update(pools.shards(), timers.nowMillis());
-        heldShards().forEach(shard -> placer.orElseThrow().update(shard, mayRun(shard)));
+        listStability.update(pools.shards(), timers.nowMillis());
+        heldShards().forEach(shard -> placer.orElseThrow().update(shard, endpointsThatMayRunTasks(shard)));
     }
 
     /**
-     * Returns the endpoints on which something may run: those that are listed, and in the first seconds after the claim
-     * those that departed. What departs later was read since the claim: nothing of an earlier holder runs there.
+     * Returns the endpoints that may run tasks: the listed ones and, for some time after the claim, departed ones.
+     *
+     * <p>An endpoint that departs later was polled since the claim, so that no run of an earlier holder is left there.
      */
-    private ImmutableList<EndpointEntry> mayRun(FailureDomain shard) {
+    private ImmutableList<EndpointEntry> endpointsThatMayRunTasks(FailureDomain shard) {
         boolean isNew = timers.nowMillis() - claimedAtMillis.get(shard) < DepartedEndpoints.RETENTION_MILLIS;
         return isNew ? endpoints.inDomainWithDeparted(shard) : endpoints.inDomain(shard);
     }
 
-    /** Notes that a node was heard. */
+    /** Tells the placer that a status of an origin arrived. */
     public void nodeHeard(NodeId node) {
         placer.ifPresent(current -> current.originHeard(node));
     }
 
-    /** Ends the jobs of a node that is gone. */
+    /** Ends the jobs of an origin that was lost. */
     public void nodeLost(NodeId node) {
         placer.ifPresent(current -> current.originLost(node));
     }
 
-    /** Returns the placer of the shards that this node holds, if it holds any. */
+    /** Returns the placer of the shards that this node holds; empty if it holds none. */
     public Optional<Placer> placer() {
         return placer.filter(current -> !current.shards().isEmpty());
     }
 
-    /** Returns whether the list of endpoints was read since each claim. */
+    /** Returns whether the list of endpoints has been read since the last claim. */
     public boolean isListReadSinceClaims() {
         return heldShards().stream().allMatch(shard -> endpoints.isReadSince(claimedAtMillis.get(shard)));
     }
 
-    /** Returns how fast the endpoints held here are. */
+    /** Returns a summary of the speeds of the endpoints held here. */
     public SpeedSummary speedSummary() {
         return placer.map(Placer::speeds).orElse(SpeedSummary.NONE);
     }
 
-    /** Returns which shards this node holds. */
+    /** Returns the shards that this node holds. */
     public ImmutableSet<FailureDomain> heldShards() {
         return placer.map(Placer::shards).orElse(ImmutableSet.of());
     }
@@ -160,27 +161,27 @@
         return placer().isPresent();
     }
 
-    /** Returns the shards that this node holds, as it tells its peers, with the room that was free a moment ago. */
+    /** Returns the held shards as described in this node's status; their free capacity is up to 20 ms old. */
     public ImmutableList<HeldShard> held() {
         if (placer().isEmpty()) {
             return ImmutableList.of();
         }
         long now = timers.nowMillis();
-        if (now >= heldUntilMillis) {
-            heldUntilMillis = now + HELD_FOR_MILLIS;
-            held = heldBy(placer.get());
+        if (now >= heldValidUntilMillis) {
+            heldValidUntilMillis = now + HELD_CACHE_MILLIS;
+            held = describeHeld(placer.get());
         }
         return held;
     }
 
-    private static ImmutableList<HeldShard> heldBy(Placer placer) {
+    private static ImmutableList<HeldShard> describeHeld(Placer placer) {
         ImmutableList.Builder<HeldShard> all = ImmutableList.builder();
         placer.shards().forEach(shard -> all.add(held(placer, shard)));
         return all.build();
     }
 
-    private void heldChanged() {
-        heldUntilMillis = Long.MIN_VALUE;
+    private void invalidateHeld() {
+        heldValidUntilMillis = Long.MIN_VALUE;
     }
 
     private static HeldShard held(Placer placer, FailureDomain shard) {
@@ -196,21 +197,22 @@
     private void claim(FailureDomain shard) {
         FencingToken token = election.claim(shard, wallMillis.getAsLong());
         if (placer.isEmpty()) {
-            placer = Optional.of(new Placer(settings, orders, timers, relay, runTimes, this::isWhole));
+            placer = Optional.of(new Placer(settings, orders, timers, relay, runTimes, this::isListComplete));
         }
         claimedAtMillis.put(shard, timers.nowMillis());
-        placer.get().open(shard, token, mayRun(shard));
-        heldChanged();
+        placer.get().open(shard, token, endpointsThatMayRunTasks(shard));
+        invalidateHeld();
         events.claimed(shard, token, endpoints.inDomain(shard).size());
     }
 
     /**
-     * Returns whether the list has every endpoint on which an earlier holder may have started something.
+     * Returns whether the list has every endpoint on which an earlier holder may have started a task.
      *
-     * <p>That one may have read of an endpoint which has joined since this node's last reading before the claim.
+     * <p>The list must have been read since the claim: an endpoint may have joined after this node's previous reading,
+     * in time for the earlier holder to start tasks there.
      */
-    private boolean isWhole(FailureDomain shard) {
-        return steadyLists.isStable(shard, timers.nowMillis())
+    private boolean isListComplete(FailureDomain shard) {
+        return listStability.isStable(shard, timers.nowMillis())
                 && endpoints.areDeparturesKnown(timers.nowMillis())
                 && endpoints.isReadSince(claimedAtMillis.getOrDefault(shard, Long.MAX_VALUE));
     }
@@ -224,7 +226,7 @@
     }
 
     private void release(FailureDomain shard) {
-        heldChanged();
+        invalidateHeld();
         Placer current = placer.orElseThrow();
         if (current.shards().size() <= 1) {
             placer = Optional.empty();
@@ -233,7 +235,7 @@
         current.release(shard);
     }
 
-    /** Passes on what the placer says. */
+    /** Forwards the events of the placer. */
     private final class Relay extends ForwardingPlacementObserver implements PlacerListener {
         Relay(ShardOwnershipListener events) {
             super(events);
@@ -246,7 +248,7 @@
 
         @Override
         public void fenced(FailureDomain shard, FencingToken token) {
-            heldChanged();
+            invalidateHeld();
             election.recordFenced(shard, timers.nowMillis());
             if (heldShards().isEmpty()) {
                 placer = Optional.empty();
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/shard/ShardOwnershipListener.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/shard/ShardOwnershipListener.java
@@ -4,12 +4,12 @@
 import org.tarragonarch.model.task.JobId;
 import org.tarragonarch.model.task.Verdict;
 
-/** Acts on what happens to the shards of a node and to the jobs placed there. */
+/** Listener for changes to the shards that this node holds and for the outcomes of jobs placed there. */
 public interface ShardOwnershipListener extends ShardObserver {
     /**
-     * The node is about to give its jobs back, because it has released its last shard.
+     * The node has released its last shard and is about to return its jobs to their origins.
      *
-     * <p>Peers that hear of it before they get their jobs back do not offer them here again.
+     * <p>Origins that learn of this before their jobs are returned do not offer them to this node again.
      */
     void releasedAll();
 
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/shard/ShardPools.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/shard/ShardPools.java
@@ -12,29 +12,29 @@
 import org.tarragonarch.model.id.Region;
 
 /**
- * Which shards one node holds together.
+ * The grouping of shards into pools, each held by one node.
  *
- * <p>The shards of a region's failure domains are one pool while its endpoints are few. A wide job needs many places at
- * once, which a small domain under load hardly ever has free, and several such domains together nearly always do.
- * Endpoints of other domains of the region are near. A region with many endpoints has a pool in each domain, since one
- * node could not place for all of them, and a domain alone is large enough to even out.
+ * <p>The shards of a region's failure domains form one pool while the region has few endpoints. A wide job needs many
+ * free slots at once, which a small domain under load rarely has, while several such domains together nearly always do,
+ * and the network distance within a region is short. A region with many endpoints has one pool per domain, since one
+ * node could not place tasks for all of them and a single domain is large enough to even out its load.
  */
 public final class ShardPools {
-    /** With more endpoints than this a region's domains are pools of their own, since one node places for a pool. */
-    private static final int MOST_POOLED = 96;
+    /** The most endpoints of a region whose domains form one pool; one node places the tasks of a pool. */
+    private static final int MAX_POOLED_ENDPOINTS = 96;
 
-    /** A region that was taken apart is one pool again with no more than this; between the two nothing changes. */
-    private static final int POOLED_AGAIN = 80;
+    /** The most endpoints at which a split region is pooled again; the gap keeps a region from alternating. */
+    private static final int REPOOLED_ENDPOINTS = 80;
 
     private final ImmutableMap<FailureDomain, Region> regions;
     private final ImmutableSetMultimap<Region, FailureDomain> domains;
     private final EndpointList endpoints;
-    private final Set<Region> apart = new HashSet<>();
+    private final Set<Region> splitRegions = new HashSet<>();
 
     /**
      * Creates the pools of a cluster.
      *
-     * @param regions every failure domain with the region it lies in
+     * @param regions every failure domain with its region
      */
     public ShardPools(ImmutableMap<FailureDomain, Region> regions, EndpointList endpoints) {
         this.regions = checkNotNull(regions, "regions");
@@ -42,38 +42,38 @@
         this.domains = ImmutableSetMultimap.copyOf(Multimaps.forMap(regions)).inverse();
     }
 
-    /** Returns every failure domain; each has one shard, the endpoints that stand there. */
+    /** Returns every failure domain; the endpoints of each form one shard. */
     public ImmutableSet<FailureDomain> shards() {
         return regions.keySet();
     }
 
-    /** Records how many endpoints there are now. */
+    /** Splits or pools regions according to the number of endpoints now listed. */
     public void review() {
         for (Region region : domains.keySet()) {
             int listed = endpoints.countIn(domains.get(region));
-            if (listed > MOST_POOLED) {
-                apart.add(region);
-            } else if (listed <= POOLED_AGAIN) {
-                apart.remove(region);
+            if (listed > MAX_POOLED_ENDPOINTS) {
+                splitRegions.add(region);
+            } else if (listed <= REPOOLED_ENDPOINTS) {
+                splitRegions.remove(region);
             }
         }
     }
 
-    /** Returns the shards that should have the same holder as this one, and it. */
+    /** Returns the shards that should have the same holder as this one, which is included. */
     public ImmutableSet<FailureDomain> poolOf(FailureDomain shard) {
         Region region = regions.get(shard);
-        return region == null || apart.contains(region) ? ImmutableSet.of(shard) : domains.get(region);
+        return region == null || splitRegions.contains(region) ? ImmutableSet.of(shard) : domains.get(region);
     }
 
-    /** Returns whether two failure domains lie in one region, and so near each other. */
+    /** Returns whether two failure domains are in the same region, so that the network between them is fast. */
     public boolean areInSameRegion(FailureDomain first, FailureDomain second) {
         return regions.containsKey(first) && regions.get(first).equals(regions.get(second));
     }
 
     /**
-     * Returns the failure domains whose nodes may succeed each other as a holder, for a node of one of them.
+     * Returns the failure domains whose nodes may take over shards from a node of this domain, which is included.
      *
-     * <p>Before any endpoint is known it cannot be told which domains go together; the own one does in any case.
+     * <p>Pools are unknown until an endpoint is listed; until then only the domain itself is returned.
      */
     public ImmutableSet<FailureDomain> neighbours(FailureDomain domain) {
         return endpoints.isEmpty() ? ImmutableSet.of(domain) : poolOf(domain);
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/shard/package-info.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/shard/package-info.java
@@ -1,2 +1,2 @@
-/** Which node holds which shard of endpoints, and which endpoints there are. */
+/** Election of the node that holds each shard, and the list of endpoints in the shards. */
 package org.tarragonarch.core.shard;
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/status/EndpointStatus.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/status/EndpointStatus.java
@@ -5,15 +5,15 @@
 import org.tarragonarch.model.id.FailureDomain;
 
 /**
- * What a node knows of one endpoint.
+ * The state of one endpoint as known to a node.
  *
  * @param endpoint the endpoint
- * @param domain where it stands
- * @param address where it listens
- * @param slots how many tasks it runs at once
- * @param inFlight tasks of this node that were sent and have not ended
+ * @param domain its failure domain
+ * @param address the address on which it listens
+ * @param slots the number of tasks that it runs at once
+ * @param inFlight the number of tasks sent by this node that have not ended
  * @param health {@code live}, {@code leaving}, {@code quarantined} or {@code drained}
- * @param why why its health is what it is
+ * @param why the reason for its health
  */
 public record EndpointStatus(
         EndpointId endpoint,
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/status/NodeStatus.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/status/NodeStatus.java
@@ -11,15 +11,15 @@
  * A snapshot of a node.
  *
  * @param node the node
- * @param incarnation this run of it
- * @param domain where it stands
- * @param phase how far it is on its way
- * @param configuration the version in force
- * @param submissions how many submissions have no answer yet
+ * @param incarnation its incarnation
+ * @param domain its failure domain
+ * @param phase its phase
+ * @param configuration the version of the configuration in force
+ * @param submissions the number of submissions without an answer
  * @param endpoints the endpoints it knows
  * @param peers the peers it knows
- * @param queues the work of each team at each service, where there is some
- * @param quotas each team's use of its quota, where it runs something
+ * @param queues the work of each team at each service that has any
+ * @param quotas the use of quotas by each team with running tasks
  */
 public record NodeStatus(
         NodeId node,
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/status/PeerStatus.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/status/PeerStatus.java
@@ -6,13 +6,13 @@
 import org.tarragonarch.model.report.NodePhase;
 
 /**
- * What a node knows of one peer.
+ * The state of one peer as known to a node.
  *
  * @param node the peer
- * @param domain where it stands
- * @param alive whether a report from it came in lately
- * @param phase the phase it last reported
- * @param configuration the version it last reported in force
+ * @param domain its failure domain
+ * @param alive whether it reported recently
+ * @param phase its last reported phase
+ * @param configuration the version of the configuration that it last reported in force
  */
 public record PeerStatus(
         NodeId node, FailureDomain domain, boolean alive, NodePhase phase, ConfigurationVersion configuration) {}
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/status/QueueStatus.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/status/QueueStatus.java
@@ -8,7 +8,7 @@
  *
  * @param service the service
  * @param team the team
- * @param queuedTasks tasks that wait for a slot
- * @param runningTasks tasks that were sent and have not ended
+ * @param queuedTasks the number of tasks waiting for a slot
+ * @param runningTasks the number of tasks that were sent and have not ended
  */
 public record QueueStatus(ServiceName service, TeamName team, int queuedTasks, int runningTasks) {}
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/status/package-info.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/status/package-info.java
@@ -1,2 +1,2 @@
-/** What the administration API shows of a node, as immutable snapshots. */
+/** Immutable snapshots of a node's state for the administration API. */
 package org.tarragonarch.core.status;
--- a/tarragonarch-core/src/test/java/org/tarragonarch/core/CorePurityTest.java
+++ b/tarragonarch-core/src/test/java/org/tarragonarch/core/CorePurityTest.java
@@ -14,9 +14,9 @@
 import org.tarragonarch.core.node.EntryNode;
 import org.testng.annotations.Test;
 
-/** The core must stay a pure function of its events: what is forbidden here would make a replay differ. */
+/** Guards against code in the core that depends on more than its events, which would make replays differ. */
 public final class CorePurityTest {
-    /** Names as they stand in a class file's constants. */
+    /** Names as they appear in the constant pool of a class file. */
     private static final ImmutableList<String> FORBIDDEN = ImmutableList.of(
             "nanoTime",
             "currentTimeMillis",
--- a/tarragonarch-core/src/test/java/org/tarragonarch/core/follow/FailingStore.java
+++ b/tarragonarch-core/src/test/java/org/tarragonarch/core/follow/FailingStore.java
@@ -12,16 +12,16 @@
 import org.tarragonarch.model.store.StoreRow;
 import org.tarragonarch.model.store.StoreTable;
 
-/** A store of one table on virtual time that can fail in several ways and come back. */
+/** A store of one table on virtual time that can fail in several ways and recover. */
 final class FailingStore implements RowStore {
-    /** From a call to its answer, at a store that is well. */
+    /** The time from a call to its answer, in milliseconds, if the store does not fail. */
     private static final long ANSWER_MILLIS = 10;
 
-    /** How long a caller waits beyond what it lets the store wait, as the client of the store does. */
+    /** The timeout of a call beyond the time that the store may wait, as in the client of the real store. */
     private static final long CALLER_PATIENCE_MILLIS = 1_000;
 
     private final VirtualTimers timers;
-    private final List<Call> underWay = new ArrayList<>();
+    private final List<Call> waiting = new ArrayList<>();
     private final List<StoreRow> rows = new ArrayList<>();
     private final List<Long> versions = new ArrayList<>();
     private Failure failure = Failure.NONE;
@@ -31,95 +31,95 @@
         this.timers = timers;
     }
 
-    /** What becomes of calls. */
+    /** The ways in which the store fails. */
     enum Failure {
-        /** They are answered. */
+        /** Calls are answered. */
         NONE,
-        /** They are taken and never answered, and those that wait here are forgotten. */
+        /** Calls are accepted and never answered, and waiting calls are dropped. */
         SILENT,
-        /** They are turned away at once, and those that wait here are forgotten without a word. */
+        /** Calls are rejected at once, and waiting calls are dropped without an answer. */
         TURNED_AWAY,
-        /** Their connections are reset, also of those that wait here. */
+        /** The connections of new and waiting calls are reset. */
         RESET
     }
 
-    /** Fails from now on, or no longer. */
+    /** Sets how the store fails from now on. */
     void fail(Failure how) {
         failure = how;
         if (how == Failure.SILENT || how == Failure.TURNED_AWAY) {
             dropWaitingCalls();
         } else if (how == Failure.RESET) {
-            ImmutableList<Call> cut = ImmutableList.copyOf(underWay);
-            underWay.clear();
-            cut.forEach(call -> call.end(Reply.of(StoreResult.UNKNOWN)));
+            ImmutableList<Call> broken = ImmutableList.copyOf(waiting);
+            waiting.clear();
+            broken.forEach(call -> call.end(Reply.of(StoreResult.UNKNOWN)));
         }
     }
 
-    /** Forgets the calls that wait, as happens when their connections go silent; later ones are answered. */
+    /** Drops the waiting calls without an answer, as when their connections go silent. */
     void dropWaitingCalls() {
-        underWay.clear();
+        waiting.clear();
     }
 
-    /** Writes a row. */
+    /** Writes an empty row and answers the waiting calls. */
     void write(String key) {
         version++;
         rows.add(new StoreRow(key, new byte[0], false));
         versions.add(version);
-        ImmutableList.copyOf(underWay).forEach(this::answerIfNews);
+        ImmutableList.copyOf(waiting).forEach(this::answerIfChanged);
     }
 
     @Override
     public void read(StoreTable table, Consumer<Reply> reply) {
-        take(new Call(0, true, reply), 0);
+        process(new Call(0, true, reply), 0);
     }
 
     @Override
     public void follow(StoreTable table, long afterVersion, long waitMillis, Consumer<Reply> reply) {
-        take(new Call(afterVersion, false, reply), waitMillis);
+        process(new Call(afterVersion, false, reply), waitMillis);
     }
 
     @Override
     public void put(StoreTable table, String key, byte[] value, Consumer<Reply> reply) {
-        throw new AssertionError("a follower writes nothing");
+        throw new AssertionError("a follower does not write");
     }
 
-    private void take(Call call, long waitMillis) {
+    private void process(Call call, long waitMillis) {
         timers.after(waitMillis + CALLER_PATIENCE_MILLIS, () -> call.end(Reply.of(StoreResult.UNKNOWN)));
         switch (failure) {
             case NONE -> {
-                underWay.add(call);
-                timers.after(ANSWER_MILLIS / 2, () -> answerIfNews(call));
+                waiting.add(call);
+                timers.after(ANSWER_MILLIS / 2, () -> answerIfChanged(call));
                 timers.after(waitMillis + ANSWER_MILLIS / 2, () -> answer(call));
             }
             case TURNED_AWAY -> timers.after(ANSWER_MILLIS, () -> call.end(Reply.of(StoreResult.TURNED_AWAY)));
             case RESET -> timers.after(ANSWER_MILLIS, () -> call.end(Reply.of(StoreResult.UNKNOWN)));
             default -> {
-                // Nothing ever comes.
+                // The call is never answered.
             }
         }
     }
 
-    private void answerIfNews(Call call) {
+    private void answerIfChanged(Call call) {
         if (version > call.after) {
             answer(call);
         }
     }
 
     private void answer(Call call) {
-        if (!underWay.remove(call)) {
+        if (!waiting.remove(call)) {
             return;
         }
-        ImmutableList.Builder<StoreRow> news = ImmutableList.builder();
+        ImmutableList.Builder<StoreRow> changed = ImmutableList.builder();
         for (int i = 0; i < rows.size(); i++) {
             if (call.whole || versions.get(i) > call.after) {
-                news.add(rows.get(i));
+                changed.add(rows.get(i));
             }
         }
-        Reply reply = new Reply(StoreResult.DONE, Optional.of(new RowPage(news.build(), version)));
+        Reply reply = new Reply(StoreResult.DONE, Optional.of(new RowPage(changed.build(), version)));
         timers.after(ANSWER_MILLIS / 2, () -> call.end(reply));
     }
 
-    /** One call; its caller hears of it once. */
+    /** A call, whose caller gets one reply at most. */
     private static final class Call {
         private final long after;
         private final boolean whole;
@@ -132,10 +132,10 @@
             this.reply = reply;
         }
 
-        void end(Reply how) {
+        void end(Reply answer) {
             if (!ended) {
                 ended = true;
-                reply.accept(how);
+                reply.accept(answer);
             }
         }
     }
--- a/tarragonarch-core/src/test/java/org/tarragonarch/core/follow/StoreOutageTest.java
+++ b/tarragonarch-core/src/test/java/org/tarragonarch/core/follow/StoreOutageTest.java
@@ -11,25 +11,25 @@
 import org.testng.annotations.Test;
 
 /**
- * How soon a change is heard of that is made right after the store was away.
+ * Tests how soon a follower sees a change made right after an outage of the store.
  *
- * <p>Operators are promised that a change is in force within 2 s of its confirmation; after a failure of the store
+ * <p>Operators are guaranteed that a change is in force within 2 s of its confirmation. After an outage of the store
  * nodes have 3 s from its end.
  */
 public final class StoreOutageTest {
     private static final long IN_FORCE_MILLIS = 2_000;
-    private static final long SETTLED_MILLIS = 3_000;
+    private static final long RECOVERY_MILLIS = 3_000;
 
-    /** Longer than any call of a follower takes, so that what is heard at all is heard by then. */
+    /** Longer than any call of a follower takes, so that each change which is seen at all is seen by then. */
     private static final long LONG_AFTER_MILLIS = 20_000;
 
-    /** How long a call for the configuration waits: two waits fit into the time in which a change must be in force. */
+    /** How long a call for the configuration waits: two waits fit into the time within which a change is in force. */
     private static final long WAIT_MILLIS = 890;
 
-    /** How often the list of endpoints is read. */
+    /** The period at which the list of endpoints is read. */
     private static final long PERIOD_MILLIS = 900;
 
-    /** Guards against a call that a silent store swallowed and that hides changes for five seconds after it. */
+    /** Guards against a call lost in a silent store that hides changes for five seconds after the outage. */
     @Test
     public void testFollow_changeAfterSilentOutage() {
         Outage outage = new Outage(0);
@@ -39,10 +39,10 @@
         outage.passTo(12_030);
         outage.change("version 21");
         outage.passTo(30_000);
-        outage.assertHeardBy("version 21", 11_250 + SETTLED_MILLIS);
+        outage.assertSeenBy("version 21", 11_250 + RECOVERY_MILLIS);
     }
 
-    /** Guards against tasks started on a leaving endpoint for 4.5 s after the return of a silent store. */
+    /** Guards against tasks started on a leaving endpoint for 4.5 s after a silent store has recovered. */
     @Test
     public void testFollow_periodicChangeAfterSilentOutage() {
         Outage outage = new Outage(PERIOD_MILLIS);
@@ -52,10 +52,10 @@
         outage.passTo(11_500);
         outage.change("an endpoint leaves");
         outage.passTo(30_000);
-        outage.assertHeardBy("an endpoint leaves", 11_250 + SETTLED_MILLIS);
+        outage.assertSeenBy("an endpoint leaves", 11_250 + RECOVERY_MILLIS);
     }
 
-    /** Ways to fail, and the pause between two calls of the follower. */
+    /** The ways to fail, each with the periods of the follower; 0 for long polling. */
     @DataProvider
     public Object[][] failures() {
         return new Object[][] {
@@ -68,24 +68,24 @@
         };
     }
 
-    /** The same at any moment, of any length, and with the change made at any moment around the store's return. */
+    /** Guards against changes seen late, for outages and changes at various times. */
     @Test(dataProvider = "failures")
-    public void testFollow_anyOutage(FailingStore.Failure how, long periodMillis) {
+    public void testFollow_anyOutage(FailingStore.Failure failure, long periodMillis) {
         for (long begin = 5_000; begin < 6_000; begin += 70) {
             for (long length = 50; length < 9_000; length += 130) {
                 for (long change : new long[] {10, 400, 1_100, 2_500}) {
                     Outage outage = new Outage(periodMillis);
-                    outage.fail(how, begin, begin + length);
+                    outage.fail(failure, begin, begin + length);
                     outage.passTo(begin + length + change);
                     outage.change("news");
                     outage.passTo(begin + length + change + LONG_AFTER_MILLIS);
-                    outage.assertHeardBy("news", begin + length + Math.max(SETTLED_MILLIS, change + IN_FORCE_MILLIS));
+                    outage.assertSeenBy("news", begin + length + Math.max(RECOVERY_MILLIS, change + IN_FORCE_MILLIS));
                 }
             }
         }
     }
 
-    /** Connections go silent for good without a reset, while new ones work; the store itself is never away. */
+    /** Guards against changes hidden by connections that go silent without a reset while the store does not fail. */
     @Test
     public void testFollow_connectionsGoSilent() {
         for (long moment = 5_000; moment < 10_000; moment += 30) {
@@ -95,16 +95,16 @@
             outage.passTo(moment + 200);
             outage.change("news");
             outage.passTo(moment + LONG_AFTER_MILLIS);
-            outage.assertHeardBy("news", moment + SETTLED_MILLIS);
+            outage.assertSeenBy("news", moment + RECOVERY_MILLIS);
         }
     }
 
-    /** One follower at one store, from time 0. */
+    /** A follower and its store, with times relative to its start. */
     private static final class Outage implements TableListener {
         private final VirtualTimers timers = new VirtualTimers();
         private final FailingStore store = new FailingStore(timers);
-        private final Map<String, Long> heard = new HashMap<>();
-        private final long beganAtMillis = timers.nowMillis();
+        private final Map<String, Long> seenAtMillis = new HashMap<>();
+        private final long startedAtMillis = timers.nowMillis();
 
         Outage(long periodMillis) {
             store.write("first");
@@ -117,10 +117,10 @@
             timers.pass(millis - now());
         }
 
-        /** Lets the store fail from a time to another, which it is then. */
-        void fail(FailingStore.Failure how, long fromMillis, long toMillis) {
+        /** Lets the store fail from one time to another, and virtual time pass to the latter. */
+        void fail(FailingStore.Failure failure, long fromMillis, long toMillis) {
             passTo(fromMillis);
-            store.fail(how);
+            store.fail(failure);
             passTo(toMillis);
             store.fail(FailingStore.Failure.NONE);
         }
@@ -129,13 +129,13 @@
             store.write(key);
         }
 
-        void assertHeardBy(String key, long millis) {
-            Long at = heard.get(key);
-            assertTrue(at != null && at <= millis, key + " heard at " + at + ", to be heard by " + millis);
+        void assertSeenBy(String key, long millis) {
+            Long at = seenAtMillis.get(key);
+            assertTrue(at != null && at <= millis, key + " seen at " + at + ", expected by " + millis);
         }
 
         private long now() {
-            return timers.nowMillis() - beganAtMillis;
+            return timers.nowMillis() - startedAtMillis;
         }
 
         @Override
@@ -145,32 +145,32 @@
 
         @Override
         public void rowsChanged(RowPage page) {
-            page.rows().forEach(row -> heard.putIfAbsent(row.key(), now()));
+            page.rows().forEach(row -> seenAtMillis.putIfAbsent(row.key(), now()));
         }
 
         @Override
         public void currentAsOf(long asOfMillis) {
-            // What was heard is all that matters here.
+            // Only rows matter here.
         }
 
         @Override
         public void rowsUnusable(RuntimeException why) {
-            throw new AssertionError("no row is wrong here", why);
+            throw new AssertionError("the listener must not throw", why);
         }
 
         @Override
         public void storeLost(FailedCall call) {
-            // What was heard is all that matters here.
+            // Only rows matter here.
         }
 
         @Override
         public void storeStillLost(FailedCall call) {
-            // What was heard is all that matters here.
+            // Only rows matter here.
         }
 
         @Override
         public void storeRegained(long awayMillis) {
-            // What was heard is all that matters here.
+            // Only rows matter here.
         }
     }
 }
--- a/tarragonarch-core/src/test/java/org/tarragonarch/core/follow/TableFollowerTest.java
+++ b/tarragonarch-core/src/test/java/org/tarragonarch/core/follow/TableFollowerTest.java
@@ -17,13 +17,13 @@
 import org.tarragonarch.model.store.StoreTable;
 import org.testng.annotations.Test;
 
-/** Following a table whose store answers as a script says. */
+/** Tests for {@link TableFollower} with a store that gives scripted answers. */
 public final class TableFollowerTest {
-    /** Where virtual time begins. */
-    private static final long BEGIN_MILLIS = new VirtualTimers().nowMillis();
+    /** The start of virtual time. */
+    private static final long START_MILLIS = new VirtualTimers().nowMillis();
 
-    /** The key of a row that the listener breaks on. */
-    private static final String BREAKING = "!";
+    /** The key of a row on which the listener throws. */
+    private static final String FAILING_KEY = "!";
 
     private final VirtualTimers timers = new VirtualTimers();
     private final Deque<RowStore.Reply> script = new ArrayDeque<>();
@@ -41,7 +41,12 @@
 
     private void run(RowStore.Reply... replies) {
         script.addAll(List.of(replies));
-        new TableFollower(new ScriptedStore(), StoreTable.OPERATOR, timers, new Notes(), FollowPace.longPolling(1_000))
+        new TableFollower(
+                        new ScriptedStore(),
+                        StoreTable.OPERATOR,
+                        timers,
+                        new RecordingListener(),
+                        FollowPace.longPolling(1_000))
                 .start();
         timers.pass(10_000);
     }
@@ -54,7 +59,7 @@
                 test.seen, ImmutableList.of("read", "replaced [a]", "follow 5", "changed [b]", "follow 7", "follow 8"));
     }
 
-    /** Guards against a node that takes a shard and reads the endpoints only after its long pause. */
+    /** Guards against a node that claims a shard but reads the endpoints only after the long pause before the claim. */
     @Test
     public void testChangePace_callOverdue() {
         TableFollowerTest test = new TableFollowerTest();
@@ -63,7 +68,7 @@
                 test.new ScriptedStore(),
                 StoreTable.ENDPOINTS,
                 test.timers,
-                test.new Notes(),
+                test.new RecordingListener(),
                 FollowPace.periodic(3_600));
         follower.start();
         test.timers.pass(1_000);
@@ -78,8 +83,7 @@
         assertEquals(test.seen.size(), 6);
     }
 
-    /** The store forgets its history: what was missed is read whole, or a configuration would never be heard of. */
-    /** Guards against a node that has claimed a shard and goes by a list that is up to 0.9 s old. */
+    /** Guards against a node that claims a shard and uses a list that is up to 0.9 s old. */
     @Test
     public void testFollowNow_duringPause() {
         TableFollowerTest test = new TableFollowerTest();
@@ -88,7 +92,7 @@
                 test.new ScriptedStore(),
                 StoreTable.ENDPOINTS,
                 test.timers,
-                test.new Notes(),
+                test.new RecordingListener(),
                 FollowPace.periodic(900));
         follower.start();
         test.timers.pass(100);
@@ -101,7 +105,7 @@
         assertEquals(test.seen.size(), 6);
     }
 
-    /** Guards against two calls at a time, of which the later answer may be the older one. */
+    /** Guards against two concurrent calls, of which the later answer may be the older one. */
     @Test
     public void testFollowNow_callUnderWay() {
         TableFollowerTest test = new TableFollowerTest();
@@ -111,7 +115,7 @@
                 test.new ScriptedStore(),
                 StoreTable.ENDPOINTS,
                 test.timers,
-                test.new Notes(),
+                test.new RecordingListener(),
                 FollowPace.periodic(900));
         follower.start();
         follower.followNow();
@@ -119,6 +123,7 @@
         assertEquals(test.seen, ImmutableList.of("read", "replaced [a]"));
     }
 
+    /** Guards against a change that is never seen because the store no longer has the history. */
     @Test
     public void testFollow_historyGone() {
         TableFollowerTest test = new TableFollowerTest();
@@ -127,7 +132,7 @@
                 test.seen, ImmutableList.of("read", "replaced [a]", "follow 5", "read", "replaced [b]", "follow 90"));
     }
 
-    /** The store is away for a while: it is asked again and again, from where the follower stood. */
+    /** Guards against a follower that stops after an outage, or continues from another version than its last one. */
     @Test
     public void testFollow_outage() {
         TableFollowerTest test = new TableFollowerTest();
@@ -148,7 +153,7 @@
                         "follow 6"));
     }
 
-    /** Guards against an answer held up on its way that is taken as valid for the moment of its arrival. */
+    /** Guards against a delayed answer that counts as complete as of its arrival. */
     @Test
     public void testCurrentAsOf_answerDelayed() {
         TableFollowerTest test = new TableFollowerTest();
@@ -157,11 +162,11 @@
         assertEquals(test.asOf, ImmutableList.of(0L, 1_700L + 1_000, 3_400L));
     }
 
-    /** Guards against a follower that makes no further call after its listener threw. */
+    /** Guards against a follower that makes no further call after its listener has thrown. */
     @Test
     public void testFollow_listenerThrows() {
         TableFollowerTest test = new TableFollowerTest();
-        test.run(page(5, "a"), page(7, BREAKING), page(8, "b"));
+        test.run(page(5, "a"), page(7, FAILING_KEY), page(8, "b"));
         assertEquals(
                 test.seen,
                 ImmutableList.of(
@@ -175,7 +180,7 @@
                         "follow 8"));
     }
 
-    /** Answers as the script says, and not at all when it is over. */
+    /** A store that gives the scripted answers, and no answer after the last one. */
     private final class ScriptedStore implements RowStore {
         @Override
         public void read(StoreTable table, Consumer<Reply> reply) {
@@ -191,7 +196,7 @@
 
         @Override
         public void put(StoreTable table, String key, byte[] value, Consumer<Reply> reply) {
-            throw new AssertionError("a follower writes nothing");
+            throw new AssertionError("a follower does not write");
         }
 
         private void answer(Consumer<Reply> reply) {
@@ -202,8 +207,8 @@
         }
     }
 
-    /** Notes what a listener is told. */
-    private final class Notes implements TableListener {
+    /** A listener that records its calls. */
+    private final class RecordingListener implements TableListener {
         @Override
         public void tableReplaced(RowPage page) {
             seen.add("replaced " + page.rows().stream().map(StoreRow::key).toList());
@@ -212,14 +217,14 @@
         @Override
         public void rowsChanged(RowPage page) {
             seen.add("changed " + page.rows().stream().map(StoreRow::key).toList());
-            if (page.rows().get(0).key().equals(BREAKING)) {
+            if (page.rows().get(0).key().equals(FAILING_KEY)) {
                 throw new IllegalStateException("broken");
             }
         }
 
         @Override
         public void currentAsOf(long asOfMillis) {
-            asOf.add(asOfMillis - BEGIN_MILLIS);
+            asOf.add(asOfMillis - START_MILLIS);
         }
 
         @Override
--- a/tarragonarch-core/src/test/java/org/tarragonarch/core/membership/FakeNode.java
+++ b/tarragonarch-core/src/test/java/org/tarragonarch/core/membership/FakeNode.java
@@ -25,9 +25,9 @@
 import org.tarragonarch.model.report.NodePhase;
 import org.tarragonarch.model.report.PeerReport;
 
-/** A node that is nothing but a directory of peers and what it has to report. */
+/** A node that consists of a directory of peers and the contents of its reports. */
 final class FakeNode implements ReportSource {
-    /** Stated here so that the tests' times stay what they are when the defaults change. */
+    /** Fixes the intervals on which the times in tests depend, so that changes of the defaults do not affect them. */
     private static final NodePolicy POLICY = new NodePolicy(
             NodePolicy.DEFAULT.vmListInterval(),
             NodePolicy.DEFAULT.configurationInterval(),
@@ -81,7 +81,7 @@
         return directory.recordReport(report, millis(millis), actions::add);
     }
 
-    /** Hands in the passing of time as the node's shell does, every 10 ms. */
+    /** Reports the passing of time when it is due, checking every 10 ms as the node's shell does. */
     void run(long fromMillis, long toMillis) {
         for (long now = fromMillis; now <= toMillis; now += 10) {
             if (millis(now) >= directory.nextWakeNanos()) {
@@ -98,7 +98,7 @@
         directory.reportNow(millis(millis), this, actions::add);
     }
 
-    /** Takes the reports sent since the last call. */
+    /** Returns the reports sent since the last call. */
     ImmutableList<SendReport> takeSent() {
         ImmutableList<SendReport> sent = actions.stream()
                 .filter(SendReport.class::isInstance)
@@ -108,7 +108,7 @@
         return sent;
     }
 
-    /** Returns the peers that an event was noted of, in order. */
+    /** Returns the peers for which an event was noted, in order. */
     ImmutableList<String> peersNoted(NoteEvent event) {
         return actions.stream()
                 .filter(Note.class::isInstance)
@@ -118,7 +118,7 @@
                 .collect(ImmutableList.toImmutableList());
     }
 
-    /** Returns a report as another node would send it. */
+    /** Returns a full report of this node as sent to another. */
     PeerReport report(long sequence) {
         return new PeerReport(
                 identity.node(),
--- a/tarragonarch-core/src/test/java/org/tarragonarch/core/membership/LinkChoiceTest.java
+++ b/tarragonarch-core/src/test/java/org/tarragonarch/core/membership/LinkChoiceTest.java
@@ -27,7 +27,7 @@
         links.forEach((pair, count) -> assertEquals((int) count, 4, pair));
     }
 
-    /** Guards against two domains without a link while the list still names a dead node in each. */
+    /** Guards against two domains without a link while one dead node in each is still listed. */
     @Test
     public void testChoose_oneDeadNodePerDomain() {
         for (int dead = 0; dead < 4; dead++) {
@@ -48,7 +48,7 @@
         return NodeId.of("d" + domain + "-n" + index);
     }
 
-    /** Counts the links of each pair of domains; nodes that are dead send nothing, and links to them do not count. */
+    /** Counts the links of each pair of domains, without links to dead nodes and links from nodes known to be dead. */
     private static Map<String, Integer> links(
             int domains, int nodes, ImmutableSet<NodeId> dead, ImmutableSet<NodeId> knownDead) {
         Map<String, Integer> links = new HashMap<>();
--- a/tarragonarch-core/src/test/java/org/tarragonarch/core/membership/PeerDirectoryTest.java
+++ b/tarragonarch-core/src/test/java/org/tarragonarch/core/membership/PeerDirectoryTest.java
@@ -26,7 +26,7 @@
         other = new FakeNode("hobart-2", "hobart", 3);
     }
 
-    /** Guards against a dead but listed node whose share of every endpoint stays unused. */
+    /** Guards against an unused share of every endpoint because a listed node is dead. */
     @Test
     public void testAliveInDomain_listedPeerWithoutReport() {
         self.updateListed(0, self.vm(), other.vm());
@@ -34,7 +34,7 @@
         assertEquals(self.directory.quotaSharers().size(), 2);
     }
 
-    /** A node has started and the list does not know it yet, or is out: it uses endpoints all the same. */
+    /** Guards against ignoring a node that uses endpoints but is not listed yet, or not listed during an outage. */
     @Test
     public void testAliveInDomain_unlistedPeerWithReport() {
         assertTrue(self.recordReport(0, other.report(1)));
@@ -55,7 +55,7 @@
         assertEquals(self.directory.quotaSharers().size(), 2);
     }
 
-    /** Guards against a node that takes rare calls for pauses of its own and shares with a dead peer for good. */
+    /** Guards against a node that takes infrequent calls for its own pauses and never detects a dead peer. */
     @Test
     public void testTimePassed_onlyPeerUnlistedAndSilent() {
         self.recordReport(0, other.report(1));
@@ -64,7 +64,7 @@
         assertEquals(self.directory.aliveInDomain(), ImmutableSet.of(SELF));
     }
 
-    /** Guards against a node that slept, takes its peers for silent and uses all slots of the domain. */
+    /** Guards against a node that paused, takes its peers for silent and uses all slots of the domain. */
     @Test
     public void testTimePassed_afterOwnPause() {
         self.updateListed(0, self.vm(), other.vm());
@@ -79,7 +79,7 @@
         assertEquals(self.peersNoted(NoteEvent.PEER_SILENT), ImmutableList.of("hobart-2"));
     }
 
-    /** Guards against late reports of a killed run that count as tasks in flight of the next. */
+    /** Guards against late reports of a killed process that count as tasks in flight of its successor. */
     @Test
     public void testRecordReport_earlierIncarnation() {
         FakeNode restarted = new FakeNode("hobart-2", "hobart", 4);
@@ -98,7 +98,7 @@
         assertEquals(self.peersNoted(NoteEvent.STALE_REPORT_DROPPED).size(), 2);
     }
 
-    /** An earlier process of this very node was only frozen, wakes and reports: it is no peer. */
+    /** Guards against an earlier process of this node that was suspended, resumes reporting and counts as a peer. */
     @Test
     public void testRecordReport_fromOwnName() {
         assertFalse(self.recordReport(0, new FakeNode("hobart-1", "hobart", 4).report(1)));
--- a/tarragonarch-core/src/test/java/org/tarragonarch/core/membership/ReporterTest.java
+++ b/tarragonarch-core/src/test/java/org/tarragonarch/core/membership/ReporterTest.java
@@ -56,7 +56,7 @@
         assertEquals(self.takeSent().size(), 80, 4);
     }
 
-    /** Guards against a wake at a time already past, for news that a round has sent meanwhile. */
+    /** Guards against a wake-up time in the past for a postponed check that a round has made unnecessary. */
     @Test
     public void testTimePassed_roundAfterPostponedReport() {
         self.timePassed(0);
@@ -77,7 +77,7 @@
         assertEquals(near.takeSent().size(), 10, 1);
     }
 
-    /** A leaving endpoint or a new configuration is news that other domains must not wait three rounds for. */
+    /** Guards against a leaving endpoint or new configuration that other domains learn of only after three rounds. */
     @Test
     public void testReportNow_peerOfOtherDomain() {
         FakeNode far = new FakeNode("devonport-1", "devonport", 3);
@@ -90,7 +90,7 @@
         assertEquals(near.takeSent().size(), 1);
     }
 
-    /** Guards against a message for each answer of a leaving endpoint instead of one for the first. */
+    /** Guards against a message for each answer of a leaving endpoint instead of one for the first answer. */
     @Test
     public void testReportNow_repeatedForOneChange() {
         self.timePassed(0);
@@ -133,39 +133,39 @@
         assertTrue(self.takeSent().get(0).report().full());
     }
 
-    /** Random loads over 200 reports: what the peer puts together from deltas is what the node has. */
+    /** Guards against deltas that do not add up to the node's loads, over 200 rounds of random changes. */
     @Test
     public void testTimePassed_deltasAddUpToLoads() {
         Random random = new Random(11);
-        Map<EndpointId, Integer> picture = new TreeMap<>();
+        Map<EndpointId, Integer> received = new TreeMap<>();
         int deltas = 0;
         for (int i = 0; i < 200; i++) {
             changeLoads(random);
             self.run(i * 300, i * 300 + 290);
             for (SendReport sent : self.takeSent()) {
                 deltas += sent.report().full() ? 0 : 1;
-                apply(sent.report(), picture);
-                assertEquals(picture, self.loads, "after step " + i);
+                apply(sent.report(), received);
+                assertEquals(received, self.loads, "after step " + i);
             }
         }
         assertTrue(deltas > 50, "only " + deltas + " deltas");
     }
 
-    /** One report in three is lost: the picture is whole again with each full report. */
+    /** Guards against loads that stay outdated after a full report, with one report in three lost. */
     @Test
     public void testTimePassed_fullReportAfterLostReports() {
         Random random = new Random(12);
-        Map<EndpointId, Integer> picture = new TreeMap<>();
+        Map<EndpointId, Integer> received = new TreeMap<>();
         int fulls = 0;
         for (int i = 0; i < 200; i++) {
             changeLoads(random);
             self.run(i * 300, i * 300 + 290);
             for (SendReport sent : self.takeSent()) {
                 if (random.nextInt(3) != 0) {
-                    apply(sent.report(), picture);
+                    apply(sent.report(), received);
                     if (sent.report().full()) {
                         fulls++;
-                        assertEquals(picture, self.loads, "after step " + i);
+                        assertEquals(received, self.loads, "after step " + i);
                     }
                 }
             }
@@ -182,28 +182,28 @@
         }
         self.updateListed(0, vms);
         Random random = new Random(13);
-        long cost = 0;
-        Map<String, Long> heardMillis = new TreeMap<>();
-        Map<String, Long> toldMillis = new TreeMap<>();
+        long bytes = 0;
+        Map<String, Long> reportMillis = new TreeMap<>();
+        Map<String, Long> loadsMillis = new TreeMap<>();
         for (long millis = 0; millis < 60_000; millis += 50) {
             for (int i = 0; i < 30; i++) {
                 self.loads.put(EndpointId.of(String.format("w-%03d", random.nextInt(110))), 1 + random.nextInt(3));
             }
             self.run(millis, millis + 40);
             for (SendReport sent : self.takeSent()) {
-                cost += ReportPacer.estimatedBytes(sent.report().loads().size());
-                long before = heardMillis.getOrDefault(sent.peer().value(), 0L);
+                bytes += ReportPacer.estimatedBytes(sent.report().loads().size());
+                long before = reportMillis.getOrDefault(sent.peer().value(), 0L);
                 assertTrue(millis - before <= 750, "silent from " + before + " to " + millis);
-                heardMillis.put(sent.peer().value(), millis);
+                reportMillis.put(sent.peer().value(), millis);
                 if (!sent.report().loads().isEmpty()) {
-                    long told = toldMillis.getOrDefault(sent.peer().value(), 0L);
-                    assertTrue(millis - told <= 10_000, "not told loads from " + told + " to " + millis);
-                    toldMillis.put(sent.peer().value(), millis);
+                    long loadsBefore = loadsMillis.getOrDefault(sent.peer().value(), 0L);
+                    assertTrue(millis - loadsBefore <= 10_000, "no loads from " + loadsBefore + " to " + millis);
+                    loadsMillis.put(sent.peer().value(), millis);
                 }
             }
         }
-        assertTrue(cost / 60 <= ReportPacer.BYTES_PER_SECOND * 1.05, cost / 60 + " bytes a second");
-        assertEquals(toldMillis.size(), 30);
+        assertTrue(bytes / 60 <= ReportPacer.BYTES_PER_SECOND * 1.05, bytes / 60 + " bytes a second");
+        assertEquals(loadsMillis.size(), 30);
     }
 
     private void changeLoads(Random random) {
@@ -218,15 +218,15 @@
         }
     }
 
-    private static void apply(PeerReport report, Map<EndpointId, Integer> picture) {
+    private static void apply(PeerReport report, Map<EndpointId, Integer> received) {
         if (report.full()) {
-            picture.clear();
+            received.clear();
         }
         report.loads().forEach(load -> {
             if (load.inFlight() == 0) {
-                picture.remove(load.endpoint());
+                received.remove(load.endpoint());
             } else {
-                picture.put(load.endpoint(), load.inFlight());
+                received.put(load.endpoint(), load.inFlight());
             }
         });
     }
--- a/tarragonarch-core/src/test/java/org/tarragonarch/core/runtime/RunTimeEstimatorTest.java
+++ b/tarragonarch-core/src/test/java/org/tarragonarch/core/runtime/RunTimeEstimatorTest.java
@@ -25,10 +25,12 @@
         return new Object[][] {{Duration.ofMillis(20)}, {Duration.ofSeconds(2)}};
     }
 
+    /**
+     * Guards against queue order and admission that follow a wrong declaration for more than a few tasks; a client
+     * declares a tenth of the real run time, or ten times as much.
+     */
     @Test(dataProvider = "wrongPriors")
     public void testExpectedNanos_declarationWrongByFactorTen(Duration declared) {
-        // A client declares a tenth, or ten times, of what its tasks really take. Queue order and admission must not
-        // follow it for more than a few tasks.
         RunTimeEstimator estimator = RunTimeEstimator.create();
         for (int i = 0; i < 4; i++) {
             estimator.observe(SERVICE, KIND, Duration.ofMillis(200).toNanos());
@@ -47,7 +49,7 @@
                     SERVICE, KIND, Duration.ofMillis(straggler ? 2000 : 200).toNanos());
         }
         double millis = estimator.expectedNanos(SERVICE, KIND, Duration.ZERO) / 1e6;
-        assertEquals(millis, 290, 200, "the mean, stragglers and all, within what the last fifty give");
+        assertEquals(millis, 290, 200, "the mean including stragglers, within the spread of the last fifty tasks");
         for (int i = 0; i < 200; i++) {
             estimator.observe(SERVICE, KIND, Duration.ofMillis(50).toNanos());
         }
--- a/tarragonarch-core/src/test/java/org/tarragonarch/core/shard/ElectionFixture.java
+++ b/tarragonarch-core/src/test/java/org/tarragonarch/core/shard/ElectionFixture.java
@@ -9,7 +9,7 @@
 import org.tarragonarch.model.report.NodeStatus;
 import org.tarragonarch.model.task.FencingToken;
 
-/** Two failure domains, and the statuses of nodes in them. */
+/** Two failure domains, and statuses of nodes in them. */
 final class ElectionFixture {
     static final FailureDomain HOBART = FailureDomain.of("hobart");
     static final FailureDomain LAUNCESTON = FailureDomain.of("launceston");
--- a/tarragonarch-core/src/test/java/org/tarragonarch/core/shard/EndpointListStabilityTest.java
+++ b/tarragonarch-core/src/test/java/org/tarragonarch/core/shard/EndpointListStabilityTest.java
@@ -11,7 +11,7 @@
 import org.tarragonarch.model.task.Resources;
 import org.testng.annotations.Test;
 
-/** When a list of endpoints can be taken for whole. */
+/** Tests for {@link EndpointListStability}. */
 public final class EndpointListStabilityTest {
     private static final FailureDomain HOBART = FailureDomain.of("hobart");
     private static final ImmutableSet<FailureDomain> SHARDS = ImmutableSet.of(HOBART);
@@ -21,27 +21,29 @@
         return new EndpointEntry(EndpointId.of(id), "s", new Address("10.0.0.1", 80), HOBART, false, capacity, false);
     }
 
-    /** A domain was cut off for ten seconds; outside its list is empty, and then comes back one by one. */
+    /**
+     * Guards against a list taken as complete while entries that lapsed in a partition are still returning one by one.
+     */
     @Test
     public void testIsStable_entriesLapseAndReturn() {
         EndpointList endpoints = new EndpointList();
         endpoints.setServices(ImmutableSet.of("s"));
-        EndpointListStability lists = new EndpointListStability(endpoints);
+        EndpointListStability stability = new EndpointListStability(endpoints);
         endpoints.recordListed(entry("w-1"));
         endpoints.recordListed(entry("w-2"));
-        lists.update(SHARDS, 0);
-        assertFalse(lists.isStable(HOBART, 1_900));
-        assertTrue(lists.isStable(HOBART, 2_000));
+        stability.update(SHARDS, 0);
+        assertFalse(stability.isStable(HOBART, 1_900));
+        assertTrue(stability.isStable(HOBART, 2_000));
         endpoints.recordUnlisted(EndpointId.of("w-1"), 10_000);
         endpoints.recordUnlisted(EndpointId.of("w-2"), 10_000);
-        lists.update(SHARDS, 10_000);
-        assertFalse(lists.isStable(HOBART, 20_000));
+        stability.update(SHARDS, 10_000);
+        assertFalse(stability.isStable(HOBART, 20_000));
         endpoints.recordListed(entry("w-1"));
-        lists.update(SHARDS, 20_000);
-        assertFalse(lists.isStable(HOBART, 20_100));
+        stability.update(SHARDS, 20_000);
+        assertFalse(stability.isStable(HOBART, 20_100));
         endpoints.recordListed(entry("w-2"));
-        lists.update(SHARDS, 21_500);
-        assertTrue(lists.isStable(HOBART, 23_500));
+        stability.update(SHARDS, 21_500);
+        assertTrue(stability.isStable(HOBART, 23_500));
     }
 
     @Test
@@ -49,12 +51,12 @@
         EndpointList endpoints = new EndpointList();
         endpoints.setServices(ImmutableSet.of("s"));
         endpoints.recordListed(entry("w-1"));
-        EndpointListStability lists = new EndpointListStability(endpoints);
-        lists.update(SHARDS, 0);
+        EndpointListStability stability = new EndpointListStability(endpoints);
+        stability.update(SHARDS, 0);
         endpoints.recordStoreLost();
-        assertFalse(lists.isStable(HOBART, 5_000));
+        assertFalse(stability.isStable(HOBART, 5_000));
         endpoints.recordStoreRegained(6_000);
-        assertFalse(lists.isStable(HOBART, 7_900));
-        assertTrue(lists.isStable(HOBART, 8_000));
+        assertFalse(stability.isStable(HOBART, 7_900));
+        assertTrue(stability.isStable(HOBART, 8_000));
     }
 }
--- a/tarragonarch-core/src/test/java/org/tarragonarch/core/shard/EndpointListTest.java
+++ b/tarragonarch-core/src/test/java/org/tarragonarch/core/shard/EndpointListTest.java
@@ -14,7 +14,7 @@
 import org.tarragonarch.model.task.Resources;
 import org.testng.annotations.Test;
 
-/** The list of endpoints through outages of the store. */
+/** Tests for {@link EndpointList}. */
 public final class EndpointListTest {
     private static final FailureDomain HOBART = FailureDomain.of("hobart");
 
@@ -47,7 +47,7 @@
         assertTrue(list.isEmpty());
     }
 
-    /** Guards against endpoints dropped since their entries lapsed while the store was away. */
+    /** Guards against dropping live endpoints whose entries lapsed during an outage of the store. */
     @Test
     public void testRecordUnlisted_afterOutage() {
         EndpointList list = list();
@@ -64,7 +64,7 @@
         assertEquals(list.inDomain(HOBART), ImmutableList.of(entry("back")));
     }
 
-    /** Guards against a holder that does not read an endpoint which has lost its entry and runs on. */
+    /** Guards against a holder that does not ask an endpoint which lost its entry but still runs tasks. */
     @Test
     public void testInDomainWithDeparted_removedEntry() {
         EndpointList list = list();
@@ -78,7 +78,7 @@
         assertEquals(list.inDomainWithDeparted(HOBART), ImmutableList.of());
     }
 
-    /** Guards against a holder that calls endpoints of a service that nobody knows. */
+    /** Guards against a holder that calls endpoints of an unknown service. */
     @Test
     public void testInDomainWithDeparted_unknownService() {
         EndpointList list = list();
@@ -87,7 +87,7 @@
         assertEquals(list.inDomainWithDeparted(HOBART), ImmutableList.of());
     }
 
-    /** Guards against an endpoint that is back and gets nothing, or is held twice. */
+    /** Guards against an endpoint whose entry returned but that stays draining or is returned twice. */
     @Test
     public void testInDomainWithDeparted_listedAgain() {
         EndpointList list = list();
@@ -97,7 +97,7 @@
         assertEquals(list.inDomainWithDeparted(HOBART), ImmutableList.of(entry("w")));
     }
 
-    /** Guards against jobs that wait for an endpoint which has left as it had announced. */
+    /** Guards against jobs that wait for an endpoint which announced that it leaves and then left. */
     @Test
     public void testInDomainWithDeparted_announced() {
         EndpointList list = list();
@@ -117,7 +117,7 @@
         return entry("w").withIncarnation(new EndpointIncarnation(EndpointId.of("w"), startedMillis));
     }
 
-    /** Guards against an entry of an earlier incarnation that is read, or given by a peer, after a later one. */
+    /** Guards against accepting an entry of an earlier incarnation, from the store or a peer, after a later one. */
     @Test
     public void testRecordListed_earlierIncarnation() {
         EndpointList list = list();
@@ -130,7 +130,7 @@
         assertEquals(list.inDomain(HOBART), ImmutableList.of(started(3_000)));
     }
 
-    /** Guards against an entry of an earlier incarnation that is read while the later one is not listed. */
+    /** Guards against accepting an entry of an earlier incarnation while the later one is not listed. */
     @Test
     public void testRecordListed_earlierIncarnationWhileUnlisted() {
         EndpointList list = list();
@@ -141,7 +141,7 @@
         assertTrue(list.recordListed(started(2_000)));
     }
 
-    /** Guards against an entry by another writer, who does not know the start, that is taken for the endpoint's own. */
+    /** Guards against accepting an entry of another writer, which lacks the start time, as the endpoint's own. */
     @Test
     public void testRecordListed_withoutKnownStart() {
         EndpointList list = list();
@@ -153,7 +153,7 @@
         assertEquals(list.inDomain(HOBART), ImmutableList.of(started(2_000)));
     }
 
-    /** Another program's entry names a service that nobody configured; it gets no orders until somebody does. */
+    /** Guards against using an endpoint whose entry, by another writer, names a service that is not configured. */
     @Test
     public void testInDomain_unknownService() {
         EndpointList list = list();
@@ -164,11 +164,11 @@
         assertEquals(list.inDomain(HOBART).size(), 2);
     }
 
-    /** Guards against tasks started on a leaving endpoint by a new holder with an old list. */
+    /** Guards against a new holder that starts tasks on a leaving endpoint because its list is outdated. */
     @Test
     public void testIsFresh() {
         EndpointList list = list();
-        assertTrue(list.isFresh(0), "nothing else can be had");
+        assertTrue(list.isFresh(0), "no newer list is available");
         list.recordCurrentAsOf(1_000);
         assertTrue(list.isFresh(2_800));
         assertFalse(list.isFresh(2_801));
--- a/tarragonarch-core/src/test/java/org/tarragonarch/core/shard/HeartbeatsTest.java
+++ b/tarragonarch-core/src/test/java/org/tarragonarch/core/shard/HeartbeatsTest.java
@@ -19,7 +19,7 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** Who speaks to whom how often, and when silence means that a peer is gone. */
+/** Tests for {@link Heartbeats}, and for the detection of silent peers by {@link PeerTable}. */
 public final class HeartbeatsTest {
     private static final FailureDomain HOBART = FailureDomain.of("hobart");
     private static final FailureDomain LAUNCESTON = FailureDomain.of("launceston");
@@ -84,7 +84,7 @@
         assertEquals(peers.expire(PeerTable.DISTANT_SILENCE_MILLIS + 1), ImmutableList.of(SUCCESSOR));
     }
 
-    /** Guards against a domain unserved for six seconds since the successor was lost with the holder. */
+    /** Guards against a domain without a holder for six seconds because its successor failed at the same time. */
     @Test
     public void testExpire_holderAndSuccessorLost() {
         peers.recordStatus(holder(), 0);
@@ -92,12 +92,12 @@
         heartbeats.review(ImmutableSet.of(), 0);
         assertFalse(heartbeats.isWithoutHolder());
         assertEquals(peers.expire(701), ImmutableList.of(HOLDER));
-        assertTrue(heartbeats.review(ImmutableSet.of(), 701), "has to be told at once");
+        assertTrue(heartbeats.review(ImmutableSet.of(), 701), "peers must receive the status at once");
         assertEquals(peers.expire(1_401), ImmutableList.of());
         assertEquals(peers.expire(1_402), ImmutableList.of(SUCCESSOR));
     }
 
-    /** A node that has just become the holder has heard most peers a second ago; they are not gone for that. */
+    /** Guards against a new holder that takes peers for lost because their infrequent statuses are a second old. */
     @Test
     public void testExpire_newHolder() {
         peers.recordStatus(holder(), 0);
@@ -108,7 +108,7 @@
         assertEquals(peers.expire(2_000), ImmutableList.of());
     }
 
-    /** Guards against connections to all nodes that fill the first second of each after a loss of power. */
+    /** Guards against nodes that all connect to all others in the first second after a power failure. */
     @Test
     public void testTakeDueAudience_nodeWithoutHolder() {
         peers.recordStatus(status(SUCCESSOR, true), 0);
@@ -121,7 +121,7 @@
         assertEquals(heartbeats.frequentRecipientsOutside(heartbeats.neighbours()), ImmutableList.of(OTHER_HOLDER));
     }
 
-    /** Another pool without a holder is no matter of this node: its next holder tells everybody. */
+    /** Guards against frequent statuses because another pool has no holder; its next holder informs every node. */
     @Test
     public void testReview_otherPoolWithoutHolder() {
         peers.recordStatus(holder(), 0);
@@ -129,7 +129,7 @@
         assertFalse(heartbeats.isWithoutHolder());
     }
 
-    /** A node of another pool has let go of its shard, and has no reason to speak to this one any more. */
+    /** Guards against reporting a node of another pool as lost that sends no statuses because it released its shard. */
     @Test
     public void testExpire_peerThatOwesNoStatus() {
         peers.recordStatus(holder(), 0);
--- a/tarragonarch-core/src/test/java/org/tarragonarch/core/shard/HolderElectionTest.java
+++ b/tarragonarch-core/src/test/java/org/tarragonarch/core/shard/HolderElectionTest.java
@@ -18,21 +18,21 @@
 import org.tarragonarch.model.task.FencingToken;
 import org.testng.annotations.Test;
 
-/** Who holds a shard when nodes come, go and cannot hear each other. */
+/** Tests for {@link HolderElection} where each domain is a pool of its own. */
 public final class HolderElectionTest {
     /** Two regions, so that each domain is a pool of its own. */
-    private static final ShardPools APART = new ShardPools(
+    private static final ShardPools SEPARATE_POOLS = new ShardPools(
             ImmutableMap.of(HOBART, Region.of("south"), LAUNCESTON, Region.of("north")), new EndpointList());
 
-    private static final int CORES = 360;
+    private static final int MILLI_CORES = 360;
     private static final int STRONG = 1_500;
 
     private static HolderElection election(String node, FailureDomain domain, PeerTable peers) {
-        return new HolderElection(NodeId.of(node), domain, "10.0.0.5", CORES, peers, APART);
+        return new HolderElection(NodeId.of(node), domain, "10.0.0.5", MILLI_CORES, peers, SEPARATE_POOLS);
     }
 
     private static NodeStatus status(String node, FailureDomain domain, boolean leaving, HeldShard... held) {
-        return ElectionFixture.status(node, domain, CORES, leaving, held);
+        return ElectionFixture.status(node, domain, MILLI_CORES, leaving, held);
     }
 
     private static NodeStatus strong(String node, FailureDomain domain, boolean leaving) {
@@ -54,7 +54,7 @@
         assertTrue(election("c", HOBART, peers).shouldClaim(HOBART, 0));
     }
 
-    /** A domain is cut off and goes on by itself; nodes outside must not take its endpoints the moment they miss it. */
+    /** Guards against a node that claims the shard of a partitioned domain, which still has its own holder, at once. */
     @Test
     public void testShouldClaim_otherDomain() {
         PeerTable peers = new PeerTable();
@@ -84,7 +84,7 @@
         assertTrue(peers.holder(HOBART).isEmpty());
     }
 
-    /** A node of another domain kept a shard while its own nodes were away; they take it back when they are there. */
+    /** Guards against a node that keeps the shard of another domain after that domain's nodes have returned. */
     @Test
     public void testShouldResign_nodeOfShardsDomainReturns() {
         PeerTable peers = new PeerTable();
@@ -95,7 +95,7 @@
         assertTrue(outside.shouldResign(LAUNCESTON, 0));
     }
 
-    /** Two nodes that do not hear each other would take the endpoints from one another for ever. */
+    /** Guards against two nodes, each unreachable to the other, that fence each other indefinitely. */
     @Test
     public void testRecordFenced_backsOff() {
         PeerTable peers = new PeerTable();
@@ -106,7 +106,7 @@
         assertTrue(alone.shouldClaim(HOBART, 4_000));
     }
 
-    /** A restarted node remembers nothing; its tokens must still be above those of its earlier life. */
+    /** Guards against a restarted node, which has no state, claiming under a lower token than before its restart. */
     @Test
     public void testClaim_afterRestart() {
         HolderElection before = election("a", HOBART, new PeerTable());
@@ -116,7 +116,7 @@
         assertTrue(second.compareTo(first) > 0);
     }
 
-    /** Guards against a domain's own holder that yields to a higher token from outside after a cut. */
+    /** Guards against a domain's own holder that yields to the higher token of another domain after a partition. */
     @Test
     public void testShouldResign_higherTokenOfOtherDomain() {
         PeerTable peers = new PeerTable();
@@ -154,18 +154,18 @@
         assertTrue(outside.shouldClaim(LAUNCESTON, 7_000));
     }
 
-    /** Guards against a shard held by a small VM, first by name, while large ones idle. */
+    /** Guards against a shard held by a small VM, first by name, while large VMs are idle. */
     @Test
     public void testShouldClaim_strongestOfItsDomain() {
         PeerTable peers = new PeerTable();
         peers.recordStatus(strong("z", HOBART, false), 0);
         assertFalse(election("a", HOBART, peers).shouldClaim(HOBART, 0));
         HolderElection strongest =
-                new HolderElection(NodeId.of("z"), HOBART, "10.0.0.6", STRONG, new PeerTable(), APART);
+                new HolderElection(NodeId.of("z"), HOBART, "10.0.0.6", STRONG, new PeerTable(), SEPARATE_POOLS);
         assertTrue(strongest.shouldClaim(HOBART, 0));
     }
 
-    /** Both large VMs were restarted, and a small one took the shard meanwhile; it hands it back once they are warm. */
+    /** Guards against a small VM that keeps a shard which it claimed while the large VMs were restarting. */
     @Test
     public void testShouldResign_muchStrongerNodeReturns() {
         PeerTable peers = new PeerTable();
@@ -187,7 +187,7 @@
         assertFalse(small.shouldResign(HOBART, 5_000));
     }
 
-    /** Guards against two nodes that take a shard from each other twenty times a second. */
+    /** Guards against two nodes that fence each other twenty times a second. */
     @Test
     public void testRecordFenced_twoHoldersUnreachableToEachOther() {
         PeerTable peers = new PeerTable();
@@ -202,7 +202,7 @@
         assertTrue(one.shouldClaim(HOBART, 4_050));
     }
 
-    /** Guards against a cut-off node that claims every shard and has most callers refused. */
+    /** Guards against a partitioned node that claims every shard, so that most callers are refused. */
     @Test
     public void testShouldClaim_allPeersSilentAtOnce() {
         PeerTable peers = new PeerTable();
@@ -221,7 +221,7 @@
         assertTrue(cutOff.shouldClaim(LAUNCESTON, 14_500));
     }
 
-    /** All processes but one are killed: their connections end at once, and the one that is left goes on for all. */
+    /** Guards against shards without a holder for long after all processes but one were killed at once. */
     @Test
     public void testShouldClaim_allPeersKilledAtOnce() {
         PeerTable peers = new PeerTable();
@@ -236,7 +236,7 @@
         assertTrue(left.shouldClaim(HOBART, 10));
     }
 
-    /** The only node of its domain is cut off with it, and its endpoints too: nobody else can serve that domain. */
+    /** Guards against a partitioned domain whose only node does not claim its shard, although no other node can. */
     @Test
     public void testShouldClaim_onlyNodeOfPartitionedDomain() {
         PeerTable peers = new PeerTable();
@@ -249,7 +249,7 @@
         assertFalse(only.shouldClaim(LAUNCESTON, 11_000));
     }
 
-    /** One peer after the other is lost: the last node is not cut off, and goes on for all. */
+    /** Guards against a last node that takes itself for partitioned although its peers were lost one by one. */
     @Test
     public void testShouldClaim_peersLostOneByOne() {
         PeerTable peers = new PeerTable();
@@ -262,7 +262,7 @@
         assertTrue(last.shouldClaim(HOBART, 30_000));
     }
 
-    /** Guards against several nodes that claim a lost domain's shard since they do not know each other. */
+    /** Guards against several nodes without shards that claim a lost domain's shard, unaware of each other. */
     @Test
     public void testShouldClaim_otherPoolsShardOnlyByHolders() {
         PeerTable peers = new PeerTable();
