--- a/tarragonarch-core/src/test/java/org/tarragonarch/core/shard/ListAtHandOverTest.java
+++ b/tarragonarch-core/src/test/java/org/tarragonarch/core/shard/ListAtHandOverTest.java
@@ -26,24 +26,24 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** A holder dies while a task runs on an endpoint that is not on the next holder's list. */
+/** A holder dies while a task runs on an endpoint that the next holder's list lacks. */
 public final class ListAtHandOverTest {
     private static final EndpointId LISTED = EndpointId.of("w-1");
     private static final EndpointId UNLISTED = EndpointId.of("w-2");
     private static final long TASK_MILLI_CORES = 7_000;
 
-    /** Room for two tasks. */
+    /** Capacity for two tasks. */
     private static final Resources LARGE = new Resources(16_000, 32_768, 0);
 
-    /** Room for one task; it is given one first, as the endpoint with the least room. */
+    /** Capacity for one task; as the endpoint with the least free capacity it is used first. */
     private static final Resources SMALL = new Resources(8_000, 32_768, 0);
 
     private static final long DEADLINE_MILLIS = 6_000;
 
-    /** Whole periods of reading the list, long enough for a list to show every departure. */
+    /** A multiple of the period of reading the list, long enough that all departed endpoints are known. */
     private static final long READ_FOR_MILLIS = 18 * 900;
 
-    /** How long a lost holder's runs may go on after the loss was noticed: the lease on the slowest clock. */
+    /** How long the runs of a lost holder may continue after the loss was detected: the lease on the slowest clock. */
     private static final long RUNS_LAST_MILLIS = 1_050;
 
     private VirtualTimers timers;
@@ -85,7 +85,7 @@
         return offer(step.count(), step.estimateMillis(), offer.ageMillis() + laterMillis, earlierRuns);
     }
 
-    /** Lets the first node read the list now and claim, and the second read it 0.2 s later. */
+    /** Lets the first node read the list and claim now, and the second read the list 0.2 s later. */
     private void firstClaims() {
         first.readListAfter(0);
         second.readListAfter(200);
@@ -97,7 +97,7 @@
         timers.pass(10 + READ_FOR_MILLIS);
     }
 
-    /** Lets the first node die, and the second claim at once and be offered the job. */
+    /** Lets the first node die, and the second claim at once and receive the offer of the job. */
     private void secondTakesOver(Offer offer, long jobAgeMillis) {
         second.review();
         assertFalse(second.holdsShard());
@@ -109,11 +109,11 @@
     }
 
     private void assertEachTaskRanOnceAtATime() {
-        String message = ledger.broken() + ", the next holder went on by " + second.grounds();
+        String message = ledger.broken() + ", the next holder recovered on " + second.grounds();
         assertEquals(ledger.broken().size(), 0, message);
     }
 
-    /** Guards against a task that runs twice because its endpoint joined after the next holder had read the list. */
+    /** Guards against a task that runs twice because its endpoint joined after the next holder read the list. */
     @Test
     public void testOffer_endpointJoinedAfterListRead() {
         register(LISTED, LARGE, 900);
@@ -125,7 +125,7 @@
         first.offer(offer);
         timers.pass(80);
         assertEquals(joined.running(), 1);
-        // The second node has read the list 0.8 s ago, and reads it again in 0.1 s.
+        // The second node read the list 0.8 s ago and reads it again in 0.1 s.
         secondTakesOver(offer, 80);
         timers.pass(5_000);
         assertEachTaskRanOnceAtATime();
@@ -144,7 +144,7 @@
         timers.pass(50);
         assertEquals(dropped.running(), 1);
         store.remove(UNLISTED);
-        // The second node reads the list without the entry at 1.1 s; at 3.2 s it has not changed for 2.1 s.
+        // The second node reads the list without the entry at 1.1 s; at 3.2 s the list is unchanged for 2.1 s.
         timers.pass(2_330);
         assertEquals(dropped.running(), 1);
         secondTakesOver(offer, 2_380);
@@ -153,7 +153,7 @@
         assertEquals(second.verdicts().size(), 1);
     }
 
-    /** Guards against a task that runs twice because the next holder started after its endpoint had lost its entry. */
+    /** Guards against a task that runs twice because the next holder started after its endpoint lost its entry. */
     @Test
     public void testOffer_nextHolderStartedAfterEntryLost() {
         register(LISTED, LARGE, 6_000);
--- a/tarragonarch-core/src/test/java/org/tarragonarch/core/shard/ListReadingNode.java
+++ b/tarragonarch-core/src/test/java/org/tarragonarch/core/shard/ListReadingNode.java
@@ -23,14 +23,14 @@
 import org.tarragonarch.model.task.Offer;
 import org.tarragonarch.model.task.Verdict;
 
-/** A node of a domain that is a pool of its own; it reads the list of endpoints as often as a holder does. */
+/** A node whose domain is a pool of its own, and that reads the list of endpoints as often as a holder does. */
 final class ListReadingNode {
     static final String SERVICE = "board";
 
-    /** The pace of a node that holds a shard or would be the next to. */
+    /** The period of a node that holds a shard or is the successor of its holder. */
     private static final long LIST_PERIOD_MILLIS = 900;
 
-    private static final int CORES = 360;
+    private static final int MILLI_CORES = 360;
 
     private final String name;
     private final Map<EndpointId, EndpointEntry> store;
@@ -45,14 +45,14 @@
     /**
      * Creates a node that has not read the list.
      *
-     * @param store the entries that the store has, as they are at each reading
+     * @param store a live view of the entries in the store
      */
     ListReadingNode(String name, Map<EndpointId, EndpointEntry> store, EndpointOrders orders, VirtualTimers timers) {
         this.name = name;
         this.store = store;
         this.timers = timers;
         ShardPools pools = new ShardPools(ImmutableMap.of(HOBART, Region.of("south")), endpoints);
-        HolderElection election = new HolderElection(NodeId.of(name), HOBART, "10.0.0.9", CORES, peers, pools);
+        HolderElection election = new HolderElection(NodeId.of(name), HOBART, "10.0.0.9", MILLI_CORES, peers, pools);
         endpoints.setServices(ImmutableSet.of(SERVICE));
         this.ownership = new ShardOwnership(
                 pools,
@@ -65,7 +65,7 @@
                 new Events());
     }
 
-    /** Reads the list after this long, and from then on every 0.9 s. */
+    /** Reads the list after this time, and every 0.9 s from then on. */
     void readListAfter(long millis) {
         timers.after(millis, this::readList);
     }
@@ -82,7 +82,7 @@
         readListAfter(LIST_PERIOD_MILLIS);
     }
 
-    /** Claims the shard if the election says so. */
+    /** Claims or releases the shard as the election decides. */
     void review() {
         ownership.review();
     }
@@ -92,14 +92,15 @@
     }
 
     NodeStatus status() {
-        return ElectionFixture.status(name, HOBART, CORES, false, Iterables.toArray(ownership.held(), HeldShard.class));
+        return ElectionFixture.status(
+                name, HOBART, MILLI_CORES, false, Iterables.toArray(ownership.held(), HeldShard.class));
     }
 
     void recordStatus(NodeStatus peer) {
         peers.recordStatus(peer, timers.nowMillis());
     }
 
-    /** The last connection with the peer broke. */
+    /** Records that the last connection to the peer broke. */
     void recordConnectionLost(ListReadingNode peer) {
         peers.recordConnectionLost(NodeId.of(peer.name));
     }
@@ -108,7 +109,7 @@
         ownership.placer().orElseThrow().offer(offer);
     }
 
-    /** Reads nothing and gives no orders from now on. */
+    /** Stops reading the list and sending orders. */
     void die() {
         dead = true;
         ownership.placer().orElseThrow().close();
@@ -118,7 +119,7 @@
         return verdicts;
     }
 
-    /** Returns on what grounds this node went on with jobs of an earlier holder. */
+    /** Returns the grounds on which this node recovered jobs of an earlier holder. */
     List<RecoveryGround> grounds() {
         return grounds;
     }
--- a/tarragonarch-core/src/test/java/org/tarragonarch/core/shard/ShardPoolsTest.java
+++ b/tarragonarch-core/src/test/java/org/tarragonarch/core/shard/ShardPoolsTest.java
@@ -12,7 +12,7 @@
 import org.tarragonarch.model.task.Resources;
 import org.testng.annotations.Test;
 
-/** Which shards go together, as endpoints come and go. */
+/** Tests for {@link ShardPools}. */
 public final class ShardPoolsTest {
     private static final FailureDomain HOBART = FailureDomain.of("hobart");
     private static final FailureDomain LAUNCESTON = FailureDomain.of("launceston");
@@ -42,7 +42,7 @@
         assertEquals(test.pools.shards(), ImmutableSet.of(HOBART, LAUNCESTON, ESPOO));
     }
 
-    /** Guards against a pool that splits and joins each time a region crosses 96 endpoints. */
+    /** Guards against a pool that splits and rejoins each time its region crosses 96 endpoints. */
     @Test
     public void testPoolOf_splitRegionShrinks() {
         ShardPoolsTest test = new ShardPoolsTest();
