--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/follow/TableListener.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/follow/TableListener.java
@@ -18,7 +18,7 @@
     void currentAsOf(long asOfMillis);
 
     /** This listener threw an exception when it received rows; the table is read whole again. */
-    void rowsUnusable(RuntimeException why);
+    void rowsUnusable(RuntimeException cause);
 
     /** A call failed; the received rows may be outdated from now on. */
     void storeLost(FailedCall call);
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/shard/HolderElection.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/shard/HolderElection.java
@@ -144,7 +144,8 @@
      * Returns whether this node receives the statuses of the other candidates for the shard.
      *
      * <p>Outside the shard's pool only holders exchange statuses with every node; other nodes would claim the shard
-     * without knowing of each other. If no node holds a shard, every node is eligible.
+     * without knowing of each other. If no node holds a shard, every node is eligible, since it receives at least the
+     * statuses of its neighbours.
      */
     private boolean isEligibleCandidate(FailureDomain shard) {
         return pools.poolOf(shard).contains(ownDomain)
--- a/tarragonarch-core/src/test/java/org/tarragonarch/core/follow/StoreOutageTest.java
+++ b/tarragonarch-core/src/test/java/org/tarragonarch/core/follow/StoreOutageTest.java
@@ -154,8 +154,8 @@
         }
 
         @Override
-        public void rowsUnusable(RuntimeException why) {
-            throw new AssertionError("the listener must not throw", why);
+        public void rowsUnusable(RuntimeException cause) {
+            throw new AssertionError("the listener must not throw", cause);
         }
 
         @Override
--- a/tarragonarch-core/src/test/java/org/tarragonarch/core/follow/TableFollowerTest.java
+++ b/tarragonarch-core/src/test/java/org/tarragonarch/core/follow/TableFollowerTest.java
@@ -228,8 +228,8 @@
         }
 
         @Override
-        public void rowsUnusable(RuntimeException why) {
-            seen.add("unusable: " + why.getMessage());
+        public void rowsUnusable(RuntimeException cause) {
+            seen.add("unusable: " + cause.getMessage());
         }
 
         @Override
