--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/cluster/StatusSender.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/cluster/StatusSender.java
@@ -19,7 +19,7 @@
     private final Supplier<ImmutableList<HeldShard>> held;
     private final PeerSender sender;
     private final Timers timers;
-    private boolean leaving;
+    private boolean isLeaving;
     private long configurationVersion;
     private DrainedDomains drained = DrainedDomains.UNREAD;
 
@@ -42,17 +42,17 @@
     }
 
     /** Returns whether this node is about to stop. */
-    boolean leaving() {
-        return leaving;
+    boolean isLeaving() {
+        return isLeaving;
     }
 
     /** Sets that this node is about to stop. */
-    void leave() {
-        leaving = true;
+    void markLeaving() {
+        isLeaving = true;
     }
 
     /** Sets the version of the configuration in force. */
-    void configured(long version) {
+    void updateConfigurationVersion(long version) {
         configurationVersion = version;
     }
 
@@ -73,8 +73,8 @@
                 self.domain(),
                 self.address(),
                 self.milliCores(),
-                leaving,
-                heartbeats.withoutHolder(),
+                isLeaving,
+                heartbeats.isWithoutHolder(),
                 configurationVersion,
                 drained,
                 held.get());
@@ -82,22 +82,22 @@
 
     /** Sends the status to one peer. */
     void sendTo(NodeId peer) {
-        sender.status(peer, status());
+        sender.sendStatus(peer, status());
     }
 
     /** Sends the status to the peers to which it is due by now. */
     void sendDue() {
-        send(heartbeats.due(timers.nowMillis()));
+        send(heartbeats.takeDueAudience(timers.nowMillis()));
     }
 
     /** Sends the status outside its period to the present audience; the next period begins now. */
     void sendNow() {
-        sendNow(heartbeats.audience());
+        sendNow(heartbeats.changeAudience());
     }
 
     /** Sends the status outside its period; the next period begins now. */
     void sendNow(Heartbeats.Audience audience) {
-        heartbeats.sent(audience, timers.nowMillis());
+        heartbeats.recordSent(audience, timers.nowMillis());
         send(audience);
     }
 
@@ -108,12 +108,12 @@
         NodeStatus status = status();
         ImmutableSet<FailureDomain> neighbours = heartbeats.neighbours();
         switch (audience) {
-            case CLOSE -> heartbeats.close().forEach(peer -> sender.status(peer, status));
+            case FREQUENT -> heartbeats.frequentRecipients().forEach(peer -> sender.sendStatus(peer, status));
             case NEIGHBOURS -> {
-                sender.statusToDomains(neighbours, status);
-                heartbeats.closeOutside(neighbours).forEach(peer -> sender.status(peer, status));
+                sender.sendStatusToDomains(neighbours, status);
+                heartbeats.frequentRecipientsOutside(neighbours).forEach(peer -> sender.sendStatus(peer, status));
             }
-            case ALL -> sender.statusToAll(status);
+            case ALL -> sender.sendStatusToAll(status);
             default -> throw new AssertionError(audience);
         }
     }
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/membership/Peer.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/membership/Peer.java
@@ -12,7 +12,7 @@
 import org.tarragonarch.model.report.NodePhase;
 import org.tarragonarch.model.report.PeerReport;
 
-/** What is known of one other node, from the platform's list and from its own reports. */
+/** The state of another node, known from the platform's list and from the node's reports. */
 final class Peer {
     private final NodeId node;
     private final ReportStream stream = new ReportStream();
@@ -21,10 +21,10 @@
     private boolean listed;
     private boolean listedLive;
     private boolean alive;
-    private boolean behind;
-    private Optional<Incarnation> run = Optional.empty();
+    private boolean missesLoads;
+    private Optional<Incarnation> incarnation = Optional.empty();
     private long sequence;
-    private long heardNanos;
+    private long lastReportNanos;
     private long lastSignNanos;
     private NodePhase phase = NodePhase.STARTING;
     private ConfigurationVersion configuration = ConfigurationVersion.NONE;
@@ -43,22 +43,22 @@
         return domain;
     }
 
-    /** Returns where the peer listens; empty while no list has named it. */
+    /** Returns the address on which the peer listens; empty until a list has named it. */
     Optional<Address> address() {
         return address;
     }
 
-    /** Returns the numbering and deltas of what this node reports to the peer. */
+    /** Returns the state of the reports that this node sends to the peer. */
     ReportStream stream() {
         return stream;
     }
 
-    boolean alive() {
+    boolean isAlive() {
         return alive;
     }
 
-    /** Returns whether the list names the peer as one that stays. */
-    boolean listedLive() {
+    /** Returns whether the list has the peer as {@link VmState#LIVE}. */
+    boolean isListedLive() {
         return listedLive;
     }
 
@@ -66,14 +66,14 @@
         return alive && phase.takesWork();
     }
 
-    /** Returns whether a report was lost, so that the peer's loads may be partly old until its next full report. */
-    boolean behind() {
-        return behind;
+    /** Returns whether a report was lost, so that some loads of the peer may be outdated until its next full report. */
+    boolean missesLoads() {
+        return missesLoads;
     }
 
-    /** Returns when the last report came in; of no meaning if none did. */
-    long heardNanos() {
-        return heardNanos;
+    /** Returns when the last report arrived; undefined if none did. */
+    long lastReportNanos() {
+        return lastReportNanos;
     }
 
     /** Returns when the peer last reported or was listed. */
@@ -90,7 +90,7 @@
         listedLive = vm.state() == VmState.LIVE;
         address = Optional.of(vm.address());
         lastSignNanos = nowNanos;
-        if (run.isEmpty()) {
+        if (incarnation.isEmpty()) {
             domain = vm.domain();
         }
     }
@@ -100,32 +100,36 @@
         listedLive = false;
     }
 
-    /** Returns whether a report is of an earlier run, or comes after a later one of the same run. */
-    boolean isOld(PeerReport report) {
-        int order = run.map(known -> report.incarnation().compareTo(known)).orElse(1);
+    /**
+     * Returns whether a report is from an earlier incarnation, or not newer than the last one of the same incarnation.
+     */
+    boolean isStale(PeerReport report) {
+        int order =
+                incarnation.map(known -> report.incarnation().compareTo(known)).orElse(1);
         return order < 0 || (order == 0 && report.sequence() <= sequence);
     }
 
-    /** Records a report that is not old. */
-    void heard(PeerReport report, long nowNanos) {
-        boolean newRun = run.filter(report.incarnation()::equals).isEmpty();
-        boolean gap = newRun || report.sequence() != sequence + 1;
-        behind = !report.full() && (behind || gap);
-        if (newRun || !alive) {
-            // It knows nothing of this node yet, or has dropped what it knew while no report came in.
-            stream.startOver();
+    /** Records a report that is not stale. */
+    void recordReport(PeerReport report, long nowNanos) {
+        boolean isNewIncarnation =
+                incarnation.filter(report.incarnation()::equals).isEmpty();
+        boolean gap = isNewIncarnation || report.sequence() != sequence + 1;
+        missesLoads = !report.full() && (missesLoads || gap);
+        if (isNewIncarnation || !alive) {
+            // The peer knows no loads of this node, or may have dropped them while it was silent.
+            stream.requireFullReport();
         }
-        run = Optional.of(report.incarnation());
+        incarnation = Optional.of(report.incarnation());
         sequence = report.sequence();
         domain = report.domain();
         phase = report.phase();
         configuration = report.configuration();
         alive = true;
-        heardNanos = nowNanos;
+        lastReportNanos = nowNanos;
         lastSignNanos = nowNanos;
     }
 
-    void silent() {
+    void markSilent() {
         alive = false;
     }
 
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/membership/Urgent.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/membership/UrgentState.java
@@ -5,13 +5,13 @@
 import org.tarragonarch.model.id.EndpointId;
 import org.tarragonarch.model.report.NodePhase;
 
-/** The part of a report that peers need at once when it changes; every report holds it whole. */
-record Urgent(
+/** The part of a report whose changes are sent at once; every report contains all of it. */
+record UrgentState(
         NodePhase phase,
         ConfigurationVersion configuration,
         ImmutableSet<EndpointId> leaving,
         ImmutableSet<EndpointId> quarantined) {
-    static Urgent of(ReportSource source) {
-        return new Urgent(source.phase(), source.configuration(), source.leaving(), source.quarantined());
+    static UrgentState of(ReportSource source) {
+        return new UrgentState(source.phase(), source.configuration(), source.leaving(), source.quarantined());
     }
 }
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/node/MembershipHandler.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/node/MembershipHandler.java
@@ -51,20 +51,20 @@
 
     private void peerReported(PeerReported reported, long nowNanos, ActionSink sink) {
         PeerReport report = reported.report();
-        if (!parts.peers.heard(report, nowNanos, sink)) {
+        if (!parts.peers.recordReport(report, nowNanos, sink)) {
             return;
         }
         parts.endpoints.peerReported(report, nowNanos, sink);
-        parts.configuration.peerHas(report.from(), report.configuration(), nowNanos, sink);
+        parts.configuration.peerVersionReported(report.from(), report.configuration(), nowNanos, sink);
         membershipChanged(nowNanos, sink);
         parts.dispatcher.everythingChanged();
     }
 
     private void vmListRead(VmListRead read, long nowNanos, ActionSink sink) {
-        parts.peers.listed(read.vms(), nowNanos, sink);
-        parts.endpoints.listed(read.vms(), nowNanos, sink);
+        parts.peers.updateListed(read.vms(), nowNanos, sink);
+        parts.endpoints.vmListRead(read.vms(), nowNanos, sink);
         long nodes = read.vms().stream().filter(vm -> vm.role() == VmRole.ENTRY).count();
-        parts.keys.writers(Math.toIntExact(nodes));
+        parts.keys.setWriters(Math.toIntExact(nodes));
         membershipChanged(nowNanos, sink);
         lifecycle.vmListRead(sink);
         parts.dispatcher.everythingChanged();
@@ -75,10 +75,10 @@
         if (!now.equals(alive)) {
             ImmutableSet<NodeId> before = alive;
             alive = now;
-            parts.endpoints.aliveNodes(now, nowNanos, sink);
-            Sets.difference(before, now).forEach(gone -> parts.keys.silent(gone, nowNanos, sink));
+            parts.endpoints.setAliveNodes(now, nowNanos, sink);
+            Sets.difference(before, now).forEach(gone -> parts.keys.holderSilent(gone, nowNanos, sink));
         }
-        parts.quotas.setSharers(parts.peers.sharers());
-        parts.services.setSharers(parts.peers.sharers());
+        parts.quotas.setSharers(parts.peers.quotaSharers());
+        parts.services.setSharers(parts.peers.quotaSharers());
     }
 }
--- a/tarragonarch-core/src/test/java/org/tarragonarch/core/membership/LinkChoiceTest.java
+++ b/tarragonarch-core/src/test/java/org/tarragonarch/core/membership/LinkChoiceTest.java
@@ -21,15 +21,15 @@
     }
 
     @Test(dataProvider = "sizes")
-    public void testChoose_everyPairOfDomainsHasFourLinksEachWay(int domains, int nodes) {
+    public void testChoose_fourLinksBetweenDomains(int domains, int nodes) {
         Map<String, Integer> links = links(domains, nodes, ImmutableSet.of(), ImmutableSet.of());
         assertEquals(links.size(), domains * (domains - 1));
         links.forEach((pair, count) -> assertEquals((int) count, 4, pair));
     }
 
-    /** Guards against two domains without a link while the list still names a dead node in each. */
+    /** Guards against two domains without a link while one dead node in each is still listed. */
     @Test
-    public void testChoose_oneDeadNodeInEachDomainLeavesALink() {
+    public void testChoose_oneDeadNodePerDomain() {
         for (int dead = 0; dead < 4; dead++) {
             ImmutableSet<NodeId> gone = ImmutableSet.of(node(0, dead), node(1, 3 - dead));
             Map<String, Integer> links = links(3, 4, gone, gone);
@@ -39,7 +39,7 @@
     }
 
     @Test
-    public void testChoose_singleNodesAreLinked() {
+    public void testChoose_oneNodePerDomain() {
         Map<String, Integer> links = links(3, 1, ImmutableSet.of(), ImmutableSet.of());
         assertEquals(links.size(), 6);
     }
@@ -48,7 +48,7 @@
         return NodeId.of("d" + domain + "-n" + index);
     }
 
-    /** Counts the links of each pair of domains; nodes that are dead send nothing, and links to them do not count. */
+    /** Counts the links of each pair of domains, without links to dead nodes and links from nodes known to be dead. */
     private static Map<String, Integer> links(
             int domains, int nodes, ImmutableSet<NodeId> dead, ImmutableSet<NodeId> knownDead) {
         Map<String, Integer> links = new HashMap<>();
--- a/tarragonarch-core/src/test/java/org/tarragonarch/core/shard/ElectionFixture.java
+++ b/tarragonarch-core/src/test/java/org/tarragonarch/core/shard/ElectionFixture.java
@@ -9,7 +9,7 @@
 import org.tarragonarch.model.report.NodeStatus;
 import org.tarragonarch.model.task.FencingToken;
 
-/** Two failure domains, and the statuses of nodes in them. */
+/** Two failure domains, and statuses of nodes in them. */
 final class ElectionFixture {
     static final FailureDomain HOBART = FailureDomain.of("hobart");
     static final FailureDomain LAUNCESTON = FailureDomain.of("launceston");
@@ -29,7 +29,7 @@
                 ImmutableList.copyOf(held));
     }
 
-    static HeldShard held(FailureDomain shard, long term) {
+    static HeldShard heldShard(FailureDomain shard, long term) {
         return new HeldShard(shard, FencingToken.of(term, "10.0.0.9"), 0);
     }
 }
