--- a/tarragonarch-benchmark/src/main/java/org/tarragonarch/benchmark/experiment/Cluster.java
+++ b/tarragonarch-benchmark/src/main/java/org/tarragonarch/benchmark/experiment/Cluster.java
@@ -149,7 +149,7 @@
     /** Cuts one node that holds nothing off from all others; it reaches endpoints and its clients. */
     void cutOffOne(long forMillis) {
         ModelNode node = living().stream()
-                .filter(each -> each.coordinator().heldShards() == 0)
+                .filter(each -> each.coordinator().heldShardCount() == 0)
                 .findFirst()
                 .orElseThrow();
         node.cutOff(true);
@@ -158,8 +158,10 @@
 
     private ModelNode holder() {
         return living().stream()
-                .reduce((first, second) ->
-                        second.coordinator().heldShards() > first.coordinator().heldShards() ? second : first)
+                .reduce((first, second) -> second.coordinator().heldShardCount()
+                                > first.coordinator().heldShardCount()
+                        ? second
+                        : first)
                 .orElseThrow();
     }
 
--- a/tarragonarch-benchmark/src/main/java/org/tarragonarch/benchmark/experiment/ModelNode.java
+++ b/tarragonarch-benchmark/src/main/java/org/tarragonarch/benchmark/experiment/ModelNode.java
@@ -72,7 +72,7 @@
     }
 
     void start() {
-        coordinator.configured(cluster.catalog());
+        coordinator.applyConfiguration(cluster.catalog());
         review();
     }
 
@@ -124,7 +124,7 @@
     }
 
     private void lost(NodeId peer) {
-        coordinator.lost(peer);
+        coordinator.peerLost(peer);
         reviewShards();
     }
 
@@ -135,41 +135,41 @@
     }
 
     void received(NodeStatus status) {
-        coordinator.received(status);
+        coordinator.statusReceived(status);
         reviewShards();
-        coordinator.routeWaiting();
+        coordinator.placeWaitingJobs();
     }
 
     @Override
-    public void status(NodeId to, NodeStatus status) {
+    public void sendStatus(NodeId to, NodeStatus status) {
         cluster.deliver(this, to, peer -> peer.received(status));
     }
 
     @Override
-    public void statusToAll(NodeStatus status) {
-        cluster.everyOther(id).forEach(peer -> status(peer, status));
+    public void sendStatusToAll(NodeStatus status) {
+        cluster.everyOther(id).forEach(peer -> sendStatus(peer, status));
     }
 
     @Override
-    public void statusToDomains(ImmutableSet<FailureDomain> domains, NodeStatus status) {
-        cluster.everyOther(id, domains).forEach(peer -> status(peer, status));
+    public void sendStatusToDomains(ImmutableSet<FailureDomain> domains, NodeStatus status) {
+        cluster.everyOther(id, domains).forEach(peer -> sendStatus(peer, status));
     }
 
     @Override
-    public void offer(NodeId to, Offer offer) {
-        if (!cluster.deliver(this, to, peer -> peer.coordinator.offered(offer))) {
+    public void sendOffer(NodeId to, Offer offer) {
+        if (!cluster.deliver(this, to, peer -> peer.coordinator.offerReceived(offer))) {
             timers.after(
-                    0, () -> coordinator.router().notOffered(to, offer.job().id()));
+                    0, () -> coordinator.router().offerNotSent(to, offer.job().id()));
         }
     }
 
     @Override
-    public void withdraw(NodeId to, JobId job) {
-        cluster.deliver(this, to, peer -> peer.coordinator.withdrawn(id, job));
+    public void sendWithdrawal(NodeId to, JobId job) {
+        cluster.deliver(this, to, peer -> peer.coordinator.withdrawalReceived(id, job));
     }
 
     @Override
-    public void settled(NodeId to, JobId job, Verdict verdict, long retryMillis) {
+    public void sendVerdict(NodeId to, JobId job, Verdict verdict, long retryMillis) {
         cluster.deliver(this, to, peer -> peer.coordinator.router().settled(id, job, verdict, retryMillis));
     }
 }
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/cluster/Coordinator.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/cluster/Coordinator.java
@@ -42,7 +42,7 @@
     private final Timers timers;
     private final ShardObserver log;
     private final PeerTable peers = new PeerTable();
-    private final UsedElsewhere usedElsewhere = new UsedElsewhere();
+    private final RemoteUsage usedElsewhere = new RemoteUsage();
     private final EndpointList endpoints;
     private final Heartbeats heartbeats;
     private final HolderElection election;
@@ -50,7 +50,7 @@
     private final StatusSender statusSender;
     private final HolderEvents events;
     private final JobRouter router;
-    private ImmutableSet<FailureDomain> neighbours;
+    private ImmutableSet<FailureDomain> neighbourDomains;
 
     /**
      * Creates a node that knows nobody and holds nothing.
@@ -82,7 +82,7 @@
         this.events =
                 new HolderEvents(self.node(), peers, sender, statusSender, this::router, this::holdersChanged, log);
         this.ownership = new ShardOwnership(pools, election, endpoints, placing, orders, timers, wallMillis, events);
-        this.neighbours = heartbeats.neighbours();
+        this.neighbourDomains = heartbeats.neighbours();
         KnownHolders holders = new KnownHolders(
                 self,
                 peers,
@@ -111,12 +111,12 @@
     }
 
     /** Returns what each priority has in use in the shards of other holders, by statuses that are not too old. */
-    public ImmutableMap<Integer, Long> sharesUsedElsewhere() {
+    public ImmutableMap<Integer, Long> remoteUsageByPriority() {
         return usedElsewhere.byPriority(timers.nowMillis());
     }
 
     /** Returns how many shards this node holds. */
-    public int heldShards() {
+    public int heldShardCount() {
         return ownership.heldShards().size();
     }
 
@@ -135,7 +135,7 @@
     }
 
     /** Returns the failure domains whose nodes may succeed this one as a holder, or this one them. */
-    public ImmutableSet<FailureDomain> neighbours() {
+    public ImmutableSet<FailureDomain> neighbourDomains() {
         return heartbeats.neighbours();
     }
 
@@ -145,7 +145,7 @@
     }
 
     /** Returns whether any shard has a reachable holder, so that jobs have somewhere to go. */
-    public boolean anyHolder() {
+    public boolean hasReachableHolder() {
         return ownership.isHolding() || !peers.holders().isEmpty();
     }
 
@@ -177,7 +177,7 @@
 
     /** Claims and releases shards as the peers that are there ask for. */
     public void reviewShards() {
-        if (!statusSender.leaving() && ownership.review()) {
+        if (!statusSender.isLeaving() && ownership.review()) {
             holdersChanged();
         }
     }
@@ -185,16 +185,16 @@
     /** Passes the list of endpoints on to the shards held here, and greets the neighbours that it shows. */
     public void endpointsChanged() {
         ownership.endpointsChanged();
-        if (!neighbours.equals(heartbeats.neighbours())) {
-            neighbours = heartbeats.neighbours();
+        if (!neighbourDomains.equals(heartbeats.neighbours())) {
+            neighbourDomains = heartbeats.neighbours();
             statusSender.sendNow();
         }
     }
 
     /** Records a peer's status; returns whether the peer was not there before. */
-    public boolean received(NodeStatus received) {
+    public boolean statusReceived(NodeStatus received) {
         boolean joined = peers.received(received, timers.nowMillis());
-        usedElsewhere.received(received, timers.nowMillis());
+        usedElsewhere.statusReceived(received, timers.nowMillis());
         ownership.nodeHeard(received.node());
         if (joined) {
             statusSender.sendTo(received.node());
@@ -205,14 +205,14 @@
     }
 
     /** Looks for holders for the jobs that have none, after statuses came. */
-    public void routeWaiting() {
-        if (router.withoutHolder()) {
+    public void placeWaitingJobs() {
+        if (router.hasJobWithoutHolder()) {
             router.holdersChanged();
         }
     }
 
     /** Records that a peer is not reachable any more; one that had jobs of this node is told which are still open. */
-    public void lost(NodeId peer) {
+    public void peerLost(NodeId peer) {
         ownership.nodeLost(peer);
         if (router.nodeLost(peer)) {
             statusSender.sendTo(peer);
@@ -220,7 +220,7 @@
     }
 
     /** Takes a job that a peer offers. */
-    public void offered(Offer offer) {
+    public void offerReceived(Offer offer) {
         ownership
                 .placer()
                 .ifPresentOrElse(
@@ -229,25 +229,25 @@
     }
 
     /** Ends all jobs that a peer has offered but those that it still has open here. */
-    public void openJobs(NodeId origin, ImmutableSet<JobId> open) {
+    public void openJobsReceived(NodeId origin, ImmutableSet<JobId> open) {
         ownership.placer().ifPresent(placer -> placer.retain(origin, open));
     }
 
     /** Ends a job that a peer withdraws. */
-    public void withdrawn(NodeId origin, JobId job) {
+    public void withdrawalReceived(NodeId origin, JobId job) {
         ownership.placer().ifPresent(placer -> placer.withdraw(origin, job));
     }
 
     /** Releases every shard and takes none any more, because this node is about to stop. */
     public void leave() {
-        statusSender.leave();
+        statusSender.markLeaving();
         statusSender.sendNow();
         ownership.resignAll();
     }
 
     /** Applies the configuration that is in force here, and sends its version to the peers. */
-    public void configured(QueueCatalog catalog) {
-        statusSender.configured(catalog.version());
+    public void applyConfiguration(QueueCatalog catalog) {
+        statusSender.updateConfigurationVersion(catalog.version());
         endpoints.served(catalog.services());
         endpointsChanged();
         statusSender.sendNow();
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/cluster/EndpointListNeed.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/cluster/EndpointListNeed.java
@@ -9,14 +9,14 @@
     /** It has claimed a shard since the list was read, and has to know which endpoints the earlier holder may use. */
     NOW(true);
 
-    private final boolean often;
+    private final boolean isReadOften;
 
     EndpointListNeed(boolean often) {
-        this.often = often;
+        this.isReadOften = often;
     }
 
     /** Returns whether the list is to be read often from now on. */
-    public boolean often() {
-        return often;
+    public boolean isReadOften() {
+        return isReadOften;
     }
 }
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/cluster/HolderEvents.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/cluster/HolderEvents.java
@@ -55,7 +55,7 @@
         if (origin.equals(self)) {
             router.get().settled(origin, job, verdict, retryMillis);
         } else {
-            sender.settled(origin, job, verdict, retryMillis);
+            sender.sendVerdict(origin, job, verdict, retryMillis);
         }
     }
 
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/cluster/KnownHolders.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/cluster/KnownHolders.java
@@ -5,7 +5,7 @@
 import java.util.Comparator;
 import java.util.function.Predicate;
 import org.tarragonarch.core.routing.Holder;
-import org.tarragonarch.core.routing.HolderRoom;
+import org.tarragonarch.core.routing.HolderCapacity;
 import org.tarragonarch.core.routing.Holders;
 import org.tarragonarch.core.shard.Heartbeats;
 import org.tarragonarch.core.shard.PeerTable;
@@ -29,7 +29,7 @@
     private final PeerSender sender;
     private final Timers timers;
     private final Predicate<FailureDomain> isDrained;
-    private final NeighbourRoom neighbourRoom;
+    private final NeighbourCapacity neighbourRoom;
 
     /**
      * Creates the holders as seen by one node.
@@ -53,20 +53,20 @@
         this.sender = sender;
         this.timers = timers;
         this.isDrained = isDrained;
-        this.neighbourRoom = new NeighbourRoom(self.domain(), peers, pools, timers, isDrained);
+        this.neighbourRoom = new NeighbourCapacity(self.domain(), peers, pools, timers, isDrained);
     }
 
     @Override
-    public NodeId own() {
+    public NodeId ownNode() {
         return self.node();
     }
 
     @Override
-    public ImmutableList<Holder> inOrder() {
+    public ImmutableList<Holder> inPreferenceOrder() {
         ImmutableList.Builder<Holder> holders = ImmutableList.builder();
         ImmutableList<HeldShard> held = ownership.held();
         if (!held.isEmpty()) {
-            holders.add(new Holder(own(), held));
+            holders.add(new Holder(ownNode(), held));
         }
         peers.holders().stream()
                 .map(status -> new Holder(status.node(), status.shards()))
@@ -80,17 +80,17 @@
     }
 
     @Override
-    public ImmutableList<HolderRoom> neighboursWithRoom(long milliCores) {
-        return neighbourRoom.withRoom(milliCores);
+    public ImmutableList<HolderCapacity> neighboursWithCapacity(long milliCores) {
+        return neighbourRoom.holdersWithCapacity(milliCores);
     }
 
     @Override
     public void notStartedAtOnce(Holder holder, long milliCores) {
-        neighbourRoom.refused(holder.node(), milliCores);
+        neighbourRoom.recordRefusal(holder.node(), milliCores);
     }
 
     @Override
-    public boolean isOwn(Holder holder) {
+    public boolean holdsOwnDomain(Holder holder) {
         return holder.holds(self.domain());
     }
 
@@ -102,7 +102,7 @@
      * better right, and what it takes or gets back a moment before it gives up they may not know at all.
      */
     @Override
-    public ImmutableSet<FailureDomain> reach(Holder lost) {
+    public ImmutableSet<FailureDomain> shardsWithPossibleRuns(Holder lost) {
         ImmutableSet.Builder<FailureDomain> reach = ImmutableSet.builder();
         lost.domains().forEach(shard -> reach.add(shard).addAll(pools.poolOf(shard)));
         return reach.build();
@@ -117,7 +117,7 @@
      * it is too old to tell.
      */
     @Override
-    public boolean hasNewest(Holder holder, ImmutableSet<FailureDomain> shards) {
+    public boolean hasNewestTokens(Holder holder, ImmutableSet<FailureDomain> shards) {
         return holder.domains().containsAll(shards)
                 && holder.shards().stream()
                         .filter(held -> shards.contains(held.domain()))
@@ -136,9 +136,9 @@
 
     @Override
     public void offer(Holder holder, Offer offer) {
-        if (!holder.node().equals(own())) {
-            neighbourRoom.offered(holder.node(), offer.job().milliCores());
-            sender.offer(holder.node(), offer);
+        if (!holder.node().equals(ownNode())) {
+            neighbourRoom.recordOffer(holder.node(), offer.job().milliCores());
+            sender.sendOffer(holder.node(), offer);
             return;
         }
         ownership.placer().ifPresent(placer -> placer.offer(offer));
@@ -146,10 +146,10 @@
 
     @Override
     public void withdraw(Holder holder, JobId job) {
-        if (!holder.node().equals(own())) {
-            sender.withdraw(holder.node(), job);
+        if (!holder.node().equals(ownNode())) {
+            sender.sendWithdrawal(holder.node(), job);
             return;
         }
-        ownership.placer().ifPresent(placer -> placer.withdraw(own(), job));
+        ownership.placer().ifPresent(placer -> placer.withdraw(ownNode(), job));
     }
 }
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/cluster/NeighbourRoom.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/cluster/NeighbourCapacity.java
@@ -5,7 +5,7 @@
 import java.util.Map;
 import java.util.function.Predicate;
 import org.tarragonarch.core.routing.Holder;
-import org.tarragonarch.core.routing.HolderRoom;
+import org.tarragonarch.core.routing.HolderCapacity;
 import org.tarragonarch.core.shard.PeerTable;
 import org.tarragonarch.core.shard.ShardPools;
 import org.tarragonarch.model.id.FailureDomain;
@@ -20,7 +20,7 @@
  *
  * <p>Guards against every job going to the same holder until its next status shows that it is full.
  */
-final class NeighbourRoom {
+final class NeighbourCapacity {
     /** The age up to which a status is used: two periods, so that one status may be lost. */
     private static final long MAX_STATUS_AGE_MILLIS = 2 * PeerTable.STATUS_PERIOD_MILLIS;
 
@@ -31,7 +31,7 @@
     private final Predicate<FailureDomain> isDrained;
     private final Map<NodeId, Debit> debits = new HashMap<>();
 
-    NeighbourRoom(
+    NeighbourCapacity(
             FailureDomain ownDomain,
             PeerTable peers,
             ShardPools pools,
@@ -45,20 +45,20 @@
     }
 
     /** Returns the holders with at least this much room, in thousandths of a core. */
-    ImmutableList<HolderRoom> withRoom(long milliCores) {
-        ImmutableList.Builder<HolderRoom> roomy = ImmutableList.builder();
+    ImmutableList<HolderCapacity> holdersWithCapacity(long milliCores) {
+        ImmutableList.Builder<HolderCapacity> roomy = ImmutableList.builder();
         for (NodeStatus status : peers.holders()) {
             Debit debit = debit(status.node());
             long free = freeMilliCores(status) - debit.offeredMilliCores();
             if (free >= milliCores && debit.maxJobMilliCores() >= milliCores && isFresh(status)) {
-                roomy.add(new HolderRoom(new Holder(status.node(), status.shards()), free));
+                roomy.add(new HolderCapacity(new Holder(status.node(), status.shards()), free));
             }
         }
         return roomy.build();
     }
 
     /** Deducts an offered job from the holder's room until its next status. */
-    void offered(NodeId holder, long milliCores) {
+    void recordOffer(NodeId holder, long milliCores) {
         Debit debit = debit(holder);
         debits.put(
                 holder,
@@ -66,7 +66,7 @@
     }
 
     /** Excludes a holder for jobs of this size and larger ones until its next status. */
-    void refused(NodeId holder, long milliCores) {
+    void recordRefusal(NodeId holder, long milliCores) {
         Debit debit = debit(holder);
         long most = Math.min(debit.maxJobMilliCores(), milliCores - 1);
         debits.put(holder, new Debit(debit.statusAtMillis(), debit.offeredMilliCores(), most));
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/cluster/PeerSender.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/cluster/PeerSender.java
@@ -11,20 +11,20 @@
 /** The way to the other nodes; each message arrives once or not at all. */
 public interface PeerSender {
     /** Sends one node this node's status. */
-    void status(NodeId to, NodeStatus status);
+    void sendStatus(NodeId to, NodeStatus status);
 
     /** Sends it to every node that was ever known, since it may be back. */
-    void statusToAll(NodeStatus status);
+    void sendStatusToAll(NodeStatus status);
 
     /** Sends it to every node of these failure domains that was ever known. */
-    void statusToDomains(ImmutableSet<FailureDomain> domains, NodeStatus status);
+    void sendStatusToDomains(ImmutableSet<FailureDomain> domains, NodeStatus status);
 
     /** Offers a job to a holder. */
-    void offer(NodeId to, Offer offer);
+    void sendOffer(NodeId to, Offer offer);
 
     /** Takes an offer back. */
-    void withdraw(NodeId to, JobId job);
+    void sendWithdrawal(NodeId to, JobId job);
 
     /** Notifies the node that offered a job of its verdict. */
-    void settled(NodeId to, JobId job, Verdict verdict, long retryMillis);
+    void sendVerdict(NodeId to, JobId job, Verdict verdict, long retryMillis);
 }
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/cluster/UsedElsewhere.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/cluster/RemoteUsage.java
@@ -7,14 +7,14 @@
 import org.tarragonarch.model.report.NodeStatus;
 
 /** The processor time that each priority has in use in the shards of other holders, from their statuses. */
-final class UsedElsewhere {
+final class RemoteUsage {
     /** The age up to which a status is used: five status periods of a holder. */
     private static final long MAX_STATUS_AGE_MILLIS = 1_000;
 
     private final Map<NodeId, Received> byHolder = new HashMap<>();
 
     /** Records a peer's status. */
-    void received(NodeStatus status, long nowMillis) {
+    void statusReceived(NodeStatus status, long nowMillis) {
         boolean isHolder =
                 status.shards().stream().anyMatch(shard -> !shard.uses().isEmpty());
         if (isHolder) {
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/cluster/StatusSender.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/cluster/StatusSender.java
@@ -19,7 +19,7 @@
     private final Supplier<ImmutableList<HeldShard>> held;
     private final PeerSender sender;
     private final Timers timers;
-    private boolean leaving;
+    private boolean isLeaving;
     private long configurationVersion;
     private DrainedDomains drained = DrainedDomains.UNREAD;
 
@@ -42,17 +42,17 @@
     }
 
     /** Returns whether this node is about to stop. */
-    boolean leaving() {
-        return leaving;
+    boolean isLeaving() {
+        return isLeaving;
     }
 
     /** Sets that this node is about to stop. */
-    void leave() {
-        leaving = true;
+    void markLeaving() {
+        isLeaving = true;
     }
 
     /** Sets the version of the configuration in force. */
-    void configured(long version) {
+    void updateConfigurationVersion(long version) {
         configurationVersion = version;
     }
 
@@ -73,7 +73,7 @@
                 self.domain(),
                 self.address(),
                 self.milliCores(),
-                leaving,
+                isLeaving,
                 heartbeats.withoutHolder(),
                 configurationVersion,
                 drained,
@@ -82,7 +82,7 @@
 
     /** Sends the status to one peer. */
     void sendTo(NodeId peer) {
-        sender.status(peer, status());
+        sender.sendStatus(peer, status());
     }
 
     /** Sends the status to the peers to which it is due by now. */
@@ -108,12 +108,12 @@
         NodeStatus status = status();
         ImmutableSet<FailureDomain> neighbours = heartbeats.neighbours();
         switch (audience) {
-            case CLOSE -> heartbeats.close().forEach(peer -> sender.status(peer, status));
+            case CLOSE -> heartbeats.close().forEach(peer -> sender.sendStatus(peer, status));
             case NEIGHBOURS -> {
-                sender.statusToDomains(neighbours, status);
-                heartbeats.closeOutside(neighbours).forEach(peer -> sender.status(peer, status));
+                sender.sendStatusToDomains(neighbours, status);
+                heartbeats.closeOutside(neighbours).forEach(peer -> sender.sendStatus(peer, status));
             }
-            case ALL -> sender.statusToAll(status);
+            case ALL -> sender.sendStatusToAll(status);
             default -> throw new AssertionError(audience);
         }
     }
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/routing/AnsweredJobs.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/routing/AnsweredJobs.java
@@ -13,9 +13,9 @@
  * and at today's load minutes.
  */
 final class AnsweredJobs {
-    private static final int MOST = 4_096;
+    private static final int MAX_ANSWERS = 4_096;
 
-    private final Map<JobId, JobReply> replies = BoundedMaps.evictingEldest(MOST);
+    private final Map<JobId, JobReply> replies = BoundedMaps.evictingEldest(MAX_ANSWERS);
 
     void add(JobId job, JobReply reply) {
         if (reply.outcome().lasting()) {
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/routing/ClosedHolds.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/routing/FormerHolders.java
@@ -12,25 +12,25 @@
  *
  * <p>Bounded in number: a node that gives up 1,000 jobs a second still knows those of the last second.
  */
-final class ClosedHolds {
-    private static final int MOST = 1_024;
+final class FormerHolders {
+    private static final int MAX_JOBS = 1_024;
 
     private final Timers timers;
-    private final Map<JobId, Hold> holds = BoundedMaps.evictingEldest(MOST);
+    private final Map<JobId, FormerHolder> holders = BoundedMaps.evictingEldest(MAX_JOBS);
 
-    ClosedHolds(Timers timers) {
+    FormerHolders(Timers timers) {
         this.timers = timers;
     }
 
     /** Records that a job is not open any more, if a holder has it. */
-    void closed(OpenJob job) {
-        holds.remove(job.id());
-        job.holder().ifPresent(holder -> holds.put(job.id(), new Hold(holder.node(), timers.nowMillis())));
+    void recordClosed(OpenJob job) {
+        holders.remove(job.id());
+        job.holder().ifPresent(holder -> holders.put(job.id(), new FormerHolder(holder.node(), timers.nowMillis())));
     }
 
     /** Returns who had the job that is sent again now. */
-    Optional<Hold> take(JobId job) {
-        return Optional.ofNullable(holds.remove(job));
+    Optional<FormerHolder> remove(JobId job) {
+        return Optional.ofNullable(holders.remove(job));
     }
 
     /**
@@ -38,5 +38,5 @@
      *
      * @param closedAtMillis when the job was withdrawn from it or given up
      */
-    record Hold(NodeId by, long closedAtMillis) {}
+    record FormerHolder(NodeId node, long closedAtMillis) {}
 }
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/routing/Holder.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/routing/Holder.java
@@ -37,11 +37,11 @@
     }
 
     /** Returns whether it has taken over every shard of a lost holder, so that it sees whatever runs there. */
-    boolean succeeds(Holder lost) {
-        return lost.shards().stream().allMatch(this::succeeds);
+    boolean isSuccessorOf(Holder lost) {
+        return lost.shards().stream().allMatch(this::isSuccessorOf);
     }
 
-    private boolean succeeds(HeldShard lost) {
+    private boolean isSuccessorOf(HeldShard lost) {
         return shards.stream()
                 .filter(held -> held.domain().equals(lost.domain()))
                 .anyMatch(held -> held.token().compareTo(lost.token()) > 0);
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/routing/HolderRoom.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/routing/HolderCapacity.java
@@ -9,9 +9,9 @@
  * @param freeMilliCores the free processor time in its last status, less what this node has offered it since then,
  *     in thousandths of a core
  */
-public record HolderRoom(Holder holder, long freeMilliCores) {
+public record HolderCapacity(Holder holder, long freeMilliCores) {
     /** Checks for null. */
-    public HolderRoom {
+    public HolderCapacity {
         checkNotNull(holder, "holder");
     }
 }
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/routing/Holders.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/routing/Holders.java
@@ -13,7 +13,7 @@
      * Returns the reachable holders: that of this node's own failure domain first, then the one with the most
      * free room; last those all of whose failure domains are drained.
      */
-    ImmutableList<Holder> inOrder();
+    ImmutableList<Holder> inPreferenceOrder();
 
     /**
      * Returns the holders of other failure domains nearby that have room, by a status that is fresh.
@@ -22,22 +22,22 @@
      *
      * @param milliCores how much room, in thousandths of a core
      */
-    ImmutableList<HolderRoom> neighboursWithRoom(long milliCores);
+    ImmutableList<HolderCapacity> neighboursWithCapacity(long milliCores);
 
     /** Returns whether the holder has the endpoints of this node's own failure domain. */
-    boolean isOwn(Holder holder);
+    boolean holdsOwnDomain(Holder holder);
 
     /**
      * Returns the shards on whose endpoints a lost holder's runs may be: those that it was known to hold when a job was
      * offered to it, and those that it may have taken since.
      */
-    ImmutableSet<FailureDomain> reach(Holder lost);
+    ImmutableSet<FailureDomain> shardsWithPossibleRuns(Holder lost);
 
     /**
      * Returns whether a holder has these shards, each under the highest token that is known, so that whatever
      * runs on their endpoints shows on the lists that it has read.
      */
-    boolean hasNewest(Holder holder, ImmutableSet<FailureDomain> shards);
+    boolean hasNewestTokens(Holder holder, ImmutableSet<FailureDomain> shards);
 
     /** Returns whether a shard without a holder should have one within moments. */
     boolean isHolderExpected();
@@ -59,5 +59,5 @@
     void withdraw(Holder holder, JobId job);
 
     /** Returns this node's name, under which it offers. */
-    NodeId own();
+    NodeId ownNode();
 }
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/routing/ImmediateStartOffers.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/routing/ImmediateStartOffers.java
@@ -37,11 +37,11 @@
      */
     Optional<Holder> next(ImmutableList<Holder> inOrder, Holders holders, Predicate<Holder> mayBeOffered) {
         Optional<Holder> own =
-                inOrder.stream().findFirst().filter(holders::isOwn).filter(mayBeOffered);
+                inOrder.stream().findFirst().filter(holders::holdsOwnDomain).filter(mayBeOffered);
         if (own.isEmpty() || neighboursAsked >= MAX_NEIGHBOURS) {
             return Optional.empty();
         }
-        ImmutableList<HolderRoom> roomy = holders.neighboursWithRoom(job.milliCores()).stream()
+        ImmutableList<HolderCapacity> roomy = holders.neighboursWithCapacity(job.milliCores()).stream()
                 .filter(neighbour -> !asked.contains(neighbour.holder().node()))
                 .filter(neighbour -> mayBeOffered.test(neighbour.holder()))
                 .collect(ImmutableList.toImmutableList());
@@ -61,7 +61,7 @@
      * Returns the one with more room of two holders that are selected by a hash of the job's id (power of two choices),
      * so that jobs spread over the holders.
      */
-    private Holder chooseOne(ImmutableList<HolderRoom> roomy) {
+    private Holder chooseOne(ImmutableList<HolderCapacity> roomy) {
         int count = roomy.size();
         HashFunction hash = Hashing.murmur3_128(neighboursAsked);
         long hashed = hash.hashString(job.id().value(), StandardCharsets.UTF_8).asLong();
@@ -70,8 +70,8 @@
             return roomy.get(first).holder();
         }
         int step = 1 + (int) Long.remainderUnsigned(Long.divideUnsigned(hashed, count), count - 1);
-        HolderRoom one = roomy.get(first);
-        HolderRoom other = roomy.get((first + step) % count);
+        HolderCapacity one = roomy.get(first);
+        HolderCapacity other = roomy.get((first + step) % count);
         return (other.freeMilliCores() > one.freeMilliCores() ? other : one).holder();
     }
 }
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/routing/JobPlacement.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/routing/JobPlacement.java
@@ -36,8 +36,8 @@
      */
     void place(OpenJob job) {
         long now = timers.nowMillis();
-        ImmutableList<Holder> inOrder = holders.inOrder();
-        Optional<Holder> atOnce = job.nextToStartAtOnce(inOrder, holders, now, runsLastMillis);
+        ImmutableList<Holder> inOrder = holders.inPreferenceOrder();
+        Optional<Holder> atOnce = job.nextImmediateStartHolder(inOrder, holders, now, runsLastMillis);
         if (atOnce.isPresent()) {
             offer(job, atOnce.get(), OfferTerms.AT_ONCE);
             return;
@@ -61,43 +61,44 @@
     }
 
     private void offer(OpenJob job, Holder to, OfferTerms terms) {
-        boolean toOwnDomain = holders.isOwn(to);
+        boolean toOwnDomain = holders.holdsOwnDomain(to);
         if (terms == OfferTerms.AT_ONCE && !toOwnDomain) {
             observer.movedToNeighbour(job.id(), to.node());
         }
         job.sinceLossMillis(timers.nowMillis()).ifPresent(ago -> observer.offeredAgain(job.id(), to.node(), ago));
-        job.offeredTo(to);
-        holders.offer(to, job.offer(holders.own(), timers.nowMillis(), runsLastMillis, terms, toOwnDomain));
+        job.markOfferedTo(to);
+        holders.offer(to, job.offer(holders.ownNode(), timers.nowMillis(), runsLastMillis, terms, toOwnDomain));
     }
 
     /** Takes back a job that its holder could not start at once. */
-    void notStartedAtOnce(OpenJob job) {
-        job.holder().filter(holder -> !holders.isOwn(holder)).ifPresent(neighbour -> {
+    void handleNotStartedAtOnce(OpenJob job) {
+        job.holder().filter(holder -> !holders.holdsOwnDomain(holder)).ifPresent(neighbour -> {
             holders.notStartedAtOnce(neighbour, job.milliCores());
             observer.returnedByNeighbour(job.id(), neighbour.node());
         });
-        job.notStartedAtOnce();
+        job.markNotStartedAtOnce();
         placeOrRefuse(job);
     }
 
-    private void placeIfUnheld(OpenJob job) {
+    private void placeIfWithoutHolder(OpenJob job) {
         if (jobs.isOpen(job) && job.holder().isEmpty()) {
             place(job);
         }
     }
 
-    private void refuseIfUnheld(OpenJob job) {
+    private void refuseIfWithoutHolder(OpenJob job) {
         if (jobs.isOpen(job) && job.holder().isEmpty() && !job.mayHaveRun()) {
             jobs.refuse(job, job.wasDeclined() ? job.soonestRetryMillis() : JobRouter.NO_HOLDER_RETRY_MILLIS);
         }
     }
 
     /** Takes back a job whose holder is gone; it waits until its runs are over unless a successor sees them. */
-    void holderLost(OpenJob job) {
+    void handleHolderLost(OpenJob job) {
         job.holder().ifPresent(lost -> observer.holderLost(job.id(), lost.node()));
-        ImmutableSet<FailureDomain> reach = job.holder().map(holders::reach).orElse(ImmutableSet.of());
-        job.holderLost(reach, timers.nowMillis());
-        timers.after(runsLastMillis, () -> placeIfUnheld(job));
+        ImmutableSet<FailureDomain> reach =
+                job.holder().map(holders::shardsWithPossibleRuns).orElse(ImmutableSet.of());
+        job.markHolderLost(reach, timers.nowMillis());
+        timers.after(runsLastMillis, () -> placeIfWithoutHolder(job));
         place(job);
     }
 
@@ -107,18 +108,18 @@
      * <p>Where an earlier holder may have, it is treated like any other job of a lost holder: which of the two verdicts
      * of this one came last cannot be told if its connection broke in between.
      */
-    void returned(OpenJob job) {
+    void handleReturned(OpenJob job) {
         if (job.mayHaveRun()) {
-            holderLost(job);
+            handleHolderLost(job);
             return;
         }
-        job.returned();
+        job.markReturned();
         placeOrRefuse(job);
     }
 
     /** Looks for a holder, and refuses the job unless it has one soon. */
     void placeOrRefuse(OpenJob job) {
-        timers.after(HOLDER_WAIT_MILLIS, () -> refuseIfUnheld(job));
+        timers.after(HOLDER_WAIT_MILLIS, () -> refuseIfWithoutHolder(job));
         place(job);
     }
 }
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/routing/JobRouter.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/routing/JobRouter.java
@@ -25,7 +25,7 @@
  */
 public final class JobRouter {
     /** An answer that leaves this long before the deadline still reaches the client, in milliseconds. */
-    private static final long ANSWER_TRAVEL_MILLIS = 10;
+    private static final long ANSWER_TRANSIT_MILLIS = 10;
 
     /** When to come back if no shard has a holder, in milliseconds. */
     static final long NO_HOLDER_RETRY_MILLIS = 1_000;
@@ -35,7 +35,7 @@
     private final RoutingObserver observer;
     private final JobTable jobs;
     private final JobPlacement placement;
-    private boolean closed;
+    private boolean refusesNewJobs;
 
     /**
      * Creates a router without jobs.
@@ -61,13 +61,13 @@
             return () -> {};
         }
         Optional<OpenJob> known = jobs.find(request.id());
-        if (known.isEmpty() && closed) {
+        if (known.isEmpty() && refusesNewJobs) {
             client.accept(JobReply.refused(NO_HOLDER_RETRY_MILLIS));
             return () -> {};
         }
-        known.ifPresent(job -> job.join(client));
-        OpenJob job = known.orElseGet(() -> take(queue, request, deadlineMillis, client));
-        return () -> left(job, client);
+        known.ifPresent(job -> job.addClient(client));
+        OpenJob job = known.orElseGet(() -> open(queue, request, deadlineMillis, client));
+        return () -> clientLeft(job, client);
     }
 
     /** Cancels a job; returns whether it was open here or answered lately as cancelled. */
@@ -91,15 +91,15 @@
             case DONE -> jobs.answer(job, JobReply.of(JobOutcome.DONE));
             case FAILED -> jobs.answer(job, JobReply.of(JobOutcome.FAILED));
             case DECLINED -> {
-                job.declined(retryMillis);
+                job.markDeclined(retryMillis);
                 placement.place(job);
             }
-            case NOT_AT_ONCE -> placement.notStartedAtOnce(job);
+            case NOT_AT_ONCE -> placement.handleNotStartedAtOnce(job);
             case TOO_LATE -> jobs.answer(job, JobReply.of(JobOutcome.GIVEN_UP));
-            case HOLD_LOST -> placement.holderLost(job);
-            case RETURNED -> placement.returned(job);
+            case HOLD_LOST -> placement.handleHolderLost(job);
+            case RETURNED -> placement.handleReturned(job);
             case EVICTED -> {
-                job.evicted();
+                job.markEvicted();
                 placement.place(job);
             }
             default -> throw new AssertionError(verdict);
@@ -107,9 +107,9 @@
     }
 
     /** Takes back an offer that certainly never left. */
-    public void notOffered(NodeId to, JobId id) {
+    public void offerNotSent(NodeId to, JobId id) {
         jobs.find(id).filter(job -> job.isHeldBy(to)).ifPresent(job -> {
-            job.notOffered();
+            job.markOfferNotSent();
             placement.placeOrRefuse(job);
         });
     }
@@ -123,7 +123,7 @@
     public boolean nodeLost(NodeId node) {
         ImmutableList<OpenJob> lost =
                 jobs.all().stream().filter(job -> job.isHeldBy(node)).collect(ImmutableList.toImmutableList());
-        lost.forEach(placement::holderLost);
+        lost.forEach(placement::handleHolderLost);
         return !lost.isEmpty();
     }
 
@@ -139,12 +139,12 @@
 
     /** Refuses every new job from now on, because this node is about to stop. */
     public void refuseNewJobs() {
-        closed = true;
+        refusesNewJobs = true;
     }
 
     /** Returns whether new jobs are refused. */
-    public boolean closed() {
-        return closed;
+    public boolean refusesNewJobs() {
+        return refusesNewJobs;
     }
 
     /**
@@ -158,7 +158,7 @@
     }
 
     /** Returns the jobs that the holder has by what this node has offered, withdrawn and been told. */
-    public ImmutableSet<JobId> openAt(NodeId holder) {
+    public ImmutableSet<JobId> openJobsAt(NodeId holder) {
         return jobs.all().stream()
                 .filter(job -> job.isHeldBy(holder))
                 .map(OpenJob::id)
@@ -166,8 +166,8 @@
     }
 
     /** Returns whether any job has no holder. */
-    public boolean withoutHolder() {
-        return jobs.isAnyUnheld();
+    public boolean hasJobWithoutHolder() {
+        return jobs.hasJobWithoutHolder();
     }
 
     /** Returns how many jobs are not answered. */
@@ -176,8 +176,8 @@
     }
 
     /** Returns how many jobs of the queue no holder has taken. */
-    public long waiting(String queue) {
-        return jobs.unheld(queue);
+    public long waitingJobs(String queue) {
+        return jobs.countWithoutHolder(queue);
     }
 
     /** Returns what is known of a job. */
@@ -185,12 +185,12 @@
         return jobs.progress(id);
     }
 
-    private OpenJob take(QueueDefinition queue, JobRequest request, long deadlineMillis, Consumer<JobReply> client) {
+    private OpenJob open(QueueDefinition queue, JobRequest request, long deadlineMillis, Consumer<JobReply> client) {
         long now = timers.nowMillis();
         OpenJob job = new OpenJob(request, queue, now, now + deadlineMillis);
-        job.join(client);
+        job.addClient(client);
         jobs.add(job);
-        timers.after(Math.max(0, deadlineMillis - ANSWER_TRAVEL_MILLIS), () -> giveUp(job));
+        timers.after(Math.max(0, deadlineMillis - ANSWER_TRANSIT_MILLIS), () -> giveUp(job));
         placement.placeOrRefuse(job);
         return job;
     }
@@ -207,8 +207,8 @@
         }
     }
 
-    private void left(OpenJob job, Consumer<JobReply> client) {
-        if (jobs.isOpen(job) && job.leave(client)) {
+    private void clientLeft(OpenJob job, Consumer<JobReply> client) {
+        if (jobs.isOpen(job) && job.removeClient(client)) {
             job.holder().ifPresent(holder -> observer.clientsLeft(job.id(), holder.node()));
             withdraw(job);
             jobs.remove(job);
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/routing/JobTable.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/routing/JobTable.java
@@ -14,14 +14,14 @@
 final class JobTable {
     private final Map<JobId, OpenJob> open = new LinkedHashMap<>();
     private final AnsweredJobs answered = new AnsweredJobs();
-    private final ClosedHolds closedHolds;
+    private final FormerHolders closedHolds;
 
     JobTable(Timers timers) {
-        closedHolds = new ClosedHolds(timers);
+        closedHolds = new FormerHolders(timers);
     }
 
     void add(OpenJob job) {
-        closedHolds.take(job.id()).ifPresent(job::hadBefore);
+        closedHolds.remove(job.id()).ifPresent(job::formerHolder);
         open.put(job.id(), job);
     }
 
@@ -54,7 +54,7 @@
         open.remove(job.id());
         answered.add(job.id(), reply);
         if (!reply.outcome().lasting()) {
-            closedHolds.closed(job);
+            closedHolds.recordClosed(job);
         }
         job.answer(reply.by(job.lastHolder()));
     }
@@ -67,7 +67,7 @@
     /** Removes a job without an answer, because no client waits for it any more. */
     void remove(OpenJob job) {
         open.remove(job.id());
-        closedHolds.closed(job);
+        closedHolds.recordClosed(job);
     }
 
     int size() {
@@ -75,7 +75,7 @@
     }
 
     /** Returns whether any job has no holder. */
-    boolean isAnyUnheld() {
+    boolean hasJobWithoutHolder() {
         for (OpenJob job : open.values()) {
             if (job.holder().isEmpty()) {
                 return true;
@@ -85,7 +85,7 @@
     }
 
     /** Returns how many jobs of the queue have no holder. */
-    long unheld(String queue) {
+    long countWithoutHolder(String queue) {
         return open.values().stream()
                 .filter(job -> job.queue().name().equals(queue) && job.holder().isEmpty())
                 .count();
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/routing/OpenJob.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/routing/OpenJob.java
@@ -33,16 +33,16 @@
     private Optional<Holder> lostHolder = Optional.empty();
     private Optional<NodeId> lastHolder = Optional.empty();
     private Optional<NodeId> returnedBy = Optional.empty();
-    private Optional<ClosedHolds.Hold> hadBefore = Optional.empty();
-    private ImmutableSet<FailureDomain> lostReach = ImmutableSet.of();
-    private final ImmediateStartOffers atOnceRounds;
+    private Optional<FormerHolders.FormerHolder> formerHolder = Optional.empty();
+    private ImmutableSet<FailureDomain> shardsWithPossibleRuns = ImmutableSet.of();
+    private final ImmediateStartOffers immediateStartOffers;
     private boolean mayHaveRun;
     private long lostAtMillis;
     private long soonestRetryMillis = Long.MAX_VALUE;
 
     OpenJob(JobRequest request, QueueDefinition queue, long arrivedAtMillis, long deadlineAtMillis) {
         this.request = request;
-        this.atOnceRounds = new ImmediateStartOffers(request);
+        this.immediateStartOffers = new ImmediateStartOffers(request);
         this.queue = queue;
         this.arrivedAtMillis = arrivedAtMillis;
         this.deadlineAtMillis = deadlineAtMillis;
@@ -54,8 +54,8 @@
      * <p>Guards against a task that runs twice: that holder may still be stopping its runs, and lets the job wait for
      * that, whereas any other would start it.
      */
-    void hadBefore(ClosedHolds.Hold hold) {
-        hadBefore = Optional.of(hold);
+    void formerHolder(FormerHolders.FormerHolder hold) {
+        formerHolder = Optional.of(hold);
     }
 
     JobId id() {
@@ -88,7 +88,7 @@
     Offer offer(NodeId own, long nowMillis, long runsLastMillis, OfferTerms terms, boolean toOwnDomain) {
         EarlierRuns earlierRuns = lostHolder
                 .filter(lost -> lostAtMillis + runsLastMillis > nowMillis)
-                .map(lost -> new EarlierRuns(lostAtMillis + runsLastMillis - nowMillis, lostReach))
+                .map(lost -> new EarlierRuns(lostAtMillis + runsLastMillis - nowMillis, shardsWithPossibleRuns))
                 .orElse(EarlierRuns.NONE);
         return new Offer(
                 request,
@@ -106,12 +106,12 @@
      *
      * <p>A job that may have run goes only where its runs are seen. One that is late already loses no time in rounds.
      */
-    Optional<Holder> nextToStartAtOnce(
+    Optional<Holder> nextImmediateStartHolder(
             ImmutableList<Holder> inOrder, Holders holders, long nowMillis, long runsLastMillis) {
         if (mayHaveRun || isLate(nowMillis)) {
             return Optional.empty();
         }
-        return atOnceRounds.next(
+        return immediateStartOffers.next(
                 inOrder, holders, holder -> mayBeOfferedTo(holder, holders, nowMillis, runsLastMillis));
     }
 
@@ -120,12 +120,12 @@
         return ageMillis(nowMillis) + request.step().estimateMillis() > objective;
     }
 
-    void join(Consumer<JobReply> client) {
+    void addClient(Consumer<JobReply> client) {
         clients.add(client);
     }
 
     /** Takes a client away; returns whether none is left. */
-    boolean leave(Consumer<JobReply> client) {
+    boolean removeClient(Consumer<JobReply> client) {
         clients.remove(client);
         return clients.isEmpty();
     }
@@ -143,8 +143,8 @@
         return holder.filter(current -> current.node().equals(node)).isPresent();
     }
 
-    void offeredTo(Holder next) {
-        hadBefore = Optional.empty();
+    void markOfferedTo(Holder next) {
+        formerHolder = Optional.empty();
         holder = Optional.of(next);
         lastHolder = Optional.of(next.node());
     }
@@ -161,8 +161,8 @@
      *
      * @param reach the shards on which its runs may be
      */
-    void holderLost(ImmutableSet<FailureDomain> reach, long nowMillis) {
-        lostReach = reach;
+    void markHolderLost(ImmutableSet<FailureDomain> reach, long nowMillis) {
+        shardsWithPossibleRuns = reach;
         declinedBy.clear();
         mayHaveRun = true;
         lostAtMillis = nowMillis;
@@ -171,7 +171,7 @@
     }
 
     /** The offer certainly never reached the holder. */
-    void notOffered() {
+    void markOfferNotSent() {
         holder = Optional.empty();
     }
 
@@ -181,7 +181,7 @@
      * <p>It gets the job again only after holders have changed: until it is known that it releases its shards, it
      * looks like the holder that it was.
      */
-    void returned() {
+    void markReturned() {
         returnedBy = holder.map(Holder::node);
         holder = Optional.empty();
     }
@@ -192,22 +192,22 @@
     }
 
     /** The holder could not start the job at once; it may have the job again under other terms. */
-    void notStartedAtOnce() {
+    void markNotStartedAtOnce() {
         holder = Optional.empty();
     }
 
-    void declined(long retryMillis) {
+    void markDeclined(long retryMillis) {
         holder.ifPresent(by -> declinedBy.add(by.node()));
         holder = Optional.empty();
         soonestRetryMillis = Math.min(soonestRetryMillis, retryMillis);
     }
 
     /** The holder gave the job back after it had stopped what ran; any other may have it at once. */
-    void evicted() {
+    void markEvicted() {
         holder.ifPresent(by -> declinedBy.add(by.node()));
         holder = Optional.empty();
         lostHolder = Optional.empty();
-        lostReach = ImmutableSet.of();
+        shardsWithPossibleRuns = ImmutableSet.of();
         lostAtMillis = LONG_AGO_MILLIS;
         mayHaveRun = true;
     }
@@ -223,9 +223,9 @@
 
     /** Returns whether the job may go to the holder now, given how long a lost holder's runs may last. */
     boolean mayBeOfferedTo(Holder candidate, Holders holders, long nowMillis, long runsLastMillis) {
-        boolean isKnownElsewhere = hadBefore
+        boolean isKnownElsewhere = formerHolder
                 .filter(hold -> nowMillis < hold.closedAtMillis() + runsLastMillis)
-                .filter(hold -> !hold.by().equals(candidate.node()))
+                .filter(hold -> !hold.node().equals(candidate.node()))
                 .isPresent();
         if (declinedBy.contains(candidate.node()) || isReturnedBy(candidate) || isKnownElsewhere) {
             return false;
@@ -233,8 +233,8 @@
         if (!mayHaveRun || nowMillis >= lostAtMillis + runsLastMillis) {
             return true;
         }
-        return holders.hasNewest(candidate, lostReach)
-                && lostHolder.filter(candidate::succeeds).isPresent();
+        return holders.hasNewestTokens(candidate, shardsWithPossibleRuns)
+                && lostHolder.filter(candidate::isSuccessorOf).isPresent();
     }
 
     /** Returns whether the job may go to the holder at some time, though not now. */
--- a/tarragonarch-core/src/test/java/org/tarragonarch/core/cluster/CoordinatorTest.java
+++ b/tarragonarch-core/src/test/java/org/tarragonarch/core/cluster/CoordinatorTest.java
@@ -75,7 +75,7 @@
 
     private void listEndpoints(int count) {
         QueueDefinition queue = new QueueDefinition("checks", "h", "/p/", "board", 0, 3, 1.6, 60);
-        coordinator.configured(QueueCatalog.of(1, ImmutableList.of(queue)));
+        coordinator.applyConfiguration(QueueCatalog.of(1, ImmutableList.of(queue)));
         for (int i = 0; i < count; i++) {
             FailureDomain domain = i % 2 == 0 ? HOBART : LAUNCESTON;
             endpoints.listed(new EndpointEntry(
@@ -92,7 +92,7 @@
 
     /** Guards against greetings to a whole region while its endpoints are read after a loss of power. */
     @Test
-    public void testEndpointsChanged_onlyThePoolIsGreeted() {
+    public void testEndpointsChanged_statusGoesOnlyToThePool() {
         CoordinatorTest test = new CoordinatorTest();
         test.listEndpoints(MANY_ENDPOINTS);
         test.coordinator.review(false);
@@ -102,7 +102,7 @@
 
     /** Few endpoints: the region is one pool, and the nodes of its other domains are greeted once that is known. */
     @Test
-    public void testEndpointsChanged_pooledRegionIsGreeted() {
+    public void testEndpointsChanged_statusGoesToPooledRegion() {
         CoordinatorTest test = new CoordinatorTest();
         test.listEndpoints(10);
         assertTrue(test.sent.contains("status to [hobart, launceston]"), test.sent.toString());
@@ -110,15 +110,15 @@
 
     /** Guards against jobs of a stopping holder that are offered to it again until its next status. */
     @Test
-    public void testLeave_statusGoesBeforeTheJobs() {
+    public void testLeave_statusPrecedesReturnedJobs() {
         CoordinatorTest test = new CoordinatorTest();
         test.listEndpoints(10);
         test.coordinator.review(true);
-        assertEquals(test.coordinator.heldShards(), 1);
-        test.coordinator.offered(offerOf("b"));
+        assertEquals(test.coordinator.heldShardCount(), 1);
+        test.coordinator.offerReceived(offerOf("b"));
         test.sent.clear();
         test.coordinator.leave();
-        assertEquals(test.coordinator.heldShards(), 0);
+        assertEquals(test.coordinator.heldShardCount(), 0);
         int verdict = test.sent.indexOf("RETURNED to b");
         assertTrue(verdict > 0, test.sent.toString());
         assertEquals(test.sent.get(verdict - 1), "status to all, 0 shards, leaving");
@@ -133,7 +133,7 @@
         assertEquals(test.coordinator.endpointListNeed(), EndpointListNeed.OFTEN);
         test.timers.pass(100);
         test.coordinator.review(true);
-        assertEquals(test.coordinator.heldShards(), 1);
+        assertEquals(test.coordinator.heldShardCount(), 1);
         assertEquals(test.coordinator.endpointListNeed(), EndpointListNeed.NOW);
         test.endpoints.currentAsOf(test.timers.nowMillis());
         assertEquals(test.coordinator.endpointListNeed(), EndpointListNeed.OFTEN);
@@ -171,23 +171,23 @@
         test.listEndpoints(10);
         test.coordinator.drained(drained(7, HOBART), "store");
         test.coordinator.drained(drained(5), "store");
-        test.coordinator.received(peerStatus(drained(6)));
+        test.coordinator.statusReceived(peerStatus(drained(6)));
         assertFalse(test.takesWork(HOBART));
     }
 
     /** Guards against a holder that the store turns away and that never hears of a drain. */
     @Test
-    public void testDrained_isHeardOfFromAPeer() {
+    public void testDrained_learnedFromPeer() {
         CoordinatorTest test = new CoordinatorTest();
         test.listEndpoints(10);
-        test.coordinator.received(peerStatus(drained(7, HOBART)));
+        test.coordinator.statusReceived(peerStatus(drained(7, HOBART)));
         assertFalse(test.takesWork(HOBART));
         assertEquals(test.coordinator.status().drained(), drained(7, HOBART));
     }
 
     /** Guards against a peer that cannot reach the store and learns of a drain only with the next heartbeat. */
     @Test
-    public void testDrained_peersAreToldAtOnce() {
+    public void testDrained_peersAreNotifiedAtOnce() {
         CoordinatorTest test = new CoordinatorTest();
         test.listEndpoints(10);
         test.sent.clear();
@@ -199,7 +199,7 @@
 
     /** Guards against an endpoint that is added to a drained domain and takes work. */
     @Test
-    public void testDrained_laterEndpointsAreDrainedToo() {
+    public void testDrained_endpointAddedLaterIsDrained() {
         CoordinatorTest test = new CoordinatorTest();
         test.coordinator.drained(drained(7, HOBART, LAUNCESTON), "store");
         test.listEndpoints(10);
@@ -215,7 +215,7 @@
         test.coordinator.review(true);
         test.timers.pass(4_000);
         test.coordinator.review(true);
-        assertEquals(test.coordinator.heldShards(), 2);
+        assertEquals(test.coordinator.heldShardCount(), 2);
         test.coordinator.drained(drained(7, HOBART, LAUNCESTON), "store");
         List<JobReply> replies = new ArrayList<>();
         Offer offer = offerOf("a");
@@ -227,12 +227,12 @@
 
     /** Guards against jobs of a drained domain's clients that go to its own holder first, which declines them all. */
     @Test
-    public void testDrained_holderOfADrainedDomainIsAskedLast() {
+    public void testDrained_holderOfDrainedDomainIsLast() {
         CoordinatorTest test = new CoordinatorTest();
         test.listEndpoints(MANY_ENDPOINTS);
         test.coordinator.review(true);
         HeldShard other = new HeldShard(LAUNCESTON, FencingToken.of(1, "10.0.0.2"), 1);
-        test.coordinator.received(peerStatus(drained(7, HOBART)).holding(ImmutableList.of(other)));
+        test.coordinator.statusReceived(peerStatus(drained(7, HOBART)).holding(ImmutableList.of(other)));
         Offer offer = offerOf("a");
         test.coordinator.router().submit(offer.queue(), offer.job(), 3_000, reply -> {});
         assertTrue(test.sent.contains("offer to b"), test.sent.toString());
--- a/tarragonarch-core/src/test/java/org/tarragonarch/core/cluster/CutOffHolderTest.java
+++ b/tarragonarch-core/src/test/java/org/tarragonarch/core/cluster/CutOffHolderTest.java
@@ -42,7 +42,7 @@
      * the holder, although the holder has renewed it after that.
      */
     @Test
-    public void testPartition_holderRenewsAfterTheNodeMissesIt() {
+    public void testPartition_holderRenewsLeaseAfterItsLossIsDetected() {
         List<String> broken = new ArrayList<>();
         for (int atMillis = 0; atMillis < 200; atMillis += 10) {
             CutOffHolderTest test = new CutOffHolderTest();
@@ -72,10 +72,10 @@
         successor.start(catalog);
         cluster.timers.pass(1_110);
         // The configuration's next version makes the job's node send its status between two of the holder's.
-        jobNode.coordinator().configured(FakeCluster.catalog(2));
+        jobNode.coordinator().applyConfiguration(FakeCluster.catalog(2));
         cluster.timers.pass(890);
-        assertEquals(holder.coordinator().heldShards(), 1);
-        assertEquals(jobNode.coordinator().heldShards(), 1);
+        assertEquals(holder.coordinator().heldShardCount(), 1);
+        assertEquals(jobNode.coordinator().heldShardCount(), 1);
         cluster.submit(jobNode, JOB, 4);
         cluster.timers.pass(200 + millis);
         int cutOff = 0;
@@ -92,7 +92,7 @@
 
     private void cut(FakeNode from, FakeNode to) {
         cluster.connections.stall(from.id(), to.id(), LONG_MILLIS);
-        cluster.connections.refuse(from.id(), to.id(), LONG_MILLIS);
+        cluster.connections.refuseConnections(from.id(), to.id(), LONG_MILLIS);
     }
 
     private FakeNode addNode(String name, int number, FailureDomain domain, int milliCores, EndpointOrders way) {
--- a/tarragonarch-core/src/test/java/org/tarragonarch/core/cluster/DiscoveryTest.java
+++ b/tarragonarch-core/src/test/java/org/tarragonarch/core/cluster/DiscoveryTest.java
@@ -38,7 +38,7 @@
     }
 
     @Test
-    public void testEnoughHeard_everybody() {
+    public void testIsComplete_everyNodeHeard() {
         ImmutableList<NodeStatus> both = ImmutableList.of(status(A, false), status(C, true));
         assertTrue(Discovery.isComplete(member(B), ImmutableList.of(member(A), member(C)), both));
         assertTrue(Discovery.isComplete(member(B), ImmutableList.of(), ImmutableList.of()));
@@ -46,7 +46,7 @@
 
     /** Guards against callers that wait 200 ms for one slow node though the others know that there is no holder. */
     @Test
-    public void testEnoughHeard_oneIsSlow() {
+    public void testIsComplete_oneNodeIsSlow() {
         ImmutableList<Member> located = ImmutableList.of(member(B), member(C));
         assertTrue(Discovery.isComplete(member(A), located, ImmutableList.of(status(B, true))));
         assertFalse(Discovery.isComplete(member(A), located, ImmutableList.of()));
@@ -54,20 +54,20 @@
 
     /** One node alone was restarted: whoever it hears first has a holder, and it must hear that holder too. */
     @Test
-    public void testEnoughHeard_othersHaveAHolder() {
+    public void testIsComplete_peerHasHolder() {
         assertFalse(Discovery.isComplete(
                 member(A), ImmutableList.of(member(B), member(C)), ImmutableList.of(status(B, false))));
     }
 
     @Test
-    public void testEnoughHeard_anotherGoesFirst() {
+    public void testIsComplete_otherNodeRanksHigherByName() {
         assertFalse(Discovery.isComplete(
                 member(B), ImmutableList.of(member(A), member(C)), ImmutableList.of(status(C, true))));
     }
 
     /** The first by name is a small VM; it leaves the start to the large one, which holds the shard in the end. */
     @Test
-    public void testEnoughHeard_strongerNodeGoesFirst() {
+    public void testIsComplete_largerNodeRanksHigher() {
         Member strong = new Member(C, FailureDomain.of("hobart"), new Address("10.0.0.9", 7_000), 1_500);
         ImmutableList<NodeStatus> withoutHolder = ImmutableList.of(status(B, true));
         assertFalse(Discovery.isComplete(member(A), ImmutableList.of(member(B), strong), withoutHolder));
@@ -76,7 +76,7 @@
 
     /** Guards against a small VM that takes the endpoints before it has read the holder's status. */
     @Test
-    public void testPatience_growsWithTheNodesThatGoBefore() {
+    public void testClaimDelayMillis_growsWithHigherRankedNodes() {
         Member large = new Member(C, FailureDomain.of("hobart"), new Address("10.0.0.9", 7_000), 1_500);
         ImmutableList<Member> both = ImmutableList.of(member(A), large);
         assertEquals(Discovery.claimDelayMillis(large, ImmutableList.of(member(A), member(B))), 200);
--- a/tarragonarch-core/src/test/java/org/tarragonarch/core/cluster/FakeConnections.java
+++ b/tarragonarch-core/src/test/java/org/tarragonarch/core/cluster/FakeConnections.java
@@ -18,7 +18,7 @@
  * <p>A node is notified only when its last connection with a peer has closed.
  */
 final class FakeConnections {
-    private static final long WAY_MILLIS = 1;
+    private static final long LATENCY_MILLIS = 1;
 
     /** The real transport's first wait before it connects again. */
     private static final long RECONNECT_MILLIS = 50;
@@ -64,7 +64,7 @@
     }
 
     /** Lets attempts to open a connection fail for a while. */
-    void refuse(NodeId from, NodeId to, long millis) {
+    void refuseConnections(NodeId from, NodeId to, long millis) {
         link(from, to).refusedUntilMillis = timers.nowMillis() + millis;
     }
 
@@ -108,7 +108,7 @@
         private final Direction direction;
         private final List<Frame> waiting = new ArrayList<>();
         private Connection connection;
-        private boolean waitsToConnect;
+        private boolean reconnectPending;
         private long refusedUntilMillis;
 
         Link(Direction direction) {
@@ -132,15 +132,15 @@
         }
 
         private void connectLater() {
-            waitsToConnect = true;
+            reconnectPending = true;
             timers.after(RECONNECT_MILLIS, () -> {
-                waitsToConnect = false;
+                reconnectPending = false;
                 connectIfNeeded();
             });
         }
 
         private void connectIfNeeded() {
-            if (connection != null || waitsToConnect || waiting.isEmpty()) {
+            if (connection != null || reconnectPending || waiting.isEmpty()) {
                 return;
             }
             List<Frame> frames = List.copyOf(waiting);
@@ -193,7 +193,7 @@
         }
 
         void deliver(NodeId to, Runnable arrival) {
-            long millis = Math.max(WAY_MILLIS, stalledUntilMillis - timers.nowMillis());
+            long millis = Math.max(LATENCY_MILLIS, stalledUntilMillis - timers.nowMillis());
             timers.after(millis, () -> {
                 if (!broken) {
                     arrival.run();
--- a/tarragonarch-core/src/test/java/org/tarragonarch/core/cluster/FakeNode.java
+++ b/tarragonarch-core/src/test/java/org/tarragonarch/core/cluster/FakeNode.java
@@ -69,7 +69,7 @@
     }
 
     void start(QueueCatalog catalog) {
-        coordinator.configured(catalog);
+        coordinator.applyConfiguration(catalog);
         review();
     }
 
@@ -88,7 +88,7 @@
 
     private void lost(NodeId peer) {
         connections.disconnect(id, peer);
-        coordinator.lost(peer);
+        coordinator.peerLost(peer);
         reviewShards();
     }
 
@@ -103,58 +103,59 @@
     }
 
     private void received(NodeStatus status) {
-        coordinator.received(status);
+        coordinator.statusReceived(status);
         reviewShards();
-        coordinator.routeWaiting();
+        coordinator.placeWaitingJobs();
     }
 
     /** Returns the frame that goes first on a connection to the peer: the jobs that are open there. */
     FakeConnections.Frame firstFrame(NodeId peer) {
-        ImmutableSet<JobId> open = coordinator.router().openAt(peer);
-        return new FakeConnections.Frame(receiver -> receiver.coordinator.openJobs(id, open), () -> {});
+        ImmutableSet<JobId> open = coordinator.router().openJobsAt(peer);
+        return new FakeConnections.Frame(receiver -> receiver.coordinator.openJobsReceived(id, open), () -> {});
     }
 
     @Override
-    public void status(NodeId to, NodeStatus status) {
+    public void sendStatus(NodeId to, NodeStatus status) {
         connections.send(id, to, new FakeConnections.Frame(peer -> peer.received(status), () -> {}));
     }
 
     @Override
-    public void statusToAll(NodeStatus status) {
+    public void sendStatusToAll(NodeStatus status) {
         for (FakeNode node : connections.nodes()) {
             if (node != this) {
-                status(node.id, status);
+                sendStatus(node.id, status);
             }
         }
     }
 
     @Override
-    public void statusToDomains(ImmutableSet<FailureDomain> domains, NodeStatus status) {
+    public void sendStatusToDomains(ImmutableSet<FailureDomain> domains, NodeStatus status) {
         for (FakeNode node : connections.nodes()) {
             if (node != this && domains.contains(node.domain)) {
-                status(node.id, status);
+                sendStatus(node.id, status);
             }
         }
     }
 
     @Override
-    public void offer(NodeId to, Offer offer) {
+    public void sendOffer(NodeId to, Offer offer) {
         connections.send(
                 id,
                 to,
                 new FakeConnections.Frame(
-                        peer -> peer.coordinator.offered(offer),
-                        () -> coordinator.router().notOffered(to, offer.job().id())));
+                        peer -> peer.coordinator.offerReceived(offer),
+                        () -> coordinator.router().offerNotSent(to, offer.job().id())));
     }
 
     /** Sends a withdrawal; as in the real node, nothing follows if it is given back as undelivered. */
     @Override
-    public void withdraw(NodeId to, JobId job) {
-        connections.send(id, to, new FakeConnections.Frame(peer -> peer.coordinator.withdrawn(id, job), () -> {}));
+    public void sendWithdrawal(NodeId to, JobId job) {
+        connections.send(
+                id, to, new FakeConnections.Frame(peer -> peer.coordinator.withdrawalReceived(id, job), () -> {}));
     }
 
     @Override
-    public void settled(NodeId to, JobId job, Verdict verdict, long retryMillis) {
+    public void sendVerdict(NodeId to, JobId job, Verdict verdict, long retryMillis) {
         connections.reply(
                 id,
                 to,
--- a/tarragonarch-core/src/test/java/org/tarragonarch/core/cluster/NeighbourRoomTest.java
+++ b/tarragonarch-core/src/test/java/org/tarragonarch/core/cluster/NeighbourCapacityTest.java
@@ -22,7 +22,7 @@
 import org.testng.annotations.Test;
 
 /** What one node knows of the room of other failure domains, by their holders' statuses. */
-public final class NeighbourRoomTest {
+public final class NeighbourCapacityTest {
     private static final FailureDomain HOBART = FailureDomain.of("hobart");
     private static final FailureDomain LAUNCESTON = FailureDomain.of("launceston");
     private static final FailureDomain DARWIN = FailureDomain.of("darwin");
@@ -31,7 +31,7 @@
     private final VirtualTimers timers = new VirtualTimers();
     private final PeerTable peers = new PeerTable();
     private final Set<FailureDomain> drained = new HashSet<>();
-    private final NeighbourRoom room = new NeighbourRoom(
+    private final NeighbourCapacity room = new NeighbourCapacity(
             HOBART,
             peers,
             new ShardPools(
@@ -51,13 +51,13 @@
     }
 
     private int found(long milliCores) {
-        return room.withRoom(milliCores).size();
+        return room.holdersWithCapacity(milliCores).size();
     }
 
     /** Guards against offers by a status that says nothing of the room there is now, as after a cut. */
     @Test
-    public void testWithRoom_statusOverTwoPeriodsOld() {
-        NeighbourRoomTest test = new NeighbourRoomTest();
+    public void testHoldersWithCapacity_statusOverTwoPeriodsOld() {
+        NeighbourCapacityTest test = new NeighbourCapacityTest();
         test.status(false, 100, LAUNCESTON);
         test.timers.pass(400);
         assertEquals(test.found(100), 1);
@@ -68,11 +68,11 @@
 
     /** Guards against a herd: what was offered is counted as taken until the holder says what is left. */
     @Test
-    public void testOffered_isTakenUntilTheNextStatus() {
-        NeighbourRoomTest test = new NeighbourRoomTest();
+    public void testRecordOffer_deductedUntilNextStatus() {
+        NeighbourCapacityTest test = new NeighbourCapacityTest();
         test.status(false, 100, LAUNCESTON);
-        test.room.offered(HOLDER, 30);
-        test.room.offered(HOLDER, 30);
+        test.room.recordOffer(HOLDER, 30);
+        test.room.recordOffer(HOLDER, 30);
         assertEquals(test.found(41), 0);
         assertEquals(test.found(40), 1);
         test.timers.pass(200);
@@ -82,10 +82,10 @@
 
     /** Guards against job after job that goes to a holder whose free room is too scattered, or kept for its own. */
     @Test
-    public void testRefused_noLargerJobUntilTheNextStatus() {
-        NeighbourRoomTest test = new NeighbourRoomTest();
+    public void testRecordRefusal_noLargerJobUntilNextStatus() {
+        NeighbourCapacityTest test = new NeighbourCapacityTest();
         test.status(false, 100, LAUNCESTON);
-        test.room.refused(HOLDER, 30);
+        test.room.recordRefusal(HOLDER, 30);
         assertEquals(test.found(30), 0);
         assertEquals(test.found(29), 1);
         test.timers.pass(200);
@@ -95,16 +95,16 @@
 
     /** Guards against work for a holder that is about to stop. */
     @Test
-    public void testWithRoom_leavingHolder() {
-        NeighbourRoomTest test = new NeighbourRoomTest();
+    public void testHoldersWithCapacity_leavingHolder() {
+        NeighbourCapacityTest test = new NeighbourCapacityTest();
         test.status(true, 100, LAUNCESTON);
         assertEquals(test.found(1), 0);
     }
 
     /** Guards against work for a drained domain. */
     @Test
-    public void testWithRoom_drainedDomain() {
-        NeighbourRoomTest test = new NeighbourRoomTest();
+    public void testHoldersWithCapacity_drainedDomain() {
+        NeighbourCapacityTest test = new NeighbourCapacityTest();
         test.status(false, 100, LAUNCESTON);
         test.drained.add(LAUNCESTON);
         assertEquals(test.found(1), 0);
@@ -112,16 +112,16 @@
 
     /** Guards against work for a region that is far away. */
     @Test
-    public void testWithRoom_otherRegion() {
-        NeighbourRoomTest test = new NeighbourRoomTest();
+    public void testHoldersWithCapacity_otherRegion() {
+        NeighbourCapacityTest test = new NeighbourCapacityTest();
         test.status(false, 100, DARWIN);
         assertEquals(test.found(1), 0);
     }
 
     /** Guards against rounds where one holder has the own failure domain and others. */
     @Test
-    public void testWithRoom_holderOfTheOwnDomainToo() {
-        NeighbourRoomTest test = new NeighbourRoomTest();
+    public void testHoldersWithCapacity_holderAlsoHoldsOwnDomain() {
+        NeighbourCapacityTest test = new NeighbourCapacityTest();
         test.status(false, 100, LAUNCESTON, HOBART);
         assertEquals(test.found(1), 0);
     }
--- a/tarragonarch-core/src/test/java/org/tarragonarch/core/cluster/RecordingPeerSender.java
+++ b/tarragonarch-core/src/test/java/org/tarragonarch/core/cluster/RecordingPeerSender.java
@@ -18,32 +18,32 @@
     }
 
     @Override
-    public void status(NodeId to, NodeStatus status) {
+    public void sendStatus(NodeId to, NodeStatus status) {
         sent.add("status to " + to);
     }
 
     @Override
-    public void statusToAll(NodeStatus status) {
+    public void sendStatusToAll(NodeStatus status) {
         sent.add("status to all, " + status.shards().size() + " shards" + (status.leaving() ? ", leaving" : ""));
     }
 
     @Override
-    public void statusToDomains(ImmutableSet<FailureDomain> domains, NodeStatus status) {
+    public void sendStatusToDomains(ImmutableSet<FailureDomain> domains, NodeStatus status) {
         sent.add("status to " + domains);
     }
 
     @Override
-    public void offer(NodeId to, Offer offer) {
+    public void sendOffer(NodeId to, Offer offer) {
         sent.add("offer to " + to);
     }
 
     @Override
-    public void withdraw(NodeId to, JobId job) {
+    public void sendWithdrawal(NodeId to, JobId job) {
         sent.add("withdrawal to " + to);
     }
 
     @Override
-    public void settled(NodeId to, JobId job, Verdict verdict, long retryMillis) {
+    public void sendVerdict(NodeId to, JobId job, Verdict verdict, long retryMillis) {
         sent.add(verdict + " to " + to);
     }
 }
--- a/tarragonarch-core/src/test/java/org/tarragonarch/core/cluster/UsedElsewhereTest.java
+++ b/tarragonarch-core/src/test/java/org/tarragonarch/core/cluster/RemoteUsageTest.java
@@ -14,17 +14,17 @@
 import org.tarragonarch.model.task.FencingToken;
 import org.testng.annotations.Test;
 
-public final class UsedElsewhereTest {
+public final class RemoteUsageTest {
     private static final FailureDomain HOBART = FailureDomain.of("hobart");
     private static final int LONG = 2;
 
     /** Guards against the use of a holder that is cut off, which stands for ever at what it last said. */
     @Test
-    public void testOf_statusOlderThanASecondIsIgnored() {
+    public void testByPriority_statusOlderThanOneSecondIsIgnored() {
         HeldShard held =
                 new HeldShard(HOBART, FencingToken.of(7, "10.0.0.9"), 0, ImmutableList.of(new ShareUse(LONG, 96_000)));
-        UsedElsewhere elsewhere = new UsedElsewhere();
-        elsewhere.received(
+        RemoteUsage elsewhere = new RemoteUsage();
+        elsewhere.statusReceived(
                 new NodeStatus(
                         NodeId.of("a"),
                         HOBART,
--- a/tarragonarch-core/src/test/java/org/tarragonarch/core/cluster/SeparatePoolsFixture.java
+++ b/tarragonarch-core/src/test/java/org/tarragonarch/core/cluster/SeparatePoolsFixture.java
@@ -15,7 +15,7 @@
  */
 final class SeparatePoolsFixture {
     /** The tasks that fill an endpoint. */
-    static final int PLACES = 2;
+    static final int TASKS_PER_ENDPOINT = 2;
 
     final VirtualTimers timers;
     final Ledger ledger;
--- a/tarragonarch-core/src/test/java/org/tarragonarch/core/cluster/SeparatePoolsTest.java
+++ b/tarragonarch-core/src/test/java/org/tarragonarch/core/cluster/SeparatePoolsTest.java
@@ -23,7 +23,7 @@
     private static final long STALL_MILLIS = 1_300;
 
     /** Longer than the rest of a test, in milliseconds. */
-    private static final long SILENT_FOR_GOOD_MILLIS = 60_000;
+    private static final long PERMANENT_STALL_MILLIS = 60_000;
 
     /** Longer than runs of a lost holder may last, in milliseconds. */
     private static final long OFFERED_AGAIN_MILLIS = 1_300;
@@ -41,11 +41,12 @@
     private static SeparatePoolsTest placedInOtherDomain(boolean throughHolder) {
         SeparatePoolsTest test = new SeparatePoolsTest();
         SeparatePoolsFixture cluster = test.cluster;
-        assertEquals(cluster.hobartHolder.coordinator().heldShards(), 1);
-        assertEquals(cluster.launcestonHolder.coordinator().heldShards(), 1);
-        JobService.Submission filler = cluster.submit(cluster.hobartHolder, FILLER, SeparatePoolsFixture.PLACES);
+        assertEquals(cluster.hobartHolder.coordinator().heldShardCount(), 1);
+        assertEquals(cluster.launcestonHolder.coordinator().heldShardCount(), 1);
+        JobService.Submission filler =
+                cluster.submit(cluster.hobartHolder, FILLER, SeparatePoolsFixture.TASKS_PER_ENDPOINT);
         cluster.timers.pass(300);
-        assertEquals(cluster.hobartEndpoint.running(), SeparatePoolsFixture.PLACES);
+        assertEquals(cluster.hobartEndpoint.running(), SeparatePoolsFixture.TASKS_PER_ENDPOINT);
         test.job = cluster.submit(throughHolder ? cluster.hobartHolder : cluster.hobartNode, JOB, 1);
         cluster.timers.pass(100);
         assertEquals(cluster.launcestonEndpoint.running(), 1);
@@ -93,7 +94,7 @@
 
     /** Guards against two runs after a lost withdrawal where the node has forgotten by then who had the job. */
     @Test
-    public void testClientLeft_withdrawalIsLostAndTheSameNodeGetsTheJobAgain() {
+    public void testClientLeft_withdrawalIsLostAndJobIsResubmittedToSameNode() {
         SeparatePoolsTest test = placedInOtherDomain(false);
         test.job.clientLeft();
         test.cluster.connections.breakConnection(test.cluster.hobartNode.id(), test.cluster.launcestonHolder.id());
@@ -106,7 +107,8 @@
     public void testClientLeft_withdrawalIsUndelivered() {
         SeparatePoolsTest test = placedInOtherDomain(false);
         test.cluster.connections.breakConnection(test.cluster.hobartNode.id(), test.cluster.launcestonHolder.id());
-        test.cluster.connections.refuse(test.cluster.hobartNode.id(), test.cluster.launcestonHolder.id(), 100);
+        test.cluster.connections.refuseConnections(
+                test.cluster.hobartNode.id(), test.cluster.launcestonHolder.id(), 100);
         test.job.clientLeft();
         test.sendAgain();
         assertTrue(test.cluster.launcestonHolder.reaches(test.cluster.hobartNode));
@@ -115,7 +117,7 @@
 
     /** Guards against a job that goes on at a holder after a node without shards considers that holder silent. */
     @Test
-    public void testHolderSilent_nodeSendsNothingMore() {
+    public void testHolderSilent_nodeSendsNothingElse() {
         SeparatePoolsTest test = placedInOtherDomain(false);
         FakeNode holder = test.cluster.launcestonHolder;
         test.cluster.connections.stall(holder.id(), test.cluster.hobartNode.id(), STALL_MILLIS);
@@ -128,10 +130,10 @@
 
     /** Guards against two runs of a job whose holder is slow to miss a node that has nothing more to send to it. */
     @Test
-    public void testHolderSilent_holderIsToldAtOnce() {
+    public void testHolderSilent_holderIsNotifiedAtOnce() {
         SeparatePoolsTest test = placedInOtherDomain(false);
         FakeNode holder = test.cluster.launcestonHolder;
-        test.cluster.connections.stall(holder.id(), test.cluster.hobartNode.id(), SILENT_FOR_GOOD_MILLIS);
+        test.cluster.connections.stall(holder.id(), test.cluster.hobartNode.id(), PERMANENT_STALL_MILLIS);
         test.cluster.timers.pass(SILENT_MILLIS);
         assertFalse(test.cluster.hobartNode.reaches(holder));
         test.cluster.timers.pass(100);
@@ -143,7 +145,7 @@
      * one, while the close of the old one that went silent is still on its way.
      */
     @Test
-    public void testHolderSilent_nodeIsBackBeforeTheHolderSeesTheLastClose() {
+    public void testHolderSilent_nodeReconnectsBeforeHolderSeesLastClose() {
         SeparatePoolsTest test = placedInOtherDomain(true);
         FakeNode holder = test.cluster.launcestonHolder;
         test.cluster.connections.stall(holder.id(), test.cluster.hobartHolder.id(), STALL_MILLIS);
@@ -158,13 +160,13 @@
      * gone silent for good, while the holder hears the node by a new one.
      */
     @Test
-    public void testHolderSilent_holderOfTheOwnDomainHearsTheNode() {
+    public void testHolderSilent_holderOfOwnDomainStillHearsNode() {
         SeparatePoolsTest test = new SeparatePoolsTest();
         SeparatePoolsFixture cluster = test.cluster;
         test.job = cluster.submit(cluster.hobartNode, JOB, 1);
         cluster.timers.pass(100);
         assertEquals(cluster.hobartEndpoint.running(), 1);
-        cluster.connections.stall(cluster.hobartHolder.id(), cluster.hobartNode.id(), SILENT_FOR_GOOD_MILLIS);
+        cluster.connections.stall(cluster.hobartHolder.id(), cluster.hobartNode.id(), PERMANENT_STALL_MILLIS);
         cluster.timers.pass(SILENT_MILLIS);
         assertFalse(cluster.hobartNode.reaches(cluster.hobartHolder));
         cluster.timers.pass(OFFERED_AGAIN_MILLIS);
@@ -177,13 +179,13 @@
      * resumes, before it has seen that the job's node has closed their connections.
      */
     @Test
-    public void testHolderSuspended_resumesAfterTheJobWentElsewhere() {
+    public void testHolderSuspended_resumesAfterJobIsOfferedElsewhere() {
         SeparatePoolsTest test = placedInOtherDomain(false);
         FakeNode holder = test.cluster.launcestonHolder;
         for (FakeNode other : ImmutableList.of(test.cluster.hobartNode, test.cluster.hobartHolder)) {
             test.cluster.connections.stall(holder.id(), other.id(), SUSPENDED_MILLIS + NEXT_STATUS_MILLIS);
             test.cluster.connections.stall(other.id(), holder.id(), SUSPENDED_MILLIS + NEXT_STATUS_MILLIS);
-            test.cluster.connections.refuse(other.id(), holder.id(), SUSPENDED_MILLIS);
+            test.cluster.connections.refuseConnections(other.id(), holder.id(), SUSPENDED_MILLIS);
         }
         test.cluster.launcestonMachine.suspend(SUSPENDED_MILLIS);
         test.cluster.timers.pass(SUSPENDED_MILLIS - 10);
@@ -197,7 +199,7 @@
     /** Guards against a job that waits until its deadline because its offer was lost with the connection. */
     @Test
     public void testOffer_connectionBreaksUnderTheOffer() {
-        cluster.submit(cluster.hobartHolder, FILLER, SeparatePoolsFixture.PLACES);
+        cluster.submit(cluster.hobartHolder, FILLER, SeparatePoolsFixture.TASKS_PER_ENDPOINT);
         cluster.timers.pass(300);
         cluster.submit(cluster.hobartNode, JOB, 1);
         // The holder of the own domain has returned the job, and the offer to the other is on its way.
--- a/tarragonarch-core/src/test/java/org/tarragonarch/core/cluster/StatusSenderTest.java
+++ b/tarragonarch-core/src/test/java/org/tarragonarch/core/cluster/StatusSenderTest.java
@@ -38,7 +38,7 @@
 
     /** Guards against a status sent twice within a period, first outside it and then as due. */
     @Test
-    public void testSendNow_startsThePeriodAnew() {
+    public void testSendNow_restartsPeriod() {
         StatusSenderTest test = new StatusSenderTest();
         test.sender.sendNow(Heartbeats.Audience.ALL);
         test.sender.sendDue();
@@ -50,11 +50,11 @@
 
     /** Guards against jobs offered to a node that is about to stop, and against peers that keep an older drain. */
     @Test
-    public void testStatus_containsWhatWasSet() {
+    public void testStatus_containsCurrentState() {
         StatusSenderTest test = new StatusSenderTest();
         DrainedDomains drained = new DrainedDomains(7, ImmutableSet.of(HOBART));
-        test.sender.leave();
-        test.sender.configured(3);
+        test.sender.markLeaving();
+        test.sender.updateConfigurationVersion(3);
         test.sender.drained(drained);
         assertTrue(test.sender.status().leaving());
         assertEquals(test.sender.status().configurationVersion(), 3);
--- a/tarragonarch-core/src/test/java/org/tarragonarch/core/routing/DomainBalanceTest.java
+++ b/tarragonarch-core/src/test/java/org/tarragonarch/core/routing/DomainBalanceTest.java
@@ -23,7 +23,7 @@
 public final class DomainBalanceTest {
     private static final JobId JOB = id(1);
     private static final QueueDefinition QUEUE = new QueueDefinition("q", "h", "/p/", "s", 0, 3, 1.6, 60);
-    private static final long ROOMY = 1_000_000;
+    private static final long AMPLE_MILLI_CORES = 1_000_000;
 
     private final VirtualTimers timers = new VirtualTimers();
     private final FakeHolders holders = new FakeHolders();
@@ -62,19 +62,19 @@
 
     /** Guards against a job that waits in its own domain while another has room, and against its loss in rounds. */
     @Test
-    public void testSubmit_ownThenTwoOthersThenOwnToWait() {
+    public void testSubmit_ownDomainThenTwoNeighboursThenOwnDomainToWait() {
         DomainBalanceTest test = new DomainBalanceTest();
         test.holders.add("a", "hobart", 1);
-        test.holders.addNeighbour("b", "launceston", ROOMY);
-        test.holders.addNeighbour("c", "devonport", ROOMY);
-        test.holders.addNeighbour("d", "burnie", ROOMY);
+        test.holders.addNeighbour("b", "launceston", AMPLE_MILLI_CORES);
+        test.holders.addNeighbour("c", "devonport", AMPLE_MILLI_CORES);
+        test.holders.addNeighbour("d", "burnie", AMPLE_MILLI_CORES);
         test.submit(JOB);
         test.notAtOnce("a", "b", "c", "d");
-        assertEquals(test.holders.asked.size(), 4, test.holders.asked.toString());
-        assertEquals(test.holders.asked.get(0), "offer a at once");
-        assertTrue(test.holders.asked.get(1).endsWith("at once")
-                && test.holders.asked.get(2).endsWith("at once"));
-        assertEquals(test.holders.asked.get(3), "offer a");
+        assertEquals(test.holders.calls.size(), 4, test.holders.calls.toString());
+        assertEquals(test.holders.calls.get(0), "offer a at once");
+        assertTrue(test.holders.calls.get(1).endsWith("at once")
+                && test.holders.calls.get(2).endsWith("at once"));
+        assertEquals(test.holders.calls.get(3), "offer a");
         assertEquals(test.observed.size(), 4, test.observed.toString());
         test.router.settled(NodeId.of("a"), JOB, Verdict.DONE, 0);
         assertEquals(test.replies, ImmutableList.of("DONE 0"));
@@ -82,28 +82,28 @@
 
     /** Guards against a round trip that leads to nothing: no other domain has room for the whole job. */
     @Test
-    public void testSubmit_noRoomElsewhere() {
+    public void testSubmit_noCapacityElsewhere() {
         DomainBalanceTest test = new DomainBalanceTest();
         test.holders.add("a", "hobart", 1);
         test.holders.addNeighbour("b", "launceston", 13_999);
         test.submit(JOB);
-        assertEquals(test.holders.asked, ImmutableList.of("offer a"));
+        assertEquals(test.holders.calls, ImmutableList.of("offer a"));
     }
 
     /** Guards against a decline of an at-once offer that counts as a refusal: every holder may have the job to wait. */
     @Test
-    public void testSettled_notAtOnceIsNoRefusal() {
+    public void testSettled_notAtOnceDoesNotCountAsDeclined() {
         DomainBalanceTest test = new DomainBalanceTest();
         test.holders.add("a", "hobart", 1);
-        test.holders.addNeighbour("b", "launceston", ROOMY);
+        test.holders.addNeighbour("b", "launceston", AMPLE_MILLI_CORES);
         test.submit(JOB);
         test.notAtOnce("a", "b");
         test.router.settled(NodeId.of("a"), JOB, Verdict.DECLINED, 300);
         test.router.settled(NodeId.of("b"), JOB, Verdict.DECLINED, 200);
-        assertEquals(test.holders.asked, ImmutableList.of("offer a at once", "offer b at once", "offer a", "offer b"));
+        assertEquals(test.holders.calls, ImmutableList.of("offer a at once", "offer b at once", "offer a", "offer b"));
         assertEquals(test.replies, ImmutableList.of("REFUSED 200"));
         assertEquals(test.observed, ImmutableList.of("moved to b", "back from b"));
-        assertEquals(test.holders.refused, ImmutableList.of("b 14000"));
+        assertEquals(test.holders.notStartedAtOnce, ImmutableList.of("b 14000"));
     }
 
     /** Guards against a job that waits until its deadline: its holders are gone as the last one gives it back late. */
@@ -111,7 +111,7 @@
     public void testSettled_notAtOnceAndNoHolderLeft() {
         DomainBalanceTest test = new DomainBalanceTest();
         Holder own = test.holders.add("a", "hobart", 1);
-        test.holders.addNeighbour("b", "launceston", ROOMY);
+        test.holders.addNeighbour("b", "launceston", AMPLE_MILLI_CORES);
         test.submit(JOB);
         test.timers.pass(600);
         test.holders.holders.clear();
@@ -126,54 +126,54 @@
     public void testNodeLost_atOnceOfferMayHaveStarted() {
         DomainBalanceTest test = new DomainBalanceTest();
         test.holders.add("a", "hobart", 1);
-        Holder lost = test.holders.addNeighbour("b", "launceston", ROOMY);
-        test.holders.addNeighbour("c", "devonport", ROOMY);
+        Holder lost = test.holders.addNeighbour("b", "launceston", AMPLE_MILLI_CORES);
+        test.holders.addNeighbour("c", "devonport", AMPLE_MILLI_CORES);
         test.holders.neighboursWithRoom.remove(1);
         test.submit(JOB);
         test.notAtOnce("a");
         test.holders.holders.remove(lost);
         test.router.nodeLost(NodeId.of("b"));
         test.timers.pass(1_000);
-        assertEquals(test.holders.asked, ImmutableList.of("offer a at once", "offer b at once"));
+        assertEquals(test.holders.calls, ImmutableList.of("offer a at once", "offer b at once"));
         test.timers.pass(100);
-        assertEquals(test.holders.asked, ImmutableList.of("offer a at once", "offer b at once", "offer a"));
+        assertEquals(test.holders.calls, ImmutableList.of("offer a at once", "offer b at once", "offer a"));
     }
 
     /** Guards against rounds that make a job later which is late already. */
     @Test
-    public void testHoldersChanged_lateJobSkipsTheRounds() {
+    public void testHoldersChanged_lateJobSkipsImmediateStartOffers() {
         DomainBalanceTest test = new DomainBalanceTest();
         test.submit(JOB);
         test.timers.pass(97);
         test.holders.add("a", "hobart", 1);
-        test.holders.addNeighbour("b", "launceston", ROOMY);
+        test.holders.addNeighbour("b", "launceston", AMPLE_MILLI_CORES);
         test.router.holdersChanged();
-        assertEquals(test.holders.asked, ImmutableList.of("offer a"));
+        assertEquals(test.holders.calls, ImmutableList.of("offer a"));
     }
 
     /** Guards against a domain that takes part in rounds though its holder covers the own domain too. */
     @Test
     public void testSubmit_ownDomainIsNotFirst() {
         DomainBalanceTest test = new DomainBalanceTest();
-        test.holders.addNeighbour("b", "launceston", ROOMY);
+        test.holders.addNeighbour("b", "launceston", AMPLE_MILLI_CORES);
         test.holders.add("a", "hobart", 1);
         test.submit(JOB);
-        assertEquals(test.holders.asked, ImmutableList.of("offer b"));
+        assertEquals(test.holders.calls, ImmutableList.of("offer b"));
     }
 
     /** Guards against a herd: nodes that see the same statuses do not all choose the same holder. */
     @Test
-    public void testSubmit_jobsSpreadOverNeighboursAndPreferTheRoomier() {
+    public void testSubmit_jobsSpreadOverNeighboursAndPreferMoreCapacity() {
         DomainBalanceTest test = new DomainBalanceTest();
         test.holders.add("a", "hobart", 1);
-        test.holders.addNeighbour("b", "launceston", ROOMY);
-        test.holders.addNeighbour("c", "devonport", ROOMY);
-        test.holders.addNeighbour("d", "burnie", 2 * ROOMY);
+        test.holders.addNeighbour("b", "launceston", AMPLE_MILLI_CORES);
+        test.holders.addNeighbour("c", "devonport", AMPLE_MILLI_CORES);
+        test.holders.addNeighbour("d", "burnie", 2 * AMPLE_MILLI_CORES);
         for (int job = 1; job <= 300; job++) {
             test.submit(id(job));
             test.router.settled(NodeId.of("a"), id(job), Verdict.NOT_AT_ONCE, 0);
         }
-        Multiset<String> asked = HashMultiset.create(test.holders.asked);
+        Multiset<String> asked = HashMultiset.create(test.holders.calls);
         assertEquals(asked.count("offer a at once"), 300);
         assertTrue(asked.count("offer b at once") > 20 && asked.count("offer c at once") > 20, asked.toString());
         assertTrue(asked.count("offer d at once") > 150, asked.toString());
@@ -184,32 +184,32 @@
      * stopping the first runs.
      */
     @Test
-    public void testSubmit_againWhileTheNeighbourStopsIt() {
+    public void testSubmit_resubmittedWhileNeighbourStopsRuns() {
         DomainBalanceTest test = new DomainBalanceTest();
         test.holders.add("a", "hobart", 1);
-        test.holders.addNeighbour("b", "launceston", ROOMY);
+        test.holders.addNeighbour("b", "launceston", AMPLE_MILLI_CORES);
         JobService.Submission first = test.submit(JOB);
         test.notAtOnce("a");
         first.clientLeft();
-        test.holders.asked.clear();
+        test.holders.calls.clear();
         test.submit(JOB);
-        assertEquals(test.holders.asked, ImmutableList.of("offer b"));
+        assertEquals(test.holders.calls, ImmutableList.of("offer b"));
         test.router.settled(NodeId.of("b"), JOB, Verdict.DECLINED, 200);
-        assertEquals(test.holders.asked.size(), 2, test.holders.asked.toString());
-        assertTrue(test.holders.asked.get(1).startsWith("offer a"));
+        assertEquals(test.holders.calls.size(), 2, test.holders.calls.toString());
+        assertTrue(test.holders.calls.get(1).startsWith("offer a"));
     }
 
     /** Guards against the same after the deadline of the first time, which is answered as one that may have run. */
     @Test
-    public void testSubmit_againAfterItsDeadline() {
+    public void testSubmit_resubmittedAfterDeadline() {
         DomainBalanceTest test = new DomainBalanceTest();
         test.holders.add("a", "hobart", 1);
-        test.holders.addNeighbour("b", "launceston", ROOMY);
+        test.holders.addNeighbour("b", "launceston", AMPLE_MILLI_CORES);
         test.submit(JOB);
         test.notAtOnce("a");
         test.timers.pass(2_000);
-        test.holders.asked.clear();
+        test.holders.calls.clear();
         test.submit(JOB);
-        assertEquals(test.holders.asked, ImmutableList.of("offer b"));
+        assertEquals(test.holders.calls, ImmutableList.of("offer b"));
     }
 }
--- a/tarragonarch-core/src/test/java/org/tarragonarch/core/routing/FakeHolders.java
+++ b/tarragonarch-core/src/test/java/org/tarragonarch/core/routing/FakeHolders.java
@@ -20,13 +20,13 @@
     static final FailureDomain OWN_DOMAIN = FailureDomain.of("hobart");
 
     final List<Holder> holders = new ArrayList<>();
-    final List<FailureDomain> taken = new ArrayList<>();
+    final List<FailureDomain> possiblyTaken = new ArrayList<>();
     final Map<FailureDomain, Long> highestTerms = new HashMap<>();
     boolean isHolderExpected;
     boolean isHolderUnreachable;
-    final List<HolderRoom> neighboursWithRoom = new ArrayList<>();
-    final List<String> asked = new ArrayList<>();
-    final List<String> refused = new ArrayList<>();
+    final List<HolderCapacity> neighboursWithRoom = new ArrayList<>();
+    final List<String> calls = new ArrayList<>();
+    final List<String> notStartedAtOnce = new ArrayList<>();
 
     Holder add(String node, String shard, long term) {
         HeldShard held = new HeldShard(FailureDomain.of(shard), FencingToken.of(term, "10.0.0.1"), 1_000);
@@ -36,19 +36,19 @@
     }
 
     @Override
-    public ImmutableList<Holder> inOrder() {
+    public ImmutableList<Holder> inPreferenceOrder() {
         return ImmutableList.copyOf(holders);
     }
 
     /** Adds the holder of another failure domain that has room. */
     Holder addNeighbour(String node, String shard, long freeMilliCores) {
         Holder holder = add(node, shard, 1);
-        neighboursWithRoom.add(new HolderRoom(holder, freeMilliCores));
+        neighboursWithRoom.add(new HolderCapacity(holder, freeMilliCores));
         return holder;
     }
 
     @Override
-    public ImmutableList<HolderRoom> neighboursWithRoom(long milliCores) {
+    public ImmutableList<HolderCapacity> neighboursWithCapacity(long milliCores) {
         return neighboursWithRoom.stream()
                 .filter(neighbour -> neighbour.freeMilliCores() >= milliCores)
                 .collect(ImmutableList.toImmutableList());
@@ -56,24 +56,24 @@
 
     @Override
     public void notStartedAtOnce(Holder holder, long milliCores) {
-        refused.add(holder.node() + " " + milliCores);
+        notStartedAtOnce.add(holder.node() + " " + milliCores);
     }
 
     @Override
-    public boolean isOwn(Holder holder) {
+    public boolean holdsOwnDomain(Holder holder) {
         return holder.holds(OWN_DOMAIN);
     }
 
     @Override
-    public ImmutableSet<FailureDomain> reach(Holder lost) {
+    public ImmutableSet<FailureDomain> shardsWithPossibleRuns(Holder lost) {
         return ImmutableSet.<FailureDomain>builder()
                 .addAll(lost.domains())
-                .addAll(taken)
+                .addAll(possiblyTaken)
                 .build();
     }
 
     @Override
-    public boolean hasNewest(Holder holder, ImmutableSet<FailureDomain> shards) {
+    public boolean hasNewestTokens(Holder holder, ImmutableSet<FailureDomain> shards) {
         return holder.domains().containsAll(shards)
                 && holder.shards().stream()
                         .allMatch(held -> held.token().term() >= highestTerms.getOrDefault(held.domain(), 0L));
@@ -91,7 +91,7 @@
 
     @Override
     public void offer(Holder holder, Offer offer) {
-        asked.add("offer " + holder.node()
+        calls.add("offer " + holder.node()
                 + (offer.terms() == OfferTerms.AT_ONCE ? " at once" : "")
                 + (offer.earlierRuns().over()
                         ? ""
@@ -100,11 +100,11 @@
 
     @Override
     public void withdraw(Holder holder, JobId job) {
-        asked.add("withdraw " + holder.node());
+        calls.add("withdraw " + holder.node());
     }
 
     @Override
-    public NodeId own() {
+    public NodeId ownNode() {
         return OWN;
     }
 }
--- a/tarragonarch-core/src/test/java/org/tarragonarch/core/routing/JobRouterTest.java
+++ b/tarragonarch-core/src/test/java/org/tarragonarch/core/routing/JobRouterTest.java
@@ -77,7 +77,7 @@
         JobRouterTest test = offeredToTwo(2_000);
         test.settled("a", Verdict.DECLINED, 300);
         test.settled("b", Verdict.DECLINED, 200);
-        assertEquals(test.holders.asked, ImmutableList.of("offer a", "offer b"));
+        assertEquals(test.holders.calls, ImmutableList.of("offer a", "offer b"));
         assertEquals(test.replies, ImmutableList.of("REFUSED 200"));
     }
 
@@ -86,14 +86,14 @@
     public void testSettled_evictedJobGoesElsewhereAtOnce() {
         JobRouterTest test = offeredToTwo(2_000);
         test.settled("a", Verdict.EVICTED, 0);
-        assertEquals(test.holders.asked, ImmutableList.of("offer a", "offer b"));
+        assertEquals(test.holders.calls, ImmutableList.of("offer a", "offer b"));
         test.settled("b", Verdict.DONE, 0);
         assertEquals(test.replies, ImmutableList.of("DONE"));
     }
 
     /** Guards against "has not run" for a job that ran in a drained domain before nobody else took it. */
     @Test
-    public void testSettled_evictedJobThatNobodyTakesMayHaveRun() {
+    public void testSettled_evictedJobWithoutOtherHolderIsGivenUp() {
         JobRouterTest test = offered(2_000);
         test.settled("a", Verdict.EVICTED, 0);
         assertEquals(test.replies, ImmutableList.of("GIVEN_UP"));
@@ -101,7 +101,7 @@
 
     /** Guards against jobs refused after the first decline while two more holders come 150 ms later. */
     @Test
-    public void testSubmit_declinedWhileAHolderIsExpected() {
+    public void testSubmit_declinedWhileHolderIsExpected() {
         JobRouterTest test = fresh();
         test.holders.isHolderExpected = true;
         test.holders.add("a", "hobart", 1);
@@ -110,12 +110,12 @@
         assertEquals(test.replies, ImmutableList.of());
         test.holders.add("b", "launceston", 1);
         test.router.holdersChanged();
-        assertEquals(test.holders.asked, ImmutableList.of("offer a", "offer b"));
+        assertEquals(test.holders.calls, ImmutableList.of("offer a", "offer b"));
     }
 
     /** The same, and nobody comes: the client is told when the first holder should have room, and not held for long. */
     @Test
-    public void testSubmit_declinedAndTheExpectedHolderDoesNotCome() {
+    public void testSubmit_declinedAndExpectedHolderNeverClaims() {
         JobRouterTest test = fresh();
         test.holders.isHolderExpected = true;
         test.holders.add("a", "hobart", 1);
@@ -134,30 +134,30 @@
         test.submit(4_000);
         test.holders.holders.remove(lost);
         test.router.nodeLost(NodeId.of("a"));
-        assertEquals(test.holders.asked, ImmutableList.of("offer a"));
+        assertEquals(test.holders.calls, ImmutableList.of("offer a"));
         test.holders.add("c", "hobart", 2);
         test.router.holdersChanged();
-        assertEquals(test.holders.asked, ImmutableList.of("offer a", "offer c over in 1050"));
+        assertEquals(test.holders.calls, ImmutableList.of("offer a", "offer c over in 1050"));
     }
 
     /** Guards against tasks that run twice in a shard that the lost holder was not known to hold. */
     @Test
-    public void testNodeLost_holderHadMoreThanWasKnown() {
+    public void testNodeLost_holderHadUnknownShard() {
         JobRouterTest test = fresh();
         Holder lost = test.holders.add("a", "hobart", 1);
         test.submit(4_000);
-        test.holders.taken.add(FailureDomain.of("launceston"));
+        test.holders.possiblyTaken.add(FailureDomain.of("launceston"));
         test.holders.holders.remove(lost);
         test.holders.add("c", "hobart", 2);
         test.settled("a", Verdict.HOLD_LOST, 0);
-        assertEquals(test.holders.asked, ImmutableList.of("offer a"));
+        assertEquals(test.holders.calls, ImmutableList.of("offer a"));
         test.timers.pass(1_100);
-        assertEquals(test.holders.asked, ImmutableList.of("offer a", "offer c"));
+        assertEquals(test.holders.calls, ImmutableList.of("offer a", "offer c"));
     }
 
     /** Guards against tasks that run twice since the lost holder had claimed again under a higher token. */
     @Test
-    public void testNodeLost_holderHadClaimedOnceMore() {
+    public void testNodeLost_holderHadClaimedAgain() {
         JobRouterTest test = fresh();
         Holder lost = test.holders.add("a", "hobart", 1);
         test.submit(4_000);
@@ -165,9 +165,9 @@
         test.holders.add("b", "hobart", 2);
         test.holders.highestTerms.put(FailureDomain.of("hobart"), 3L);
         test.router.nodeLost(NodeId.of("a"));
-        assertEquals(test.holders.asked, ImmutableList.of("offer a"));
+        assertEquals(test.holders.calls, ImmutableList.of("offer a"));
         test.timers.pass(1_100);
-        assertEquals(test.holders.asked, ImmutableList.of("offer a", "offer b"));
+        assertEquals(test.holders.calls, ImmutableList.of("offer a", "offer b"));
     }
 
     /** The lost holder's shard finds no successor: when its runs are over the job goes to another shard. */
@@ -180,14 +180,14 @@
         test.holders.add("b", "launceston", 1);
         test.router.nodeLost(NodeId.of("a"));
         test.timers.pass(1_000);
-        assertEquals(test.holders.asked, ImmutableList.of("offer a"));
+        assertEquals(test.holders.calls, ImmutableList.of("offer a"));
         test.timers.pass(100);
-        assertEquals(test.holders.asked, ImmutableList.of("offer a", "offer b"));
+        assertEquals(test.holders.calls, ImmutableList.of("offer a", "offer b"));
     }
 
     /** Guards against a job that no holder is offered again since its own domain declined it once. */
     @Test
-    public void testNodeLost_thoseThatDeclinedAreAskedAgain() {
+    public void testNodeLost_decliningHolderIsOfferedTheJobAgain() {
         JobRouterTest test = fresh();
         test.holders.add("a", "hobart", 1);
         Holder lost = test.holders.add("b", "launceston", 1);
@@ -196,7 +196,7 @@
         test.holders.holders.remove(lost);
         test.router.nodeLost(NodeId.of("b"));
         test.timers.pass(1_100);
-        assertEquals(test.holders.asked, ImmutableList.of("offer a", "offer b", "offer a"));
+        assertEquals(test.holders.calls, ImmutableList.of("offer a", "offer b", "offer a"));
         test.settled("a", Verdict.DECLINED, 300);
         assertEquals(test.replies, ImmutableList.of("GIVEN_UP"));
     }
@@ -206,12 +206,12 @@
     public void testSettled_returnedJobGoesToAnotherHolderAtOnce() {
         JobRouterTest test = offeredToTwo(4_000);
         test.settled("a", Verdict.RETURNED, 0);
-        assertEquals(test.holders.asked, ImmutableList.of("offer a", "offer b"));
+        assertEquals(test.holders.calls, ImmutableList.of("offer a", "offer b"));
     }
 
     /** No other holder takes it: it waits for the next holder of its domain, and is told the truth if none comes. */
     @Test
-    public void testSettled_returnedJobWaitsForTheNextHolder() {
+    public void testSettled_returnedJobWaitsForNextHolder() {
         JobRouterTest test = fresh();
         Holder leaving = test.holders.add("a", "hobart", 1);
         test.holders.add("b", "launceston", 1);
@@ -221,14 +221,14 @@
         test.holders.holders.remove(leaving);
         test.holders.add("c", "hobart", 2);
         test.router.holdersChanged();
-        assertEquals(test.holders.asked, ImmutableList.of("offer a", "offer b", "offer c"));
+        assertEquals(test.holders.calls, ImmutableList.of("offer a", "offer b", "offer c"));
         test.settled("c", Verdict.DECLINED, 200);
         assertEquals(test.replies, ImmutableList.of("REFUSED 200"));
     }
 
     /** Guards against a returned job without a holder that is kept until its deadline. */
     @Test
-    public void testSettled_returnedJobIsRefusedIfNobodyTakesIt() {
+    public void testSettled_returnedJobWithoutHolderIsRefused() {
         JobRouterTest test = fresh();
         Holder leaving = test.holders.add("a", "hobart", 1);
         test.submit(4_000);
@@ -241,7 +241,7 @@
 
     /** The node is cut off from every other: no holder will be heard, so its callers are told at once to come back. */
     @Test
-    public void testSubmit_nodeThatHearsNobodyRefusesAtOnce() {
+    public void testSubmit_partitionedNodeRefusesAtOnce() {
         JobRouterTest test = fresh();
         test.holders.isHolderUnreachable = true;
         test.submit(4_000);
@@ -270,24 +270,24 @@
     }
 
     @Test
-    public void testNotOffered_nextHolder() {
+    public void testOfferNotSent_nextHolder() {
         JobRouterTest test = fresh();
         Holder unreachable = test.holders.add("a", "hobart", 1);
         test.submit(2_000);
         test.holders.holders.remove(unreachable);
         test.holders.add("b", "launceston", 1);
-        test.router.notOffered(NodeId.of("a"), JOB);
-        assertEquals(test.holders.asked, ImmutableList.of("offer a", "offer b"));
+        test.router.offerNotSent(NodeId.of("a"), JOB);
+        assertEquals(test.holders.calls, ImmutableList.of("offer a", "offer b"));
     }
 
     /** The same job arrives a second time, after its answer: it gets the same answer and is not run again. */
     @Test
-    public void testSubmit_againAfterItsAnswer() {
+    public void testSubmit_resubmittedAfterAnswer() {
         JobRouterTest test = offered(2_000);
         test.settled("a", Verdict.DONE, 0);
         test.submit(2_000);
         assertEquals(test.replies, ImmutableList.of("DONE", "DONE"));
-        assertEquals(test.holders.asked, ImmutableList.of("offer a"));
+        assertEquals(test.holders.calls, ImmutableList.of("offer a"));
     }
 
     @Test
@@ -295,7 +295,7 @@
         JobRouterTest test = fresh();
         test.holders.add("a", "hobart", 1);
         test.submit(2_000).clientLeft();
-        assertEquals(test.holders.asked, ImmutableList.of("offer a", "withdraw a"));
+        assertEquals(test.holders.calls, ImmutableList.of("offer a", "withdraw a"));
         assertEquals(test.router.openJobs(), 0);
     }
 
@@ -318,7 +318,7 @@
         assertTrue(test.router.cancel(JOB));
         assertFalse(test.router.cancel(new JobId("00000000000000bb")));
         assertEquals(test.replies, ImmutableList.of("CANCELLED"));
-        assertEquals(test.holders.asked, ImmutableList.of("offer a", "withdraw a"));
+        assertEquals(test.holders.calls, ImmutableList.of("offer a", "withdraw a"));
     }
 
     /** Guards against jobs of a stopping node that are cut off without an answer. */
--- a/tarragonarch-entry/src/main/java/org/tarragonarch/entry/cluster/ClusterNode.java
+++ b/tarragonarch-entry/src/main/java/org/tarragonarch/entry/cluster/ClusterNode.java
@@ -91,7 +91,7 @@
                 new ShardLog(log, meters));
         meters.watchSpeeds(coordinator::speeds);
         meters.watchDrainedDomains(() -> coordinator.drained().domains().size());
-        meters.watchShares(settings.shares(), coordinator::shareStates, coordinator::sharesUsedElsewhere);
+        meters.watchShares(settings.shares(), coordinator::shareStates, coordinator::remoteUsageByPriority);
         this.store = new StoreClient(loop, settings.storeAddress());
         this.endpointRows = new EndpointRows(endpoints, coordinator::endpointsChanged, timers, log, meters);
         this.neighbourhood = new Neighbourhood(settings.member(), store, exchange, coordinator, timers, log);
@@ -126,7 +126,7 @@
                 return;
             }
             leaving = true;
-            log.line(NodeEvent.NODE_LEAVING, "open-jobs", openJobs(), "shards", coordinator.heldShards());
+            log.line(NodeEvent.NODE_LEAVING, "open-jobs", openJobs(), "shards", coordinator.heldShardCount());
             coordinator.leave();
             new Departure(coordinator.router(), timers, log, settings.shutdownMillis()).begin();
         });
@@ -142,7 +142,7 @@
     }
 
     private boolean ready() {
-        return !leaving && configuration.version() > 0 && coordinator.anyHolder();
+        return !leaving && configuration.version() > 0 && coordinator.hasReachableHolder();
     }
 
     private void begin() {
@@ -162,7 +162,7 @@
     }
 
     private void configured() {
-        configuration.catalog().ifPresent(coordinator::configured);
+        configuration.catalog().ifPresent(coordinator::applyConfiguration);
     }
 
     private void review() {
@@ -191,14 +191,14 @@
     private void lost(NodeId peer, String reason) {
         log.line(NodeEvent.PEER_LOST, "peer", peer, "reason", reason);
         exchange.disconnect(peer, "the peer was lost");
-        coordinator.lost(peer);
+        coordinator.peerLost(peer);
         reviewShards();
         endpointRows.readAs(coordinator.endpointListNeed());
     }
 
     @Override
     public void status(NodeStatus status) {
-        boolean joined = coordinator.received(status);
+        boolean joined = coordinator.statusReceived(status);
         if (joined) {
             log.line(NodeEvent.PEER_JOINED, "peer", status.node(), "domain", status.domain());
         }
@@ -213,7 +213,7 @@
             exchange.send(status.node(), new NodesAsked());
         }
         reviewShards();
-        coordinator.routeWaiting();
+        coordinator.placeWaitingJobs();
     }
 
     @Override
@@ -225,12 +225,12 @@
 
     @Override
     public void offered(Offer offer) {
-        coordinator.offered(offer);
+        coordinator.offerReceived(offer);
     }
 
     @Override
     public void notOffered(NodeId peer, JobId job) {
-        coordinator.router().notOffered(peer, job);
+        coordinator.router().offerNotSent(peer, job);
     }
 
     @Override
@@ -240,17 +240,17 @@
 
     @Override
     public void withdrawn(NodeId peer, JobId job) {
-        coordinator.withdrawn(peer, job);
+        coordinator.withdrawalReceived(peer, job);
     }
 
     @Override
     public void openJobs(NodeId peer, ImmutableSet<JobId> open) {
-        coordinator.openJobs(peer, open);
+        coordinator.openJobsReceived(peer, open);
     }
 
     @Override
     public ImmutableSet<JobId> openJobsAt(NodeId peer) {
-        return coordinator.router().openAt(peer);
+        return coordinator.router().openJobsAt(peer);
     }
 
     @Override
--- a/tarragonarch-entry/src/main/java/org/tarragonarch/entry/cluster/Departure.java
+++ b/tarragonarch-entry/src/main/java/org/tarragonarch/entry/cluster/Departure.java
@@ -51,7 +51,7 @@
         if (waited >= BALANCER_NOTICE_MILLIS + OPEN_CONNECTIONS_MILLIS) {
             router.refuseNewJobs();
         }
-        boolean idle = router.closed() && router.openJobs() == 0;
+        boolean idle = router.refusesNewJobs() && router.openJobs() == 0;
         if (idle || waited >= shutdownMillis - LAST_ANSWERS_MILLIS) {
             end(waited);
         } else {
--- a/tarragonarch-entry/src/main/java/org/tarragonarch/entry/cluster/EndpointRows.java
+++ b/tarragonarch-entry/src/main/java/org/tarragonarch/entry/cluster/EndpointRows.java
@@ -59,7 +59,7 @@
     /** Reads the rows as often as this node needs them; at once, if no call is under way, where it needs them now. */
     void readAs(EndpointListNeed need) {
         follower.ifPresent(started -> {
-            started.changePace(need.often() ? LIST_PACE : SELDOM_LIST_PACE);
+            started.changePace(need.isReadOften() ? LIST_PACE : SELDOM_LIST_PACE);
             if (need == EndpointListNeed.NOW) {
                 started.followNow();
             }
--- a/tarragonarch-entry/src/main/java/org/tarragonarch/entry/cluster/Neighbourhood.java
+++ b/tarragonarch-entry/src/main/java/org/tarragonarch/entry/cluster/Neighbourhood.java
@@ -57,7 +57,7 @@
         if (!directory.complete()) {
             return now - startedAtMillis >= LONGEST_DISCOVERY_MILLIS;
         }
-        ImmutableList<Member> located = exchange.locatedIn(coordinator.neighbours());
+        ImmutableList<Member> located = exchange.locatedIn(coordinator.neighbourDomains());
         return now - directory.completeAtMillis() >= Discovery.claimDelayMillis(own, located)
                 || Discovery.isComplete(own, located, coordinator.presentNeighbours());
     }
@@ -65,7 +65,7 @@
     /** Reads the directory again now and then while this node holds a shard; to be called a few times a second. */
     void refresh() {
         long now = timers.nowMillis();
-        if (coordinator.heldShards() > 0 && now - refreshedAtMillis >= PeerTable.DISTANT_PERIOD_MILLIS) {
+        if (coordinator.heldShardCount() > 0 && now - refreshedAtMillis >= PeerTable.DISTANT_PERIOD_MILLIS) {
             refreshedAtMillis = now;
             directory.refresh();
         }
@@ -74,8 +74,8 @@
     /** Greets a neighbour that was read of; once this node holds a shard its heartbeats reach every located node. */
     private void located(Member member) {
         exchange.located(member);
-        if (coordinator.heldShards() == 0 && coordinator.neighbours().contains(member.domain())) {
-            exchange.status(member.node(), coordinator.status());
+        if (coordinator.heldShardCount() == 0 && coordinator.neighbourDomains().contains(member.domain())) {
+            exchange.sendStatus(member.node(), coordinator.status());
         }
     }
 }
--- a/tarragonarch-entry/src/main/java/org/tarragonarch/entry/cluster/NodeJobs.java
+++ b/tarragonarch-entry/src/main/java/org/tarragonarch/entry/cluster/NodeJobs.java
@@ -132,7 +132,7 @@
 
     @Override
     public long waiting(QueueDefinition queue) {
-        return router.waiting(queue.name());
+        return router.waitingJobs(queue.name());
     }
 
     @Override
--- a/tarragonarch-entry/src/main/java/org/tarragonarch/entry/cluster/PeerExchange.java
+++ b/tarragonarch-entry/src/main/java/org/tarragonarch/entry/cluster/PeerExchange.java
@@ -105,32 +105,32 @@
     }
 
     @Override
-    public void status(NodeId to, NodeStatus status) {
+    public void sendStatus(NodeId to, NodeStatus status) {
         send(to, new StatusFrame(status));
     }
 
     @Override
-    public void statusToAll(NodeStatus status) {
+    public void sendStatusToAll(NodeStatus status) {
         network.sendToAll(members.values(), new StatusFrame(status));
     }
 
     @Override
-    public void statusToDomains(ImmutableSet<FailureDomain> domains, NodeStatus status) {
+    public void sendStatusToDomains(ImmutableSet<FailureDomain> domains, NodeStatus status) {
         network.sendToAll(locatedIn(domains), new StatusFrame(status));
     }
 
     @Override
-    public void offer(NodeId to, Offer offer) {
+    public void sendOffer(NodeId to, Offer offer) {
         send(to, new JobOffered(offer));
     }
 
     @Override
-    public void withdraw(NodeId to, JobId job) {
+    public void sendWithdrawal(NodeId to, JobId job) {
         send(to, new JobWithdrawn(job));
     }
 
     @Override
-    public void settled(NodeId to, JobId job, Verdict verdict, long retryMillis) {
+    public void sendVerdict(NodeId to, JobId job, Verdict verdict, long retryMillis) {
         answer(to, new JobSettled(job, verdict, retryMillis));
     }
 
