--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/cluster/Coordinator.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/cluster/Coordinator.java
@@ -35,14 +35,14 @@
 /**
  * Coordinates one node with its peers: holds shards, offers its clients' jobs to holders, and sends its status.
  *
- * <p>One thread calls every method. Nothing here reads a clock or a socket: time, peers and endpoints are ports.
+ * <p>All methods must be called on one thread. Time, peers and endpoints are accessed only through interfaces.
  */
 public final class Coordinator {
     private final Member self;
     private final Timers timers;
     private final ShardObserver log;
     private final PeerTable peers = new PeerTable();
-    private final RemoteUsage usedElsewhere = new RemoteUsage();
+    private final RemoteUsage remoteUsage = new RemoteUsage();
     private final EndpointList endpoints;
     private final Heartbeats heartbeats;
     private final HolderElection election;
@@ -53,12 +53,12 @@
     private ImmutableSet<FailureDomain> neighbourDomains;
 
     /**
-     * Creates a node that knows nobody and holds nothing.
+     * Creates the coordinator of a node that has no known peers and holds no shards.
      *
-     * @param ip this VM's address, which makes its tokens unlike those of others
-     * @param endpoints the endpoints that the platform lists; changes have to be followed by {@link #endpointsChanged}
-     * @param wallMillis the time of day, for terms that rise over restarts
-     * @param log observes what happens to shards and on them
+     * @param ip this VM's IP address, which distinguishes its tokens from those of other nodes
+     * @param endpoints the endpoints that the platform lists; call {@link #endpointsChanged} after each change
+     * @param wallMillis the wall clock, from which terms are derived so that they increase across restarts
+     * @param log observer of the shards and of the jobs placed on them
      */
     public Coordinator(
             Member self,
@@ -95,37 +95,37 @@
         this.router = new JobRouter(holders, timers, PeerTable.DETECTION_SKEW_MILLIS + placing.certainLapse(), log);
     }
 
-    /** Returns what is known of the peers. */
+    /** Returns the table of peers. */
     public PeerTable peers() {
         return peers;
     }
 
-    /** Returns the jobs of this node's clients. */
+    /** Returns the router of the jobs of this node's clients. */
     public JobRouter router() {
         return router;
     }
 
-    /** Returns the state of every share in the shards held here. */
+    /** Returns the state of every share in the shards that this node holds. */
     public ImmutableList<ShareState> shareStates() {
         return ownership.placer().map(Placer::shareStates).orElse(ImmutableList.of());
     }
 
-    /** Returns what each priority has in use in the shards of other holders, by statuses that are not too old. */
+    /** Returns the use in other holders' shards by share priority, in thousandths of a core, from recent statuses. */
     public ImmutableMap<Integer, Long> remoteUsageByPriority() {
-        return usedElsewhere.byPriority(timers.nowMillis());
+        return remoteUsage.byPriority(timers.nowMillis());
     }
 
-    /** Returns how many shards this node holds. */
+    /** Returns the number of shards that this node holds. */
     public int heldShardCount() {
         return ownership.heldShards().size();
     }
 
-    /** Returns how fast the endpoints held here are. */
+    /** Returns a summary of the speeds of the endpoints in the shards that this node holds. */
     public SpeedSummary speeds() {
         return ownership.speeds();
     }
 
-    /** Returns how up to date this node needs the list of endpoints. */
+    /** Returns how recent a list of endpoints this node needs. */
     public EndpointListNeed endpointListNeed() {
         if (!ownership.isListReadSinceClaims()) {
             return EndpointListNeed.NOW;
@@ -134,7 +134,7 @@
         return mayHold ? EndpointListNeed.OFTEN : EndpointListNeed.SELDOM;
     }
 
-    /** Returns the failure domains whose nodes may succeed this one as a holder, or this one them. */
+    /** Returns the failure domains whose nodes may succeed this node as a holder, or be succeeded by it. */
     public ImmutableSet<FailureDomain> neighbourDomains() {
         return heartbeats.neighbours();
     }
@@ -144,15 +144,15 @@
         return heartbeats.presentNeighbours();
     }
 
-    /** Returns whether any shard has a reachable holder, so that jobs have somewhere to go. */
+    /** Returns whether any shard has a reachable holder, which may be this node. */
     public boolean hasReachableHolder() {
         return ownership.isHolding() || !peers.holders().isEmpty();
     }
 
     /**
-     * Reviews shards, runs and peers; to be called every half {@link PeerTable#STATUS_PERIOD_MILLIS}.
+     * Reviews shards, runs and peers; must be called every half {@link PeerTable#STATUS_PERIOD_MILLIS}.
      *
-     * @param mayClaim whether this node knows enough of its peers to take shards
+     * @param mayClaim whether this node knows enough of its peers to claim shards
      */
     public void review(boolean mayClaim) {
         long now = timers.nowMillis();
@@ -168,21 +168,21 @@
         statusSender.sendDue();
     }
 
-    /** Sends the status at once if this node has just begun to miss a holder. */
+    /** Sends the status at once if this node has just lost sight of a holder. */
     private void reviewHeartbeats() {
         if (heartbeats.review(ownership.heldShards(), timers.nowMillis())) {
             statusSender.sendNow();
         }
     }
 
-    /** Claims and releases shards as the peers that are there ask for. */
+    /** Claims and releases shards according to the reachable peers. */
     public void reviewShards() {
         if (!statusSender.isLeaving() && ownership.review()) {
             holdersChanged();
         }
     }
 
-    /** Passes the list of endpoints on to the shards held here, and greets the neighbours that it shows. */
+    /** Applies the changed list of endpoints to held shards, and sends the status if the neighbours have changed. */
     public void endpointsChanged() {
         ownership.endpointsChanged();
         if (!neighbourDomains.equals(heartbeats.neighbours())) {
@@ -191,10 +191,10 @@
         }
     }
 
-    /** Records a peer's status; returns whether the peer was not there before. */
+    /** Records a peer's status; returns whether the peer has just become reachable. */
     public boolean statusReceived(NodeStatus received) {
         boolean joined = peers.received(received, timers.nowMillis());
-        usedElsewhere.statusReceived(received, timers.nowMillis());
+        remoteUsage.statusReceived(received, timers.nowMillis());
         ownership.nodeHeard(received.node());
         if (joined) {
             statusSender.sendTo(received.node());
@@ -204,14 +204,14 @@
         return joined;
     }
 
-    /** Looks for holders for the jobs that have none, after statuses came. */
+    /** Places the jobs that have no holder; to be called after statuses were received. */
     public void placeWaitingJobs() {
         if (router.hasJobWithoutHolder()) {
             router.holdersChanged();
         }
     }
 
-    /** Records that a peer is not reachable any more; one that had jobs of this node is told which are still open. */
+    /** Records the loss of a peer; a peer that held jobs of this node's clients is sent a status. */
     public void peerLost(NodeId peer) {
         ownership.nodeLost(peer);
         if (router.nodeLost(peer)) {
@@ -219,7 +219,7 @@
         }
     }
 
-    /** Takes a job that a peer offers. */
+    /** Handles a peer's offer; returns the job to its origin if this node holds no shards. */
     public void offerReceived(Offer offer) {
         ownership
                 .placer()
@@ -228,24 +228,24 @@
                         () -> events.settled(offer.origin(), offer.job().id(), Verdict.RETURNED, 0));
     }
 
-    /** Ends all jobs that a peer has offered but those that it still has open here. */
+    /** Ends the jobs offered by a peer, except those that are still open there. */
     public void openJobsReceived(NodeId origin, ImmutableSet<JobId> open) {
         ownership.placer().ifPresent(placer -> placer.retain(origin, open));
     }
 
-    /** Ends a job that a peer withdraws. */
+    /** Ends a job that a peer has withdrawn. */
     public void withdrawalReceived(NodeId origin, JobId job) {
         ownership.placer().ifPresent(placer -> placer.withdraw(origin, job));
     }
 
-    /** Releases every shard and takes none any more, because this node is about to stop. */
+    /** Releases every shard and claims none from now on, because this node is about to stop. */
     public void leave() {
         statusSender.markLeaving();
         statusSender.sendNow();
         ownership.resignAll();
     }
 
-    /** Applies the configuration that is in force here, and sends its version to the peers. */
+    /** Applies the configuration in force, and sends its version to the peers. */
     public void applyConfiguration(QueueCatalog catalog) {
         statusSender.updateConfigurationVersion(catalog.version());
         endpoints.served(catalog.services());
@@ -254,12 +254,12 @@
     }
 
     /**
-     * Records which failure domains are drained, unless what is known was read later.
+     * Sets the drained failure domains, unless the known ones are of the same or a newer version.
      *
      * <p>Guards against a drain that is undone by an older reading: the store's answers may be stale after it has lost
-     * its history, and a peer that cannot reach the store tells what it knew before.
+     * its history, and a peer that cannot reach the store sends its last known state.
      *
-     * @param source who read it, for the log
+     * @param source the origin of the reading, for the log: the store or a peer
      */
     public void drained(DrainedDomains reading, String source) {
         DrainedDomains before = drained();
@@ -278,7 +278,7 @@
         router.holdersChanged();
     }
 
-    /** Returns which failure domains are drained, as far as this node knows. */
+    /** Returns the drained failure domains, as far as this node knows. */
     public DrainedDomains drained() {
         return statusSender.drained();
     }
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/cluster/EndpointListNeed.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/cluster/EndpointListNeed.java
@@ -1,12 +1,12 @@
 package org.tarragonarch.core.cluster;
 
-/** How up to date a node needs the list of endpoints. */
+/** How recent a list of endpoints a node needs. */
 public enum EndpointListNeed {
-    /** It holds no shard and is not about to. */
+    /** The node holds no shard and is not about to claim one. */
     SELDOM(false),
-    /** It holds a shard, would be the next to, or misses a holder. */
+    /** The node holds a shard, is the successor of a holder, or a shard of its pool has no reachable holder. */
     OFTEN(true),
-    /** It has claimed a shard since the list was read, and has to know which endpoints the earlier holder may use. */
+    /** The node has claimed a shard since the list was read, and must know which endpoints the last holder may use. */
     NOW(true);
 
     private final boolean isReadOften;
@@ -15,7 +15,7 @@
         this.isReadOften = often;
     }
 
-    /** Returns whether the list is to be read often from now on. */
+    /** Returns whether the list is read at the short interval. */
     public boolean isReadOften() {
         return isReadOften;
     }
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/cluster/HolderEvents.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/cluster/HolderEvents.java
@@ -13,7 +13,7 @@
 import org.tarragonarch.model.task.JobId;
 import org.tarragonarch.model.task.Verdict;
 
-/** Notifies peers, and this node's own router, of what happens to the shards held here; forwards it to the observer. */
+/** Forwards events of the shards that this node holds to peers, to this node's own router and to an observer. */
 final class HolderEvents extends ForwardingShardObserver implements ShardEvents {
     private final NodeId self;
     private final PeerTable peers;
@@ -25,8 +25,8 @@
     /**
      * Creates the events of one node.
      *
-     * @param router returns the router of this node's own jobs
-     * @param holdersChanged is run after this node has lost a shard to another holder
+     * @param router returns the router of the jobs of this node's clients
+     * @param holdersChanged callback run after this node has lost a shard to another holder
      */
     HolderEvents(
             NodeId self,
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/cluster/KnownHolders.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/cluster/KnownHolders.java
@@ -19,7 +19,7 @@
 import org.tarragonarch.model.task.Offer;
 import org.tarragonarch.model.task.Timers;
 
-/** The holders of shards as this node reaches them. */
+/** The holders known from this node's own shards and from the statuses of its peers. */
 final class KnownHolders implements Holders {
     private final Member self;
     private final PeerTable peers;
@@ -29,10 +29,10 @@
     private final PeerSender sender;
     private final Timers timers;
     private final Predicate<FailureDomain> isDrained;
-    private final NeighbourCapacity neighbourRoom;
+    private final NeighbourCapacity neighbourCapacity;
 
     /**
-     * Creates the holders as seen by one node.
+     * Creates the view of one node.
      *
      * @param isDrained returns whether operators have drained a failure domain
      */
@@ -53,7 +53,7 @@
         this.sender = sender;
         this.timers = timers;
         this.isDrained = isDrained;
-        this.neighbourRoom = new NeighbourCapacity(self.domain(), peers, pools, timers, isDrained);
+        this.neighbourCapacity = new NeighbourCapacity(self.domain(), peers, pools, timers, isDrained);
     }
 
     @Override
@@ -81,12 +81,12 @@
 
     @Override
     public ImmutableList<HolderCapacity> neighboursWithCapacity(long milliCores) {
-        return neighbourRoom.holdersWithCapacity(milliCores);
+        return neighbourCapacity.holdersWithCapacity(milliCores);
     }
 
     @Override
     public void notStartedAtOnce(Holder holder, long milliCores) {
-        neighbourRoom.recordRefusal(holder.node(), milliCores);
+        neighbourCapacity.recordRefusal(holder.node(), milliCores);
     }
 
     @Override
@@ -95,11 +95,11 @@
     }
 
     /**
-     * Returns all shards of the pools that the holder had part in.
+     * Returns all shards of the pools in which the holder had a shard.
      *
      * <p>Guards against a job whose tasks run twice when two nodes have claimed the same shards, as can happen while
-     * all come back from a loss of power: of what such a holder has, its peers know only what nobody else has with
-     * better right, and what it takes or gets back a moment before it gives up they may not know at all.
+     * all nodes restart after a loss of power. Peers know only those shards of a holder for which no other node has a
+     * higher token, and may not know at all of shards that it claims just before it gives up.
      */
     @Override
     public ImmutableSet<FailureDomain> shardsWithPossibleRuns(Holder lost) {
@@ -111,10 +111,10 @@
     /**
      * {@inheritDoc}
      *
-     * <p>Guards against a job whose tasks run twice while two nodes take the same shards from each other. A holder that
-     * was fenced and has claimed once more goes on with its jobs; one that it outranks does not know it yet on
-     * endpoints where nothing of its own runs, and the token of the lost holder as it was when the job was offered to
-     * it is too old to tell.
+     * <p>Guards against a job whose tasks run twice while two nodes repeatedly claim the same shards from each other. A
+     * holder that was fenced and has claimed again continues its jobs under a higher token. The other node does not
+     * detect this on endpoints where it has no runs, and a comparison with the lost holder's token at the time of the
+     * offer does not show it either, because that token is too old.
      */
     @Override
     public boolean hasNewestTokens(Holder holder, ImmutableSet<FailureDomain> shards) {
@@ -137,7 +137,7 @@
     @Override
     public void offer(Holder holder, Offer offer) {
         if (!holder.node().equals(ownNode())) {
-            neighbourRoom.recordOffer(holder.node(), offer.job().milliCores());
+            neighbourCapacity.recordOffer(holder.node(), offer.job().milliCores());
             sender.sendOffer(holder.node(), offer);
             return;
         }
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/cluster/NeighbourCapacity.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/cluster/NeighbourCapacity.java
@@ -15,13 +15,13 @@
 import org.tarragonarch.model.task.Timers;
 
 /**
- * Estimates the free room of the holders of other failure domains nearby, from their last statuses and what this node
- * has offered them since.
+ * Estimates the free capacity of the holders of other failure domains nearby, from their last statuses and what this
+ * node has offered them since.
  *
  * <p>Guards against every job going to the same holder until its next status shows that it is full.
  */
 final class NeighbourCapacity {
-    /** The age up to which a status is used: two periods, so that one status may be lost. */
+    /** The maximum age of a status that is used, in milliseconds: two periods, so that one status may be lost. */
     private static final long MAX_STATUS_AGE_MILLIS = 2 * PeerTable.STATUS_PERIOD_MILLIS;
 
     private final FailureDomain ownDomain;
@@ -44,20 +44,20 @@
         this.isDrained = isDrained;
     }
 
-    /** Returns the holders with at least this much room, in thousandths of a core. */
+    /** Returns the holders with at least this much free capacity, in thousandths of a core. */
     ImmutableList<HolderCapacity> holdersWithCapacity(long milliCores) {
-        ImmutableList.Builder<HolderCapacity> roomy = ImmutableList.builder();
+        ImmutableList.Builder<HolderCapacity> holders = ImmutableList.builder();
         for (NodeStatus status : peers.holders()) {
             Debit debit = debit(status.node());
             long free = freeMilliCores(status) - debit.offeredMilliCores();
             if (free >= milliCores && debit.maxJobMilliCores() >= milliCores && isFresh(status)) {
-                roomy.add(new HolderCapacity(new Holder(status.node(), status.shards()), free));
+                holders.add(new HolderCapacity(new Holder(status.node(), status.shards()), free));
             }
         }
-        return roomy.build();
+        return holders.build();
     }
 
-    /** Deducts an offered job from the holder's room until its next status. */
+    /** Deducts an offered job from the holder's free capacity until its next status. */
     void recordOffer(NodeId holder, long milliCores) {
         Debit debit = debit(holder);
         debits.put(
@@ -68,8 +68,8 @@
     /** Excludes a holder for jobs of this size and larger ones until its next status. */
     void recordRefusal(NodeId holder, long milliCores) {
         Debit debit = debit(holder);
-        long most = Math.min(debit.maxJobMilliCores(), milliCores - 1);
-        debits.put(holder, new Debit(debit.statusAtMillis(), debit.offeredMilliCores(), most));
+        long maxJobMilliCores = Math.min(debit.maxJobMilliCores(), milliCores - 1);
+        debits.put(holder, new Debit(debit.statusAtMillis(), debit.offeredMilliCores(), maxJobMilliCores));
     }
 
     private boolean isFresh(NodeStatus status) {
@@ -102,9 +102,9 @@
     /**
      * The offers to a holder, and its refusals, since its last status.
      *
-     * @param statusAtMillis when that status was received, on the steady clock
+     * @param statusAtMillis when the last status was received, on the steady clock
      * @param offeredMilliCores the processor time of the jobs offered, in thousandths of a core
-     * @param maxJobMilliCores the size of the largest job that it may be offered, in thousandths of a core
+     * @param maxJobMilliCores the size of the largest job that may be offered to the holder, in thousandths of a core
      */
     private record Debit(long statusAtMillis, long offeredMilliCores, long maxJobMilliCores) {}
 }
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/cluster/PeerSender.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/cluster/PeerSender.java
@@ -8,23 +8,23 @@
 import org.tarragonarch.model.task.Offer;
 import org.tarragonarch.model.task.Verdict;
 
-/** The way to the other nodes; each message arrives once or not at all. */
+/** Sends messages to the other nodes; each message arrives once or not at all. */
 public interface PeerSender {
-    /** Sends one node this node's status. */
+    /** Sends this node's status to one node. */
     void sendStatus(NodeId to, NodeStatus status);
 
-    /** Sends it to every node that was ever known, since it may be back. */
+    /** Sends this node's status to every node that was ever known, reachable or not, since it may have returned. */
     void sendStatusToAll(NodeStatus status);
 
-    /** Sends it to every node of these failure domains that was ever known. */
+    /** Sends this node's status to every node of these failure domains that was ever known. */
     void sendStatusToDomains(ImmutableSet<FailureDomain> domains, NodeStatus status);
 
     /** Offers a job to a holder. */
     void sendOffer(NodeId to, Offer offer);
 
-    /** Takes an offer back. */
+    /** Withdraws an offered job. */
     void sendWithdrawal(NodeId to, JobId job);
 
-    /** Notifies the node that offered a job of its verdict. */
+    /** Sends the verdict on a job to the node that offered it. */
     void sendVerdict(NodeId to, JobId job, Verdict verdict, long retryMillis);
 }
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/cluster/RemoteUsage.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/cluster/RemoteUsage.java
@@ -6,9 +6,9 @@
 import org.tarragonarch.model.id.NodeId;
 import org.tarragonarch.model.report.NodeStatus;
 
-/** The processor time that each priority has in use in the shards of other holders, from their statuses. */
+/** The processor time in use in the shards of other holders, by share priority, from the holders' statuses. */
 final class RemoteUsage {
-    /** The age up to which a status is used: five status periods of a holder. */
+    /** The maximum age of a status that is used, in milliseconds: five status periods of a holder. */
     private static final long MAX_STATUS_AGE_MILLIS = 1_000;
 
     private final Map<NodeId, Received> byHolder = new HashMap<>();
@@ -24,7 +24,7 @@
         }
     }
 
-    /** Returns the use by priority, in thousandths of a core; holders whose status is too old are left out. */
+    /** Returns the use by priority, in thousandths of a core, without holders whose status is too old. */
     ImmutableMap<Integer, Long> byPriority(long nowMillis) {
         byHolder.values().removeIf(each -> nowMillis - each.atMillis() > MAX_STATUS_AGE_MILLIS);
         Map<Integer, Long> used = new HashMap<>();
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/cluster/StatusSender.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/cluster/StatusSender.java
@@ -46,7 +46,7 @@
         return isLeaving;
     }
 
-    /** Sets that this node is about to stop. */
+    /** Marks this node as about to stop. */
     void markLeaving() {
         isLeaving = true;
     }
@@ -66,7 +66,7 @@
         drained = reading;
     }
 
-    /** Returns the status as it is now. */
+    /** Returns the current status. */
     NodeStatus status() {
         return new NodeStatus(
                 self.node(),
@@ -85,17 +85,17 @@
         sender.sendStatus(peer, status());
     }
 
-    /** Sends the status to the peers to which it is due by now. */
+    /** Sends the status to the peers to which it is due. */
     void sendDue() {
         send(heartbeats.due(timers.nowMillis()));
     }
 
-    /** Sends the status outside its period to the present audience; the next period begins now. */
+    /** Sends the status to the present audience outside its period; the next period begins now. */
     void sendNow() {
         sendNow(heartbeats.audience());
     }
 
-    /** Sends the status outside its period; the next period begins now. */
+    /** Sends the status to the given audience outside its period; the next period begins now. */
     void sendNow(Heartbeats.Audience audience) {
         heartbeats.sent(audience, timers.nowMillis());
         send(audience);
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/cluster/package-info.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/cluster/package-info.java
@@ -1,2 +1,2 @@
-/** One node among its peers: which shards it holds, which peers it notifies, and where its clients' jobs go. */
+/** Coordination of a node with its peers: shards that it holds, statuses that it sends, and holders that it knows. */
 package org.tarragonarch.core.cluster;
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/routing/AnsweredJobs.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/routing/AnsweredJobs.java
@@ -7,10 +7,10 @@
 import org.tarragonarch.model.task.JobReply;
 
 /**
- * The last answers that were given, for a request that arrives again after its answer left.
+ * Cache of the most recent answers, for requests that arrive again after their answer was sent.
  *
- * <p>Bounded in number: at a node's share of the target load, some 2,000 jobs a second, it reaches back two seconds,
- * and at today's load minutes.
+ * <p>The number of answers is bounded: at 2,000 jobs per second, a node's share of the target load, the cache covers
+ * the last two seconds; at the present load, it covers minutes.
  */
 final class AnsweredJobs {
     private static final int MAX_ANSWERS = 4_096;
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/routing/FormerHolders.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/routing/FormerHolders.java
@@ -8,9 +8,9 @@
 import org.tarragonarch.model.task.Timers;
 
 /**
- * Which holder had a job as it was withdrawn or given up here, and may still be stopping its runs.
+ * The holders that had a job when this node withdrew it or gave it up, and that may still be stopping its runs.
  *
- * <p>Bounded in number: a node that gives up 1,000 jobs a second still knows those of the last second.
+ * <p>The number of jobs is bounded: a node that gives up 1,000 jobs per second remembers those of the last second.
  */
 final class FormerHolders {
     private static final int MAX_JOBS = 1_024;
@@ -22,21 +22,21 @@
         this.timers = timers;
     }
 
-    /** Records that a job is not open any more, if a holder has it. */
+    /** Records the holder of a job that is no longer open, if it has one. */
     void recordClosed(OpenJob job) {
         holders.remove(job.id());
         job.holder().ifPresent(holder -> holders.put(job.id(), new FormerHolder(holder.node(), timers.nowMillis())));
     }
 
-    /** Returns who had the job that is sent again now. */
+    /** Removes and returns the former holder of a job that its client submits again. */
     Optional<FormerHolder> remove(JobId job) {
         return Optional.ofNullable(holders.remove(job));
     }
 
     /**
-     * A job's last holder.
+     * The last holder of a job.
      *
-     * @param closedAtMillis when the job was withdrawn from it or given up
+     * @param closedAtMillis when the job was withdrawn from the holder or given up, on the steady clock
      */
     record FormerHolder(NodeId node, long closedAtMillis) {}
 }
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/routing/Holder.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/routing/Holder.java
@@ -9,39 +9,42 @@
 import org.tarragonarch.model.report.HeldShard;
 
 /**
- * A node that places jobs on the shards that it holds.
+ * A node that holds shards and places jobs on them.
  *
- * @param node the node
- * @param shards what it holds, at least one
+ * @param shards the shards that the node holds, at least one
  */
 public record Holder(NodeId node, ImmutableList<HeldShard> shards) {
-    /** Checks the parts. */
+    /**
+     * Creates a holder.
+     *
+     * @throws NullPointerException if the node or the list of shards is null
+     */
     public Holder {
         checkNotNull(node, "node");
         checkNotNull(shards, "shards");
     }
 
-    /** Returns the failure domains whose endpoints it holds. */
+    /** Returns the failure domains of the shards. */
     public ImmutableSet<FailureDomain> domains() {
         return shards.stream().map(HeldShard::domain).collect(ImmutableSet.toImmutableSet());
     }
 
-    /** Returns whether it holds the endpoints of the failure domain. */
+    /** Returns whether this node holds the shard of the failure domain. */
     public boolean holds(FailureDomain domain) {
         return shards.stream().anyMatch(held -> held.domain().equals(domain));
     }
 
-    /** Returns the processor time that is free on its endpoints, in thousandths of a core. */
+    /** Returns the free processor time on the endpoints of the shards, in thousandths of a core. */
     public long freeMilliCores() {
         return shards.stream().mapToLong(HeldShard::freeMilliCores).sum();
     }
 
-    /** Returns whether it has taken over every shard of a lost holder, so that it sees whatever runs there. */
+    /** Returns whether this node has claimed every shard of a lost holder, and therefore finds the runs there. */
     boolean isSuccessorOf(Holder lost) {
-        return lost.shards().stream().allMatch(this::isSuccessorOf);
+        return lost.shards().stream().allMatch(this::holdsUnderNewerToken);
     }
 
-    private boolean isSuccessorOf(HeldShard lost) {
+    private boolean holdsUnderNewerToken(HeldShard lost) {
         return shards.stream()
                 .filter(held -> held.domain().equals(lost.domain()))
                 .anyMatch(held -> held.token().compareTo(lost.token()) > 0);
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/routing/Holders.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/routing/Holders.java
@@ -7,48 +7,53 @@
 import org.tarragonarch.model.task.JobId;
 import org.tarragonarch.model.task.Offer;
 
-/** The holders of shards as a job's node reaches them: itself, or a peer over a connection. */
+/** The holders of shards that a job's origin can reach: the node itself, and peers over connections. */
 public interface Holders {
     /**
-     * Returns the reachable holders: that of this node's own failure domain first, then the one with the most
-     * free room; last those all of whose failure domains are drained.
+     * Returns the reachable holders in the order in which a job is offered to them.
+     *
+     * <p>The holder of this node's own failure domain is first, followed by the others by descending free capacity.
+     * Holders all of whose failure domains are drained are last.
      */
     ImmutableList<Holder> inPreferenceOrder();
 
     /**
-     * Returns the holders of other failure domains nearby that have room, by a status that is fresh.
+     * Returns the holders of other failure domains nearby whose recent status shows enough free capacity.
      *
-     * <p>In a fixed order, so that a choice by a hash is the same at every call.
+     * <p>The order is fixed, so that a choice by hash is the same at every call.
      *
-     * @param milliCores how much room, in thousandths of a core
+     * @param milliCores the capacity required, in thousandths of a core
      */
     ImmutableList<HolderCapacity> neighboursWithCapacity(long milliCores);
 
-    /** Returns whether the holder has the endpoints of this node's own failure domain. */
+    /** Returns whether the holder holds the shard of this node's own failure domain. */
     boolean holdsOwnDomain(Holder holder);
 
     /**
-     * Returns the shards on whose endpoints a lost holder's runs may be: those that it was known to hold when a job was
-     * offered to it, and those that it may have taken since.
+     * Returns the shards on whose endpoints runs of a lost holder may be.
+     *
+     * <p>These are the shards that it was known to hold when a job was offered to it, and those that it may have
+     * claimed since.
      */
     ImmutableSet<FailureDomain> shardsWithPossibleRuns(Holder lost);
 
     /**
-     * Returns whether a holder has these shards, each under the highest token that is known, so that whatever
-     * runs on their endpoints shows on the lists that it has read.
+     * Returns whether a holder has these shards, each under the highest known token.
+     *
+     * <p>Every run on their endpoints is then in the lists of runs that the holder has read.
      */
     boolean hasNewestTokens(Holder holder, ImmutableSet<FailureDomain> shards);
 
-    /** Returns whether a shard without a holder should have one within moments. */
+    /** Returns whether a shard without a holder is expected to be claimed shortly. */
     boolean isHolderExpected();
 
-    /** Returns whether this node has no holder and cannot have one soon, because it is partitioned. */
+    /** Returns whether no holder is reachable and none is expected soon, because this node is partitioned. */
     boolean isHolderUnreachable();
 
     /**
-     * Notes that a holder with room by its last status could not start a job at once.
+     * Records that a holder could not start a job at once although its last status showed enough free capacity.
      *
-     * @param milliCores what the whole job takes, in thousandths of a core
+     * @param milliCores the processor time that the whole job takes, in thousandths of a core
      */
     void notStartedAtOnce(Holder holder, long milliCores);
 
@@ -58,6 +63,6 @@
     /** Withdraws a job from a holder. */
     void withdraw(Holder holder, JobId job);
 
-    /** Returns this node's name, under which it offers. */
+    /** Returns this node's id, which is the origin of its offers. */
     NodeId ownNode();
 }
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/routing/JobPlacement.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/routing/JobPlacement.java
@@ -7,44 +7,44 @@
 import org.tarragonarch.model.task.OfferTerms;
 import org.tarragonarch.model.task.Timers;
 
-/** Offers open jobs to one holder at a time, and refuses those that none may have soon. */
+/** Offers each open job to one holder at a time, and refuses jobs that no holder can take soon. */
 final class JobPlacement {
-    /** How long a job waits for any holder at all: a takeover takes less. In milliseconds. */
+    /** The time that a job waits for a holder, in milliseconds; longer than a takeover takes. */
     private static final long HOLDER_WAIT_MILLIS = 500;
 
     private final Holders holders;
     private final JobTable jobs;
     private final Timers timers;
-    private final long runsLastMillis;
+    private final long maxRunMillisAfterLoss;
     private final RoutingObserver observer;
 
-    /** Creates the placement of one node's jobs; see {@link JobRouter}. */
-    JobPlacement(Holders holders, JobTable jobs, Timers timers, long runsLastMillis, RoutingObserver observer) {
+    /** Creates the placement of one node's jobs; see {@link JobRouter#JobRouter} for the parameters. */
+    JobPlacement(Holders holders, JobTable jobs, Timers timers, long maxRunMillisAfterLoss, RoutingObserver observer) {
         this.holders = holders;
         this.jobs = jobs;
         this.timers = timers;
-        this.runsLastMillis = runsLastMillis;
+        this.maxRunMillisAfterLoss = maxRunMillisAfterLoss;
         this.observer = observer;
     }
 
     /**
-     * Offers a job to the next holder that may have it, or refuses it if there is none.
+     * Offers a job to the next permitted holder, or refuses it if there is none.
      *
-     * <p>Where a shard is about to get its holder, a job that all others declined waits for that. When every node
-     * starts at once the first holder is offered the jobs of all domains, and declines most of them 150 ms before the
-     * others can take any.
+     * <p>While a shard is expected to be claimed shortly, a job that every other holder declined waits for it. Guards
+     * against refusals when all nodes start at the same time: the first holder is offered the jobs of all domains and
+     * declines most of them 150 ms before the other holders can take any.
      */
     void place(OpenJob job) {
         long now = timers.nowMillis();
         ImmutableList<Holder> inOrder = holders.inPreferenceOrder();
-        Optional<Holder> atOnce = job.nextImmediateStartHolder(inOrder, holders, now, runsLastMillis);
+        Optional<Holder> atOnce = job.nextImmediateStartHolder(inOrder, holders, now, maxRunMillisAfterLoss);
         if (atOnce.isPresent()) {
             offer(job, atOnce.get(), OfferTerms.AT_ONCE);
             return;
         }
         boolean anyAllowedLater = false;
         for (Holder candidate : inOrder) {
-            if (job.mayBeOfferedTo(candidate, holders, now, runsLastMillis)) {
+            if (job.mayBeOfferedTo(candidate, holders, now, maxRunMillisAfterLoss)) {
                 offer(job, candidate, OfferTerms.MAY_WAIT);
                 return;
             }
@@ -67,10 +67,10 @@
         }
         job.sinceLossMillis(timers.nowMillis()).ifPresent(ago -> observer.offeredAgain(job.id(), to.node(), ago));
         job.markOfferedTo(to);
-        holders.offer(to, job.offer(holders.ownNode(), timers.nowMillis(), runsLastMillis, terms, toOwnDomain));
+        holders.offer(to, job.offer(holders.ownNode(), timers.nowMillis(), maxRunMillisAfterLoss, terms, toOwnDomain));
     }
 
-    /** Takes back a job that its holder could not start at once. */
+    /** Offers a job elsewhere after its holder could not start it at once. */
     void handleNotStartedAtOnce(OpenJob job) {
         job.holder().filter(holder -> !holders.holdsOwnDomain(holder)).ifPresent(neighbour -> {
             holders.notStartedAtOnce(neighbour, job.milliCores());
@@ -92,21 +92,25 @@
         }
     }
 
-    /** Takes back a job whose holder is gone; it waits until its runs are over unless a successor sees them. */
+    /**
+     * Offers a job again after its holder was lost.
+     *
+     * <p>The job goes to a successor that finds its runs; to any other holder only once those runs are over.
+     */
     void handleHolderLost(OpenJob job) {
         job.holder().ifPresent(lost -> observer.holderLost(job.id(), lost.node()));
-        ImmutableSet<FailureDomain> reach =
+        ImmutableSet<FailureDomain> shards =
                 job.holder().map(holders::shardsWithPossibleRuns).orElse(ImmutableSet.of());
-        job.markHolderLost(reach, timers.nowMillis());
-        timers.after(runsLastMillis, () -> placeIfWithoutHolder(job));
+        job.markHolderLost(shards, timers.nowMillis());
+        timers.after(maxRunMillisAfterLoss, () -> placeIfWithoutHolder(job));
         place(job);
     }
 
     /**
-     * Takes back a job of which its holder has started nothing.
+     * Offers a job elsewhere after its holder returned it without having started any of it.
      *
-     * <p>Where an earlier holder may have, it is treated like any other job of a lost holder: which of the two verdicts
-     * of this one came last cannot be told if its connection broke in between.
+     * <p>If an earlier holder may have started it, the job is handled like that of a lost holder: if the connection to
+     * the present holder broke between its two verdicts, their order is unknown.
      */
     void handleReturned(OpenJob job) {
         if (job.mayHaveRun()) {
@@ -117,7 +121,7 @@
         placeOrRefuse(job);
     }
 
-    /** Looks for a holder, and refuses the job unless it has one soon. */
+    /** Places a job, and refuses it if it has no holder after {@link #HOLDER_WAIT_MILLIS}. */
     void placeOrRefuse(OpenJob job) {
         timers.after(HOLDER_WAIT_MILLIS, () -> refuseIfWithoutHolder(job));
         place(job);
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/routing/JobRouter.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/routing/JobRouter.java
@@ -18,16 +18,17 @@
 import org.tarragonarch.model.task.Verdict;
 
 /**
- * Takes jobs from clients, hands each to one holder at a time, and answers it once.
+ * Accepts jobs from clients, offers each to one holder at a time, and answers it once.
  *
- * <p>A job is answered by the node that has its client's connection. If its holder is lost, it goes to the next holder
- * of the same shards, who finds what still runs; to any other only when those runs are certainly over.
+ * <p>The origin, which has the client's connection, answers the job. If the holder is lost, the job is offered to the
+ * next holder of the same shards, which finds the runs that are still under way; it is offered to any other holder only
+ * once those runs are certainly over.
  */
 public final class JobRouter {
-    /** An answer that leaves this long before the deadline still reaches the client, in milliseconds. */
+    /** How long before its deadline a job is given up so that the answer reaches the client, in milliseconds. */
     private static final long ANSWER_TRANSIT_MILLIS = 10;
 
-    /** When to come back if no shard has a holder, in milliseconds. */
+    /** The retry delay that clients are given if no holder is reachable, in milliseconds. */
     static final long NO_HOLDER_RETRY_MILLIS = 1_000;
 
     private final Holders holders;
@@ -40,19 +41,19 @@
     /**
      * Creates a router without jobs.
      *
-     * @param runsLastMillis how long what runs may go on after this node has noticed the loss of its holder, which may
-     *     renew it until it notices the loss of this node, in milliseconds
-     * @param observer is notified of jobs that are offered to other failure domains
+     * @param maxRunMillisAfterLoss the longest time that runs continue after this node has detected the loss of their
+     *     holder, in milliseconds; the holder may renew their leases until it detects the loss of this node
+     * @param observer observer of jobs that are offered to other failure domains, lost or offered again
      */
-    public JobRouter(Holders holders, Timers timers, long runsLastMillis, RoutingObserver observer) {
+    public JobRouter(Holders holders, Timers timers, long maxRunMillisAfterLoss, RoutingObserver observer) {
         this.holders = checkNotNull(holders, "holders");
         this.timers = checkNotNull(timers, "timers");
         this.jobs = new JobTable(timers);
         this.observer = checkNotNull(observer, "observer");
-        this.placement = new JobPlacement(holders, jobs, timers, runsLastMillis, observer);
+        this.placement = new JobPlacement(holders, jobs, timers, maxRunMillisAfterLoss, observer);
     }
 
-    /** Takes a job; see {@link JobService#submit}. */
+    /** Accepts a job; see {@link JobService#submit}. */
     public JobService.Submission submit(
             QueueDefinition queue, JobRequest request, long deadlineMillis, Consumer<JobReply> client) {
         Optional<JobReply> given = jobs.findAnswer(request.id());
@@ -70,7 +71,7 @@
         return () -> clientLeft(job, client);
     }
 
-    /** Cancels a job; returns whether it was open here or answered lately as cancelled. */
+    /** Cancels a job; returns whether it was open, or its recent answer says that it was cancelled. */
     public boolean cancel(JobId id) {
         Optional<OpenJob> job = jobs.find(id);
         if (job.isEmpty()) {
@@ -81,7 +82,7 @@
         return true;
     }
 
-    /** Takes a holder's verdict; one of a holder that no longer has the job is dropped. */
+    /** Handles a holder's verdict; the verdict of a node that is not the present holder of the job is ignored. */
     public void settled(NodeId from, JobId id, Verdict verdict, long retryMillis) {
         jobs.find(id).filter(job -> job.isHeldBy(from)).ifPresent(job -> settled(job, verdict, retryMillis));
     }
@@ -106,7 +107,7 @@
         }
     }
 
-    /** Takes back an offer that certainly never left. */
+    /** Offers a job elsewhere after an offer of it was certainly not sent. */
     public void offerNotSent(NodeId to, JobId id) {
         jobs.find(id).filter(job -> job.isHeldBy(to)).ifPresent(job -> {
             job.markOfferNotSent();
@@ -115,10 +116,11 @@
     }
 
     /**
-     * Notes that a node is not reachable any more; returns whether it had jobs of this one.
+     * Handles the loss of a node; returns whether it held jobs of this node's clients.
      *
-     * <p>It may live and miss this node only later than the jobs are offered again. Whatever is sent to it opens a
-     * connection, on which it learns that they are not open there any more.
+     * <p>The lost node may still run, and may detect the loss of this node only after the jobs are offered again. The
+     * caller should send it a message: this opens a connection, whose first frame lists the jobs that are still open
+     * there.
      */
     public boolean nodeLost(NodeId node) {
         ImmutableList<OpenJob> lost =
@@ -127,7 +129,7 @@
         return !lost.isEmpty();
     }
 
-    /** Looks for holders for the jobs that have none; to be called whenever holders change. */
+    /** Places the jobs that have no holder; must be called whenever holders change. */
     public void holdersChanged() {
         for (OpenJob job : jobs.all()) {
             if (job.holder().isEmpty()) {
@@ -148,16 +150,16 @@
     }
 
     /**
-     * Answers every open job, because this node stops now.
+     * Withdraws and answers every open job, because this node is about to stop.
      *
-     * <p>A connection that breaks without an answer leaves its client to guess; this one tells it that the job is given
-     * up. What runs is stopped by its holder.
+     * <p>Guards against connections that close without an answer, which leave the client in doubt about its job. The
+     * holders stop the runs.
      */
     public void giveUpAll() {
         jobs.all().forEach(this::giveUp);
     }
 
-    /** Returns the jobs that the holder has by what this node has offered, withdrawn and been told. */
+    /** Returns the open jobs whose present holder is the given node, as far as this node knows. */
     public ImmutableSet<JobId> openJobsAt(NodeId holder) {
         return jobs.all().stream()
                 .filter(job -> job.isHeldBy(holder))
@@ -170,17 +172,17 @@
         return jobs.hasJobWithoutHolder();
     }
 
-    /** Returns how many jobs are not answered. */
+    /** Returns the number of open jobs. */
     public int openJobs() {
         return jobs.size();
     }
 
-    /** Returns how many jobs of the queue no holder has taken. */
+    /** Returns the number of open jobs of the queue that have no holder. */
     public long waitingJobs(String queue) {
         return jobs.countWithoutHolder(queue);
     }
 
-    /** Returns what is known of a job. */
+    /** Returns the progress of a job; empty if the job is unknown. */
     public Optional<JobProgress> progress(JobId id) {
         return jobs.progress(id);
     }
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/routing/JobTable.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/routing/JobTable.java
@@ -10,18 +10,18 @@
 import org.tarragonarch.model.task.JobReply;
 import org.tarragonarch.model.task.Timers;
 
-/** The open jobs of one node's clients, and the recent answers. */
+/** The open jobs of one node's clients, and the recent answers to closed ones. */
 final class JobTable {
     private final Map<JobId, OpenJob> open = new LinkedHashMap<>();
     private final AnsweredJobs answered = new AnsweredJobs();
-    private final FormerHolders closedHolds;
+    private final FormerHolders formerHolders;
 
     JobTable(Timers timers) {
-        closedHolds = new FormerHolders(timers);
+        formerHolders = new FormerHolders(timers);
     }
 
     void add(OpenJob job) {
-        closedHolds.remove(job.id()).ifPresent(job::formerHolder);
+        formerHolders.remove(job.id()).ifPresent(job::setFormerHolder);
         open.put(job.id(), job);
     }
 
@@ -29,7 +29,7 @@
         return Optional.ofNullable(open.get(id));
     }
 
-    /** Returns the answer of a job that was recently open. */
+    /** Returns the answer to a job that was answered recently. */
     Optional<JobReply> findAnswer(JobId id) {
         return answered.find(id);
     }
@@ -54,20 +54,20 @@
         open.remove(job.id());
         answered.add(job.id(), reply);
         if (!reply.outcome().lasting()) {
-            closedHolds.recordClosed(job);
+            formerHolders.recordClosed(job);
         }
         job.answer(reply.by(job.lastHolder()));
     }
 
-    /** Answers a job that no holder takes: as refused if it has certainly not run, otherwise as given up. */
+    /** Answers a job that no holder accepts: as refused if it has certainly not run, otherwise as given up. */
     void refuse(OpenJob job, long retryMillis) {
         answer(job, job.mayHaveRun() ? JobReply.of(JobOutcome.GIVEN_UP) : JobReply.refused(retryMillis));
     }
 
-    /** Removes a job without an answer, because no client waits for it any more. */
+    /** Removes a job without an answer, because no client waits for it. */
     void remove(OpenJob job) {
         open.remove(job.id());
-        closedHolds.recordClosed(job);
+        formerHolders.recordClosed(job);
     }
 
     int size() {
@@ -84,7 +84,7 @@
         return false;
     }
 
-    /** Returns how many jobs of the queue have no holder. */
+    /** Returns the number of jobs of the queue that have no holder. */
     long countWithoutHolder(String queue) {
         return open.values().stream()
                 .filter(job -> job.queue().name().equals(queue) && job.holder().isEmpty())
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/routing/OpenJob.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/routing/OpenJob.java
@@ -19,7 +19,7 @@
 import org.tarragonarch.model.task.OfferTerms;
 import org.tarragonarch.model.task.QueueDefinition;
 
-/** A job whose client waits at this node. */
+/** A job of this node's clients that is not answered yet. */
 final class OpenJob {
     private static final long LONG_AGO_MILLIS = Long.MIN_VALUE / 2;
 
@@ -49,13 +49,13 @@
     }
 
     /**
-     * Notes who had the job when its client sent it before.
+     * Sets the holder that had the job when its client submitted it before.
      *
-     * <p>Guards against a task that runs twice: that holder may still be stopping its runs, and lets the job wait for
-     * that, whereas any other would start it.
+     * <p>Guards against a task that runs twice: the former holder may still be stopping the earlier runs. It waits for
+     * them before it starts the job again, whereas any other holder would start the job immediately.
      */
-    void formerHolder(FormerHolders.FormerHolder hold) {
-        formerHolder = Optional.of(hold);
+    void setFormerHolder(FormerHolders.FormerHolder former) {
+        formerHolder = Optional.of(former);
     }
 
     JobId id() {
@@ -80,15 +80,15 @@
     }
 
     /**
-     * Returns the offer of this job.
+     * Returns an offer of this job.
      *
-     * @param runsLastMillis how long what a lost holder started may run on
-     * @param toOwnDomain whether it goes to the holder of this node's own failure domain
+     * @param maxRunMillisAfterLoss the longest time that runs of a lost holder continue, in milliseconds
+     * @param toOwnDomain whether the offer goes to the holder of this node's own failure domain
      */
-    Offer offer(NodeId own, long nowMillis, long runsLastMillis, OfferTerms terms, boolean toOwnDomain) {
+    Offer offer(NodeId own, long nowMillis, long maxRunMillisAfterLoss, OfferTerms terms, boolean toOwnDomain) {
         EarlierRuns earlierRuns = lostHolder
-                .filter(lost -> lostAtMillis + runsLastMillis > nowMillis)
-                .map(lost -> new EarlierRuns(lostAtMillis + runsLastMillis - nowMillis, shardsWithPossibleRuns))
+                .filter(lost -> lostAtMillis + maxRunMillisAfterLoss > nowMillis)
+                .map(lost -> new EarlierRuns(lostAtMillis + maxRunMillisAfterLoss - nowMillis, shardsWithPossibleRuns))
                 .orElse(EarlierRuns.NONE);
         return new Offer(
                 request,
@@ -102,17 +102,18 @@
     }
 
     /**
-     * Returns the holder that should start the job at once before any may let it wait; empty if there is none.
+     * Returns the next holder to which the job is offered for an immediate start; empty if a holder may queue it.
      *
-     * <p>A job that may have run goes only where its runs are seen. One that is late already loses no time in rounds.
+     * <p>Empty for a job that may have run, which may go only to a holder that finds its runs, and for a job that is
+     * already late, which would lose the time of a round trip per offer.
      */
     Optional<Holder> nextImmediateStartHolder(
-            ImmutableList<Holder> inOrder, Holders holders, long nowMillis, long runsLastMillis) {
+            ImmutableList<Holder> inOrder, Holders holders, long nowMillis, long maxRunMillisAfterLoss) {
         if (mayHaveRun || isLate(nowMillis)) {
             return Optional.empty();
         }
         return immediateStartOffers.next(
-                inOrder, holders, holder -> mayBeOfferedTo(holder, holders, nowMillis, runsLastMillis));
+                inOrder, holders, holder -> mayBeOfferedTo(holder, holders, nowMillis, maxRunMillisAfterLoss));
     }
 
     private boolean isLate(long nowMillis) {
@@ -124,7 +125,7 @@
         clients.add(client);
     }
 
-    /** Takes a client away; returns whether none is left. */
+    /** Removes a client; returns whether none is left. */
     boolean removeClient(Consumer<JobReply> client) {
         clients.remove(client);
         return clients.isEmpty();
@@ -149,20 +150,21 @@
         lastHolder = Optional.of(next.node());
     }
 
-    /** Returns the node that the job was last offered to. */
+    /** Returns the node to which the job was last offered. */
     Optional<NodeId> lastHolder() {
         return lastHolder;
     }
 
     /**
-     * The holder is gone, and with it the knowledge of what ran.
+     * Records that the holder was lost, so that it is unknown which tasks ran.
      *
-     * <p>Whoever declined the job before may have room by the time its runs are certainly over.
+     * <p>Holders that declined the job before may be offered it again: they may have free capacity by the time its runs
+     * are certainly over.
      *
-     * @param reach the shards on which its runs may be
+     * @param shards the shards on which runs of the job may be
      */
-    void markHolderLost(ImmutableSet<FailureDomain> reach, long nowMillis) {
-        shardsWithPossibleRuns = reach;
+    void markHolderLost(ImmutableSet<FailureDomain> shards, long nowMillis) {
+        shardsWithPossibleRuns = shards;
         declinedBy.clear();
         mayHaveRun = true;
         lostAtMillis = nowMillis;
@@ -170,28 +172,28 @@
         holder = Optional.empty();
     }
 
-    /** The offer certainly never reached the holder. */
+    /** Records that the offer was certainly not sent. */
     void markOfferNotSent() {
         holder = Optional.empty();
     }
 
     /**
-     * The holder gave the job back without having started any of it.
+     * Records that the holder returned the job without having started any of it.
      *
-     * <p>It gets the job again only after holders have changed: until it is known that it releases its shards, it
-     * looks like the holder that it was.
+     * <p>The job is not offered to it again until holders change: a node that has released its shards still appears to
+     * hold them until its next status arrives.
      */
     void markReturned() {
         returnedBy = holder.map(Holder::node);
         holder = Optional.empty();
     }
 
-    /** Notes that there may be other holders than before. */
+    /** Permits offers to the holder that returned the job, because holders have changed. */
     void holdersChanged() {
         returnedBy = Optional.empty();
     }
 
-    /** The holder could not start the job at once; it may have the job again under other terms. */
+    /** Records that the holder could not start the job at once; it may be offered the job again under other terms. */
     void markNotStartedAtOnce() {
         holder = Optional.empty();
     }
@@ -202,7 +204,7 @@
         soonestRetryMillis = Math.min(soonestRetryMillis, retryMillis);
     }
 
-    /** The holder gave the job back after it had stopped what ran; any other may have it at once. */
+    /** Records that the holder stopped all runs and gave the job back; any other holder may take it at once. */
     void markEvicted() {
         holder.ifPresent(by -> declinedBy.add(by.node()));
         holder = Optional.empty();
@@ -216,28 +218,28 @@
         return mayHaveRun;
     }
 
-    /** Returns how long ago the last holder was lost, in milliseconds; empty if none was. */
+    /** Returns the time since a holder was lost, in milliseconds; empty if none was lost. */
     OptionalLong sinceLossMillis(long nowMillis) {
         return lostHolder.isPresent() ? OptionalLong.of(nowMillis - lostAtMillis) : OptionalLong.empty();
     }
 
-    /** Returns whether the job may go to the holder now, given how long a lost holder's runs may last. */
-    boolean mayBeOfferedTo(Holder candidate, Holders holders, long nowMillis, long runsLastMillis) {
-        boolean isKnownElsewhere = formerHolder
-                .filter(hold -> nowMillis < hold.closedAtMillis() + runsLastMillis)
-                .filter(hold -> !hold.node().equals(candidate.node()))
+    /** Returns whether the job may be offered to the holder now. */
+    boolean mayBeOfferedTo(Holder candidate, Holders holders, long nowMillis, long maxRunMillisAfterLoss) {
+        boolean mayRunElsewhere = formerHolder
+                .filter(former -> nowMillis < former.closedAtMillis() + maxRunMillisAfterLoss)
+                .filter(former -> !former.node().equals(candidate.node()))
                 .isPresent();
-        if (declinedBy.contains(candidate.node()) || isReturnedBy(candidate) || isKnownElsewhere) {
+        if (declinedBy.contains(candidate.node()) || isReturnedBy(candidate) || mayRunElsewhere) {
             return false;
         }
-        if (!mayHaveRun || nowMillis >= lostAtMillis + runsLastMillis) {
+        if (!mayHaveRun || nowMillis >= lostAtMillis + maxRunMillisAfterLoss) {
             return true;
         }
         return holders.hasNewestTokens(candidate, shardsWithPossibleRuns)
                 && lostHolder.filter(candidate::isSuccessorOf).isPresent();
     }
 
-    /** Returns whether the job may go to the holder at some time, though not now. */
+    /** Returns whether the job may be offered to the holder later although it may not be now. */
     boolean mayBeOfferedLaterTo(Holder candidate) {
         return (mayHaveRun || isReturnedBy(candidate)) && !declinedBy.contains(candidate.node());
     }
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/routing/RoutingObserver.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/routing/RoutingObserver.java
@@ -4,30 +4,30 @@
 import org.tarragonarch.model.task.JobId;
 
 /**
- * Listener for jobs of a node's clients that are offered to other failure domains.
+ * Observer of jobs of a node's clients that are offered to other failure domains, lose their holder or are withdrawn.
  *
- * <p>Every method does nothing unless it is overridden.
+ * <p>Every method does nothing by default.
  */
 public interface RoutingObserver {
-    /** A job that its own failure domain could not start at once is offered to the holder of another one. */
+    /** Called when a job that could not start at once in its own failure domain is offered to another holder. */
     default void movedToNeighbour(JobId job, NodeId holder) {}
 
     /**
-     * The holder of another failure domain could not start a job at once and returned it without having started any of
-     * it.
+     * Called when the holder of another failure domain could not start a job at once and returned it without having
+     * started any of it.
      */
     default void returnedByNeighbour(JobId job, NodeId holder) {}
 
-    /** A job's holder is lost, or has lost its shards, while runs of the job may be under way. */
+    /** Called when a job's holder is lost, or loses its shards, while runs of the job may be under way. */
     default void holderLost(JobId job, NodeId holder) {}
 
     /**
-     * A job whose holder was lost is offered again.
+     * Called when a job whose holder was lost is offered again.
      *
-     * @param sinceLossMillis how long ago the holder was lost
+     * @param sinceLossMillis the time since the holder was lost, in milliseconds
      */
     default void offeredAgain(JobId job, NodeId holder, long sinceLossMillis) {}
 
-    /** No client waits for a job any more, so it is withdrawn from its holder. */
+    /** Called when a job is withdrawn from its holder because no client waits for it. */
     default void clientsLeft(JobId job, NodeId holder) {}
 }
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/routing/package-info.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/routing/package-info.java
@@ -1,2 +1,2 @@
-/** The jobs of this node's clients: which holder they were handed to, and the one answer that each gets. */
+/** Routing of the jobs of a node's clients: offers to holders, takeover after the loss of a holder, and answers. */
 package org.tarragonarch.core.routing;
--- a/tarragonarch-core/src/test/java/org/tarragonarch/core/cluster/CoordinatorTest.java
+++ b/tarragonarch-core/src/test/java/org/tarragonarch/core/cluster/CoordinatorTest.java
@@ -45,7 +45,7 @@
 import org.tarragonarch.model.task.TaskStep;
 import org.testng.annotations.Test;
 
-/** Whom one node speaks to, and in which order, as its surroundings change. */
+/** Messages that one node sends, and their order, as its peers, endpoints and drained domains change. */
 public final class CoordinatorTest {
     private static final FailureDomain HOBART = FailureDomain.of("hobart");
     private static final FailureDomain LAUNCESTON = FailureDomain.of("launceston");
@@ -90,7 +90,7 @@
         coordinator.endpointsChanged();
     }
 
-    /** Guards against greetings to a whole region while its endpoints are read after a loss of power. */
+    /** Guards against statuses to a whole region while its endpoints are read after a loss of power. */
     @Test
     public void testEndpointsChanged_statusGoesOnlyToThePool() {
         CoordinatorTest test = new CoordinatorTest();
@@ -100,7 +100,7 @@
         assertEquals(ImmutableSet.copyOf(test.sent), ImmutableSet.of("status to [hobart]"));
     }
 
-    /** Few endpoints: the region is one pool, and the nodes of its other domains are greeted once that is known. */
+    /** Guards against a region with few endpoints, which is one pool, whose other domains are not sent a status. */
     @Test
     public void testEndpointsChanged_statusGoesToPooledRegion() {
         CoordinatorTest test = new CoordinatorTest();
@@ -124,7 +124,7 @@
         assertEquals(test.sent.get(verdict - 1), "status to all, 0 shards, leaving");
     }
 
-    /** Guards against a holder that goes by a list which was read before it claimed the shard. */
+    /** Guards against a holder that relies on a list that was read before it claimed the shard. */
     @Test
     public void testEndpointListNeed_claimed() {
         CoordinatorTest test = new CoordinatorTest();
@@ -148,23 +148,23 @@
         return new NodeStatus(NodeId.of("b"), HOBART, address, 360, false, false, 1, drained, ImmutableList.of());
     }
 
-    private boolean takesWork(FailureDomain domain) {
+    private boolean acceptsTasks(FailureDomain domain) {
         return endpoints.of(domain).stream().noneMatch(EndpointEntry::draining);
     }
 
-    /** Guards against a domain that is drained in the store and goes on taking work at its holder. */
+    /** Guards against a domain that is drained in the store while its holder still places tasks there. */
     @Test
     public void testDrained_everyEndpointOfTheDomainDrains() {
         CoordinatorTest test = new CoordinatorTest();
         test.listEndpoints(10);
         test.coordinator.drained(drained(7, HOBART), "store");
-        assertFalse(test.takesWork(HOBART));
-        assertTrue(test.takesWork(LAUNCESTON));
+        assertFalse(test.acceptsTasks(HOBART));
+        assertTrue(test.acceptsTasks(LAUNCESTON));
         test.coordinator.drained(drained(9), "store");
-        assertTrue(test.takesWork(HOBART));
+        assertTrue(test.acceptsTasks(HOBART));
     }
 
-    /** Guards against a drain that a stale answer of the store, or a peer that cannot reach it, undoes. */
+    /** Guards against a drain undone by a stale answer of the store, or by a peer that cannot reach the store. */
     @Test
     public void testDrained_olderReadingChangesNothing() {
         CoordinatorTest test = new CoordinatorTest();
@@ -172,20 +172,20 @@
         test.coordinator.drained(drained(7, HOBART), "store");
         test.coordinator.drained(drained(5), "store");
         test.coordinator.statusReceived(peerStatus(drained(6)));
-        assertFalse(test.takesWork(HOBART));
+        assertFalse(test.acceptsTasks(HOBART));
     }
 
-    /** Guards against a holder that the store turns away and that never hears of a drain. */
+    /** Guards against a holder that cannot read the store and never learns of a drain. */
     @Test
     public void testDrained_learnedFromPeer() {
         CoordinatorTest test = new CoordinatorTest();
         test.listEndpoints(10);
         test.coordinator.statusReceived(peerStatus(drained(7, HOBART)));
-        assertFalse(test.takesWork(HOBART));
+        assertFalse(test.acceptsTasks(HOBART));
         assertEquals(test.coordinator.status().drained(), drained(7, HOBART));
     }
 
-    /** Guards against a peer that cannot reach the store and learns of a drain only with the next heartbeat. */
+    /** Guards against a peer that cannot reach the store and learns of a drain only with the next periodic status. */
     @Test
     public void testDrained_peersAreNotifiedAtOnce() {
         CoordinatorTest test = new CoordinatorTest();
@@ -197,17 +197,17 @@
         assertEquals(test.sent.size(), 1);
     }
 
-    /** Guards against an endpoint that is added to a drained domain and takes work. */
+    /** Guards against tasks placed on an endpoint that is added to a domain after the domain was drained. */
     @Test
     public void testDrained_endpointAddedLaterIsDrained() {
         CoordinatorTest test = new CoordinatorTest();
         test.coordinator.drained(drained(7, HOBART, LAUNCESTON), "store");
         test.listEndpoints(10);
-        assertFalse(test.takesWork(HOBART));
-        assertFalse(test.takesWork(LAUNCESTON));
+        assertFalse(test.acceptsTasks(HOBART));
+        assertFalse(test.acceptsTasks(LAUNCESTON));
     }
 
-    /** Guards against a job that waits for room in drained domains: with all of them drained it is refused at once. */
+    /** Guards against a job that waits for capacity although all domains are drained; it must be refused at once. */
     @Test
     public void testDrained_allDomains() {
         CoordinatorTest test = new CoordinatorTest();
@@ -222,10 +222,10 @@
         test.coordinator.router().submit(offer.queue(), offer.job(), 3_000, replies::add);
         assertEquals(replies.size(), 1);
         assertEquals(replies.get(0).outcome(), JobOutcome.REFUSED);
-        assertTrue(replies.get(0).retryMillis() > 0, "no time to come back");
+        assertTrue(replies.get(0).retryMillis() > 0, "no retry delay");
     }
 
-    /** Guards against jobs of a drained domain's clients that go to its own holder first, which declines them all. */
+    /** Guards against a job that is offered first to the holder of its own drained domain, which declines it. */
     @Test
     public void testDrained_holderOfDrainedDomainIsLast() {
         CoordinatorTest test = new CoordinatorTest();
@@ -245,22 +245,22 @@
         return new Offer(job, queue, NodeId.of(origin), 0, 3_000, EarlierRuns.NONE);
     }
 
-    /** Endpoints that answer nothing. */
+    /** Endpoints that never answer. */
     private static final class SilentEndpoints implements EndpointOrders {
         @Override
         public void hold(EndpointEntry entry, HoldOrder order, Delivery delivery, Consumer<HoldAnswer> reply) {
-            // No answer comes.
+            // Never answers.
         }
 
         @Override
         public void start(EndpointEntry entry, StartOrder order, Delivery delivery, Consumer<OrderAnswer> reply) {
-            // No answer comes.
+            // Never answers.
         }
 
         @Override
         public void stop(
                 EndpointEntry entry, FencingToken token, TaskRun run, Delivery delivery, Consumer<OrderAnswer> reply) {
-            // No answer comes.
+            // Never answers.
         }
     }
 }
--- a/tarragonarch-core/src/test/java/org/tarragonarch/core/cluster/CutOffHolderTest.java
+++ b/tarragonarch-core/src/test/java/org/tarragonarch/core/cluster/CutOffHolderTest.java
@@ -27,8 +27,8 @@
 import org.testng.annotations.Test;
 
 /**
- * One partition has a holder and one endpoint of its domain on one side, and all other nodes and endpoints on the
- * other: the holder renews the leases on that endpoint until it misses the job's node or is fenced.
+ * A network partition with a holder and one endpoint of its domain on one side, and all other nodes and endpoints on
+ * the other: the holder renews the leases on that endpoint until it detects the loss of the job's origin or is fenced.
  */
 public final class CutOffHolderTest {
     private static final long LONG_MILLIS = 60_000;
@@ -38,8 +38,8 @@
     private final Set<EndpointId> unreachable = new HashSet<>();
 
     /**
-     * Guards against a task that starts again as its lease is counted from the moment at which the job's node misses
-     * the holder, although the holder has renewed it after that.
+     * Guards against a task that starts a second time because its lease is counted from the moment when the origin
+     * detects the loss of the holder, although the holder has renewed the lease after that.
      */
     @Test
     public void testPartition_holderRenewsLeaseAfterItsLossIsDetected() {
@@ -60,30 +60,30 @@
             hobart.add(cluster.addEndpoint("w-" + number, HOBART));
         }
         cluster.addEndpoint("w-4", LAUNCESTON);
-        // Nodes review their peers every 0.1 s: the job's node 5 ms after the holder, the successor 95 ms after it.
+        // Nodes review their peers every 0.1 s: the origin 5 ms after the holder, the successor 95 ms after the holder.
         FakeNode successor = addNode("a", 1, HOBART, 900, new PartlyCutOrders());
         FakeNode holder = addNode("b", 2, HOBART, 750, cluster.orders);
-        FakeNode jobNode = addNode("c", 3, LAUNCESTON, 900, new PartlyCutOrders());
+        FakeNode origin = addNode("c", 3, LAUNCESTON, 900, new PartlyCutOrders());
         QueueCatalog catalog = FakeCluster.catalog(1);
         holder.start(catalog);
         cluster.timers.pass(5);
-        jobNode.start(catalog);
+        origin.start(catalog);
         cluster.timers.pass(1_190);
         successor.start(catalog);
         cluster.timers.pass(1_110);
-        // The configuration's next version makes the job's node send its status between two of the holder's.
-        jobNode.coordinator().applyConfiguration(FakeCluster.catalog(2));
+        // A new configuration version makes the origin send its status between two statuses of the holder.
+        origin.coordinator().applyConfiguration(FakeCluster.catalog(2));
         cluster.timers.pass(890);
         assertEquals(holder.coordinator().heldShardCount(), 1);
-        assertEquals(jobNode.coordinator().heldShardCount(), 1);
-        cluster.submit(jobNode, JOB, 4);
+        assertEquals(origin.coordinator().heldShardCount(), 1);
+        cluster.submit(origin, JOB, 4);
         cluster.timers.pass(200 + millis);
         int cutOff = 0;
         while (hobart.get(cutOff).running() != 2) {
             cutOff++;
         }
         unreachable.add(EndpointId.of("w-" + (cutOff + 1)));
-        for (FakeNode other : ImmutableList.of(successor, jobNode)) {
+        for (FakeNode other : ImmutableList.of(successor, origin)) {
             cut(holder, other);
             cut(other, holder);
         }
@@ -95,17 +95,17 @@
         cluster.connections.refuseConnections(from.id(), to.id(), LONG_MILLIS);
     }
 
-    private FakeNode addNode(String name, int number, FailureDomain domain, int milliCores, EndpointOrders way) {
-        return cluster.addNode(name, number, domain, milliCores, way, cluster.timers);
+    private FakeNode addNode(String name, int number, FailureDomain domain, int milliCores, EndpointOrders orders) {
+        return cluster.addNode(name, number, domain, milliCores, orders, cluster.timers);
     }
 
-    /** The way of the nodes on the other side of the partition to endpoints. */
+    /** Endpoint calls of the nodes on the other side of the partition. */
     private final class PartlyCutOrders implements EndpointOrders {
         @Override
         public void hold(EndpointEntry entry, HoldOrder order, Delivery delivery, Consumer<HoldAnswer> reply) {
             if (unreachable.contains(entry.id())) {
-                long patience = order.waitMillis() + delivery.answerWithinMillis();
-                cluster.timers.after(patience, () -> reply.accept(HoldAnswer.failed(OrderResult.UNKNOWN)));
+                long timeoutMillis = order.waitMillis() + delivery.answerWithinMillis();
+                cluster.timers.after(timeoutMillis, () -> reply.accept(HoldAnswer.failed(OrderResult.UNKNOWN)));
             } else {
                 cluster.orders.hold(entry, order, delivery, reply);
             }
--- a/tarragonarch-core/src/test/java/org/tarragonarch/core/cluster/DiscoveryTest.java
+++ b/tarragonarch-core/src/test/java/org/tarragonarch/core/cluster/DiscoveryTest.java
@@ -13,7 +13,7 @@
 import org.tarragonarch.model.report.NodeStatus;
 import org.testng.annotations.Test;
 
-/** When a node that has just started may take shards. */
+/** Conditions under which a node that has just started may claim shards. */
 public final class DiscoveryTest {
     private static final NodeId A = NodeId.of("a");
     private static final NodeId B = NodeId.of("b");
@@ -44,7 +44,7 @@
         assertTrue(Discovery.isComplete(member(B), ImmutableList.of(), ImmutableList.of()));
     }
 
-    /** Guards against callers that wait 200 ms for one slow node though the others know that there is no holder. */
+    /** Guards against callers that wait 200 ms for one slow node although the others report that there is no holder. */
     @Test
     public void testIsComplete_oneNodeIsSlow() {
         ImmutableList<Member> located = ImmutableList.of(member(B), member(C));
@@ -52,7 +52,7 @@
         assertFalse(Discovery.isComplete(member(A), located, ImmutableList.of()));
     }
 
-    /** One node alone was restarted: whoever it hears first has a holder, and it must hear that holder too. */
+    /** Guards against a restarted node that claims before it has heard from the holder that its peers can reach. */
     @Test
     public void testIsComplete_peerHasHolder() {
         assertFalse(Discovery.isComplete(
@@ -65,7 +65,7 @@
                 member(B), ImmutableList.of(member(A), member(C)), ImmutableList.of(status(C, true))));
     }
 
-    /** The first by name is a small VM; it leaves the start to the large one, which holds the shard in the end. */
+    /** Guards against a small VM, first by name, that claims a shard before the large VM that is to hold it. */
     @Test
     public void testIsComplete_largerNodeRanksHigher() {
         Member strong = new Member(C, FailureDomain.of("hobart"), new Address("10.0.0.9", 7_000), 1_500);
@@ -74,7 +74,7 @@
         assertTrue(Discovery.isComplete(strong, ImmutableList.of(member(A), member(B)), withoutHolder));
     }
 
-    /** Guards against a small VM that takes the endpoints before it has read the holder's status. */
+    /** Guards against a small VM that claims a shard before it has read the holder's status. */
     @Test
     public void testClaimDelayMillis_growsWithHigherRankedNodes() {
         Member large = new Member(C, FailureDomain.of("hobart"), new Address("10.0.0.9", 7_000), 1_500);
--- a/tarragonarch-core/src/test/java/org/tarragonarch/core/cluster/FakeCluster.java
+++ b/tarragonarch-core/src/test/java/org/tarragonarch/core/cluster/FakeCluster.java
@@ -26,8 +26,8 @@
 import org.tarragonarch.model.task.Timers;
 
 /**
- * Nodes and endpoints of two failure domains of one region, each a pool of its own, on virtual time. Each endpoint has
- * room for two tasks of 3 s.
+ * Nodes and endpoints of two failure domains of one region, each a separate pool, on virtual time. Each endpoint has
+ * capacity for two tasks of 3 s.
  */
 final class FakeCluster {
     static final FailureDomain HOBART = FailureDomain.of("hobart");
@@ -39,7 +39,7 @@
     private static final Region REGION = Region.of("south");
     private static final QueueDefinition QUEUE = new QueueDefinition("checks", "h", "/p/", "board", 0, 3, 1.6, 60);
 
-    /** Enough for a pool per domain; they serve no queue, so nobody polls them. */
+    /** Enough for a separate pool per domain; they serve no queue, so no holder polls them. */
     private static final int OTHER_ENDPOINTS = 100;
 
     final VirtualTimers timers = new VirtualTimers();
@@ -72,15 +72,16 @@
     }
 
     /**
-     * Adds a node, which is not started yet.
+     * Adds a node without starting it.
      *
-     * @param way its way to the endpoints
-     * @param clock its steady clock
+     * @param orders the node's endpoint calls
+     * @param clock the node's steady clock
      */
-    FakeNode addNode(String name, int number, FailureDomain domain, int milliCores, EndpointOrders way, Timers clock) {
+    FakeNode addNode(
+            String name, int number, FailureDomain domain, int milliCores, EndpointOrders orders, Timers clock) {
         Member self = new Member(NodeId.of(name), domain, new Address("10.0.0." + number, 7_000), milliCores);
         ShardPools pools = new ShardPools(ImmutableMap.of(HOBART, REGION, LAUNCESTON, REGION), listed);
-        FakeNode node = new FakeNode(self, pools, listed, way, clock, connections);
+        FakeNode node = new FakeNode(self, pools, listed, orders, clock, connections);
         connections.add(node);
         return node;
     }
--- a/tarragonarch-core/src/test/java/org/tarragonarch/core/cluster/FakeConnections.java
+++ b/tarragonarch-core/src/test/java/org/tarragonarch/core/cluster/FakeConnections.java
@@ -12,15 +12,15 @@
 import org.tarragonarch.model.id.NodeId;
 
 /**
- * The connections between the nodes of a test, as the real transport has them: each node opens one to each peer that it
- * sends to, and every connection delivers in order.
+ * Simulated connections between the nodes of a test that behave like the real transport: each node opens one to each
+ * peer to which it sends, and every connection delivers in order.
  *
  * <p>A node is notified only when its last connection with a peer has closed.
  */
 final class FakeConnections {
     private static final long LATENCY_MILLIS = 1;
 
-    /** The real transport's first wait before it connects again. */
+    /** The real transport's first delay before it reconnects, in milliseconds. */
     private static final long RECONNECT_MILLIS = 50;
 
     private final VirtualTimers timers;
@@ -40,12 +40,12 @@
         return nodes.values();
     }
 
-    /** Sends by the sender's own connection to the peer, which is opened if need be. */
+    /** Sends on the sender's own connection to the peer, which is opened if necessary. */
     void send(NodeId from, NodeId to, Frame frame) {
         link(from, to).send(frame);
     }
 
-    /** Sends by any connection that is open at the sender; without one the frame is lost. */
+    /** Sends on any connection that is open at the sender; if there is none, the frame is lost. */
     void reply(NodeId from, NodeId to, Frame frame) {
         connections.stream()
                 .filter(connection -> connection.isOpenBetween(from, to))
@@ -53,22 +53,22 @@
                 .ifPresent(connection -> connection.write(to, frame));
     }
 
-    /** Breaks the connection that one node has opened to another; what is in flight on it is lost. */
+    /** Breaks the connection that one node has opened to another; frames in flight on it are lost. */
     void breakConnection(NodeId from, NodeId to) {
         link(from, to).connection.breakNow();
     }
 
-    /** Delays everything on the present connection that one node has opened to another, both ways. */
+    /** Delays all frames, in both directions, on the present connection that one node has opened to another. */
     void stall(NodeId from, NodeId to, long millis) {
         link(from, to).connection.stalledUntilMillis = timers.nowMillis() + millis;
     }
 
-    /** Lets attempts to open a connection fail for a while. */
+    /** Makes attempts to open a connection fail for the given time. */
     void refuseConnections(NodeId from, NodeId to, long millis) {
         link(from, to).refusedUntilMillis = timers.nowMillis() + millis;
     }
 
-    /** Closes a node's connections with a peer; the peer sees each close after what was sent on it before. */
+    /** Closes a node's connections with a peer; the peer sees each close after the frames sent on it earlier. */
     void disconnect(NodeId node, NodeId peer) {
         for (Connection connection : List.copyOf(connections)) {
             if (connection.isOpenBetween(node, peer)) {
@@ -92,18 +92,18 @@
         }
     }
 
-    /** Whose connection it is, and with whom. */
+    /** The node that opens a connection, and its peer. */
     private record Direction(NodeId from, NodeId to) {}
 
     /**
-     * What one node sends to another.
+     * A message from one node to another.
      *
-     * @param arrival is run at the receiver
-     * @param undelivered is run if the frame certainly never left
+     * @param arrival callback run at the receiver
+     * @param undelivered callback run at the sender if the frame was certainly not sent
      */
     record Frame(Consumer<FakeNode> arrival, Runnable undelivered) {}
 
-    /** One node's way to a peer: the connection that it has opened, and what waits for one. */
+    /** One node's outgoing link to a peer: its open connection, if any, and the frames that wait for one. */
     private final class Link {
         private final Direction direction;
         private final List<Frame> waiting = new ArrayList<>();
@@ -158,7 +158,7 @@
         }
     }
 
-    /** One connection; each end learns of its close by itself. */
+    /** One connection; each end detects its close independently. */
     private final class Connection {
         private final Direction direction;
         private final Set<NodeId> openAt = new HashSet<>();
--- a/tarragonarch-core/src/test/java/org/tarragonarch/core/cluster/FakeNode.java
+++ b/tarragonarch-core/src/test/java/org/tarragonarch/core/cluster/FakeNode.java
@@ -17,9 +17,9 @@
 import org.tarragonarch.model.task.Timers;
 import org.tarragonarch.model.task.Verdict;
 
-/** A coordinator among others, driven as the real node drives it: reviews, losses of peers and what arrives. */
+/** A coordinator driven as by the real node: periodic reviews, losses of peers and received messages. */
 final class FakeNode implements PeerSender {
-    /** How long a node that has just started listens for its peers before it claims shards. */
+    /** The time that a node waits for its peers' statuses after its start before it claims shards, in milliseconds. */
     private static final long DISCOVERY_MILLIS = 200;
 
     private final NodeId id;
@@ -62,7 +62,7 @@
         return coordinator;
     }
 
-    /** Returns whether this node has a peer in its table as reachable. */
+    /** Returns whether the peer is reachable according to this node's peer table. */
     boolean reaches(FakeNode peer) {
         return coordinator.peers().present().stream()
                 .anyMatch(status -> status.node().equals(peer.id));
@@ -73,7 +73,7 @@
         review();
     }
 
-    /** Notes that the last connection with a peer has closed. */
+    /** Handles the close of the last connection with a peer. */
     void disconnected(NodeId peer) {
         if (coordinator.peers().lost(peer)) {
             lost(peer);
@@ -108,7 +108,7 @@
         coordinator.placeWaitingJobs();
     }
 
-    /** Returns the frame that goes first on a connection to the peer: the jobs that are open there. */
+    /** Returns the first frame on a connection to the peer, which lists this node's jobs that are open there. */
     FakeConnections.Frame firstFrame(NodeId peer) {
         ImmutableSet<JobId> open = coordinator.router().openJobsAt(peer);
         return new FakeConnections.Frame(receiver -> receiver.coordinator.openJobsReceived(id, open), () -> {});
@@ -147,7 +147,7 @@
                         () -> coordinator.router().offerNotSent(to, offer.job().id())));
     }
 
-    /** Sends a withdrawal; as in the real node, nothing follows if it is given back as undelivered. */
+    /** Sends a withdrawal; as in the real node, an undelivered withdrawal is not retried. */
     @Override
     public void sendWithdrawal(NodeId to, JobId job) {
         connections.send(
--- a/tarragonarch-core/src/test/java/org/tarragonarch/core/cluster/NeighbourCapacityTest.java
+++ b/tarragonarch-core/src/test/java/org/tarragonarch/core/cluster/NeighbourCapacityTest.java
@@ -21,7 +21,7 @@
 import org.tarragonarch.model.task.FencingToken;
 import org.testng.annotations.Test;
 
-/** What one node knows of the room of other failure domains, by their holders' statuses. */
+/** Estimates of the free capacity of other failure domains from the statuses of their holders. */
 public final class NeighbourCapacityTest {
     private static final FailureDomain HOBART = FailureDomain.of("hobart");
     private static final FailureDomain LAUNCESTON = FailureDomain.of("launceston");
@@ -31,7 +31,7 @@
     private final VirtualTimers timers = new VirtualTimers();
     private final PeerTable peers = new PeerTable();
     private final Set<FailureDomain> drained = new HashSet<>();
-    private final NeighbourCapacity room = new NeighbourCapacity(
+    private final NeighbourCapacity capacity = new NeighbourCapacity(
             HOBART,
             peers,
             new ShardPools(
@@ -50,79 +50,79 @@
         peers.received(status, timers.nowMillis());
     }
 
-    private int found(long milliCores) {
-        return room.holdersWithCapacity(milliCores).size();
+    private int holderCount(long milliCores) {
+        return capacity.holdersWithCapacity(milliCores).size();
     }
 
-    /** Guards against offers by a status that says nothing of the room there is now, as after a cut. */
+    /** Guards against offers based on an outdated status, as after a network partition. */
     @Test
     public void testHoldersWithCapacity_statusOverTwoPeriodsOld() {
         NeighbourCapacityTest test = new NeighbourCapacityTest();
         test.status(false, 100, LAUNCESTON);
         test.timers.pass(400);
-        assertEquals(test.found(100), 1);
-        assertEquals(test.found(101), 0);
+        assertEquals(test.holderCount(100), 1);
+        assertEquals(test.holderCount(101), 0);
         test.timers.pass(1);
-        assertEquals(test.found(100), 0);
+        assertEquals(test.holderCount(100), 0);
     }
 
-    /** Guards against a herd: what was offered is counted as taken until the holder says what is left. */
+    /** Guards against a thundering herd: offered capacity counts as used until the holder's next status. */
     @Test
     public void testRecordOffer_deductedUntilNextStatus() {
         NeighbourCapacityTest test = new NeighbourCapacityTest();
         test.status(false, 100, LAUNCESTON);
-        test.room.recordOffer(HOLDER, 30);
-        test.room.recordOffer(HOLDER, 30);
-        assertEquals(test.found(41), 0);
-        assertEquals(test.found(40), 1);
+        test.capacity.recordOffer(HOLDER, 30);
+        test.capacity.recordOffer(HOLDER, 30);
+        assertEquals(test.holderCount(41), 0);
+        assertEquals(test.holderCount(40), 1);
         test.timers.pass(200);
         test.status(false, 100, LAUNCESTON);
-        assertEquals(test.found(100), 1);
+        assertEquals(test.holderCount(100), 1);
     }
 
-    /** Guards against job after job that goes to a holder whose free room is too scattered, or kept for its own. */
+    /** Guards against repeated offers to a holder whose free capacity is fragmented or reserved for its own jobs. */
     @Test
     public void testRecordRefusal_noLargerJobUntilNextStatus() {
         NeighbourCapacityTest test = new NeighbourCapacityTest();
         test.status(false, 100, LAUNCESTON);
-        test.room.recordRefusal(HOLDER, 30);
-        assertEquals(test.found(30), 0);
-        assertEquals(test.found(29), 1);
+        test.capacity.recordRefusal(HOLDER, 30);
+        assertEquals(test.holderCount(30), 0);
+        assertEquals(test.holderCount(29), 1);
         test.timers.pass(200);
         test.status(false, 100, LAUNCESTON);
-        assertEquals(test.found(30), 1);
+        assertEquals(test.holderCount(30), 1);
     }
 
-    /** Guards against work for a holder that is about to stop. */
+    /** Guards against offers to a holder that is about to stop. */
     @Test
     public void testHoldersWithCapacity_leavingHolder() {
         NeighbourCapacityTest test = new NeighbourCapacityTest();
         test.status(true, 100, LAUNCESTON);
-        assertEquals(test.found(1), 0);
+        assertEquals(test.holderCount(1), 0);
     }
 
-    /** Guards against work for a drained domain. */
+    /** Guards against offers to the holder of a drained domain. */
     @Test
     public void testHoldersWithCapacity_drainedDomain() {
         NeighbourCapacityTest test = new NeighbourCapacityTest();
         test.status(false, 100, LAUNCESTON);
         test.drained.add(LAUNCESTON);
-        assertEquals(test.found(1), 0);
+        assertEquals(test.holderCount(1), 0);
     }
 
-    /** Guards against work for a region that is far away. */
+    /** Guards against offers to a holder in a distant region. */
     @Test
     public void testHoldersWithCapacity_otherRegion() {
         NeighbourCapacityTest test = new NeighbourCapacityTest();
         test.status(false, 100, DARWIN);
-        assertEquals(test.found(1), 0);
+        assertEquals(test.holderCount(1), 0);
     }
 
-    /** Guards against rounds where one holder has the own failure domain and others. */
+    /** Guards against a holder of the own failure domain that also counts as a neighbour. */
     @Test
     public void testHoldersWithCapacity_holderAlsoHoldsOwnDomain() {
         NeighbourCapacityTest test = new NeighbourCapacityTest();
         test.status(false, 100, LAUNCESTON, HOBART);
-        assertEquals(test.found(1), 0);
+        assertEquals(test.holderCount(1), 0);
     }
 }
--- a/tarragonarch-core/src/test/java/org/tarragonarch/core/cluster/RecordingPeerSender.java
+++ b/tarragonarch-core/src/test/java/org/tarragonarch/core/cluster/RecordingPeerSender.java
@@ -9,7 +9,7 @@
 import org.tarragonarch.model.task.Offer;
 import org.tarragonarch.model.task.Verdict;
 
-/** A sender that appends a line for each message to a list and delivers nothing. */
+/** A sender that appends a line to a list for each message and delivers none. */
 final class RecordingPeerSender implements PeerSender {
     private final List<String> sent;
 
--- a/tarragonarch-core/src/test/java/org/tarragonarch/core/cluster/RemoteUsageTest.java
+++ b/tarragonarch-core/src/test/java/org/tarragonarch/core/cluster/RemoteUsageTest.java
@@ -14,17 +14,18 @@
 import org.tarragonarch.model.task.FencingToken;
 import org.testng.annotations.Test;
 
+/** Use of the shards of other holders. */
 public final class RemoteUsageTest {
     private static final FailureDomain HOBART = FailureDomain.of("hobart");
     private static final int LONG = 2;
 
-    /** Guards against the use of a holder that is cut off, which stands for ever at what it last said. */
+    /** Guards against the use of an unreachable holder that is counted indefinitely from its last status. */
     @Test
     public void testByPriority_statusOlderThanOneSecondIsIgnored() {
         HeldShard held =
                 new HeldShard(HOBART, FencingToken.of(7, "10.0.0.9"), 0, ImmutableList.of(new ShareUse(LONG, 96_000)));
-        RemoteUsage elsewhere = new RemoteUsage();
-        elsewhere.statusReceived(
+        RemoteUsage usage = new RemoteUsage();
+        usage.statusReceived(
                 new NodeStatus(
                         NodeId.of("a"),
                         HOBART,
@@ -36,7 +37,7 @@
                         DrainedDomains.UNREAD,
                         ImmutableList.of(held)),
                 5_000);
-        assertEquals(elsewhere.byPriority(6_000), ImmutableMap.of(LONG, 96_000L));
-        assertEquals(elsewhere.byPriority(6_001), ImmutableMap.of());
+        assertEquals(usage.byPriority(6_000), ImmutableMap.of(LONG, 96_000L));
+        assertEquals(usage.byPriority(6_001), ImmutableMap.of());
     }
 }
--- a/tarragonarch-core/src/test/java/org/tarragonarch/core/cluster/SeparatePoolsFixture.java
+++ b/tarragonarch-core/src/test/java/org/tarragonarch/core/cluster/SeparatePoolsFixture.java
@@ -10,11 +10,11 @@
 import org.tarragonarch.model.task.JobService;
 
 /**
- * A cluster with one endpoint in each failure domain; three nodes in the first, of which one is its holder and another
- * the next in line, and the holder of the second.
+ * A cluster with two failure domains of one endpoint each: three nodes in the first, of which one is its holder and one
+ * the holder's successor, and one node in the second, which is its holder.
  */
 final class SeparatePoolsFixture {
-    /** The tasks that fill an endpoint. */
+    /** The number of tasks that use the full capacity of an endpoint. */
     static final int TASKS_PER_ENDPOINT = 2;
 
     final VirtualTimers timers;
@@ -26,12 +26,12 @@
     final FakeNode hobartHolder;
     final FakeNode launcestonHolder;
 
-    /** Lets the second domain's holder be suspended. */
+    /** Clock and endpoint calls of the second domain's holder, which can be suspended. */
     final SuspendableNode launcestonMachine;
 
     private final FakeCluster cluster = new FakeCluster();
 
-    /** Creates nodes that know each other, with holders that have read their endpoints. */
+    /** Starts the nodes and waits until they know each other and the holders have read their lists of endpoints. */
     SeparatePoolsFixture() {
         timers = cluster.timers;
         ledger = cluster.ledger;
--- a/tarragonarch-core/src/test/java/org/tarragonarch/core/cluster/SeparatePoolsTest.java
+++ b/tarragonarch-core/src/test/java/org/tarragonarch/core/cluster/SeparatePoolsTest.java
@@ -8,36 +8,36 @@
 import org.tarragonarch.model.task.JobService;
 import org.testng.annotations.Test;
 
-/** A job that another failure domain's holder has, where each domain is a pool of its own, while connections fail. */
+/** A job held in another failure domain, where each domain is a separate pool, while connections fail. */
 public final class SeparatePoolsTest {
     private static final int FILLER = 1;
     private static final int JOB = 2;
 
-    /** After this long a client sends a job again that it got no answer to, in milliseconds. */
+    /** The time after which a client submits an unanswered job again, in milliseconds. */
     private static final long CLIENT_PAUSE_MILLIS = 1_300;
 
-    /** Longer than a holder may be silent, in milliseconds. */
+    /** Longer than the silence after which a holder counts as lost, in milliseconds. */
     private static final long SILENT_MILLIS = 900;
 
-    /** Longer than it takes a holder's last frame to be missed and its node to connect again, in milliseconds. */
+    /** Longer than it takes a node to detect a holder's silence and to reconnect, in milliseconds. */
     private static final long STALL_MILLIS = 1_300;
 
     /** Longer than the rest of a test, in milliseconds. */
     private static final long PERMANENT_STALL_MILLIS = 60_000;
 
-    /** Longer than runs of a lost holder may last, in milliseconds. */
+    /** Longer than runs of a lost holder can continue, in milliseconds. */
     private static final long OFFERED_AGAIN_MILLIS = 1_300;
 
-    /** Longer than it takes until a job of a holder that fell silent goes elsewhere, in milliseconds. */
+    /** Longer than it takes until the job of a silent holder is offered elsewhere, in milliseconds. */
     private static final long SUSPENDED_MILLIS = 2_300;
 
-    /** A holder that has resumed sends a status by then, and is told that its connections are closed. */
+    /** The time in which a resumed holder sends a status and sees that its connections are closed, in milliseconds. */
     private static final long NEXT_STATUS_MILLIS = 100;
 
     private final SeparatePoolsFixture cluster = new SeparatePoolsFixture();
     private JobService.Submission job;
 
-    /** Returns a cluster in which a job, sent through a node of the first domain, runs in the second. */
+    /** Returns a cluster in which a job submitted through a node of the first domain runs in the second. */
     private static SeparatePoolsTest placedInOtherDomain(boolean throughHolder) {
         SeparatePoolsTest test = new SeparatePoolsTest();
         SeparatePoolsFixture cluster = test.cluster;
@@ -56,12 +56,12 @@
         return test;
     }
 
-    /** Lets the client send the job again, through the holder of its own domain, after its pause. */
-    private void sendAgain() {
-        sendAgain(cluster.hobartHolder);
+    /** Submits the job again after the client's pause, through the holder of its own domain. */
+    private void resubmit() {
+        resubmit(cluster.hobartHolder);
     }
 
-    private void sendAgain(FakeNode node) {
+    private void resubmit(FakeNode node) {
         cluster.timers.pass(CLIENT_PAUSE_MILLIS);
         cluster.submit(node, JOB, 1);
         cluster.timers.pass(500);
@@ -71,12 +71,12 @@
         assertEquals(cluster.ledger.broken().toString(), "[]");
     }
 
-    /** Guards against a job that goes on after its withdrawal has arrived. */
+    /** Guards against a job that continues to run after its withdrawal has arrived. */
     @Test
     public void testClientLeft_withdrawalArrives() {
         SeparatePoolsTest test = placedInOtherDomain(false);
         test.job.clientLeft();
-        test.sendAgain();
+        test.resubmit();
         assertEquals(test.cluster.hobartEndpoint.running(), 1);
         test.assertNeverTwoRuns();
     }
@@ -87,18 +87,18 @@
         SeparatePoolsTest test = placedInOtherDomain(false);
         test.job.clientLeft();
         test.cluster.connections.breakConnection(test.cluster.hobartNode.id(), test.cluster.launcestonHolder.id());
-        test.sendAgain();
+        test.resubmit();
         assertTrue(test.cluster.launcestonHolder.reaches(test.cluster.hobartNode));
         test.assertNeverTwoRuns();
     }
 
-    /** Guards against two runs after a lost withdrawal where the node has forgotten by then who had the job. */
+    /** Guards against two runs after a lost withdrawal when the node has forgotten the former holder of the job. */
     @Test
     public void testClientLeft_withdrawalIsLostAndJobIsResubmittedToSameNode() {
         SeparatePoolsTest test = placedInOtherDomain(false);
         test.job.clientLeft();
         test.cluster.connections.breakConnection(test.cluster.hobartNode.id(), test.cluster.launcestonHolder.id());
-        test.sendAgain(test.cluster.hobartNode);
+        test.resubmit(test.cluster.hobartNode);
         test.assertNeverTwoRuns();
     }
 
@@ -110,12 +110,12 @@
         test.cluster.connections.refuseConnections(
                 test.cluster.hobartNode.id(), test.cluster.launcestonHolder.id(), 100);
         test.job.clientLeft();
-        test.sendAgain();
+        test.resubmit();
         assertTrue(test.cluster.launcestonHolder.reaches(test.cluster.hobartNode));
         test.assertNeverTwoRuns();
     }
 
-    /** Guards against a job that goes on at a holder after a node without shards considers that holder silent. */
+    /** Guards against a job that continues to run at a holder that a node without shards considers silent. */
     @Test
     public void testHolderSilent_nodeSendsNothingElse() {
         SeparatePoolsTest test = placedInOtherDomain(false);
@@ -128,7 +128,7 @@
         test.assertNeverTwoRuns();
     }
 
-    /** Guards against two runs of a job whose holder is slow to miss a node that has nothing more to send to it. */
+    /** Guards against two runs of a job whose holder is late to detect the loss of a node that sends nothing else. */
     @Test
     public void testHolderSilent_holderIsNotifiedAtOnce() {
         SeparatePoolsTest test = placedInOtherDomain(false);
@@ -141,8 +141,8 @@
     }
 
     /**
-     * Guards against two runs of a job whose node considers the holder silent, closes its connections and opens a new
-     * one, while the close of the old one that went silent is still on its way.
+     * Guards against two runs of a job whose origin considers the holder silent, closes its connections and opens a new
+     * one, before the holder has seen the close of the stalled old connection.
      */
     @Test
     public void testHolderSilent_nodeReconnectsBeforeHolderSeesLastClose() {
@@ -156,8 +156,8 @@
     }
 
     /**
-     * Guards against two runs of a job whose node does not hear the holder of its own domain, since one connection has
-     * gone silent for good, while the holder hears the node by a new one.
+     * Guards against two runs of a job whose origin hears nothing from the holder of its own domain, because one
+     * connection has stalled permanently, while the holder receives frames of the origin on a new connection.
      */
     @Test
     public void testHolderSilent_holderOfOwnDomainStillHearsNode() {
@@ -175,8 +175,8 @@
     }
 
     /**
-     * Guards against a task whose lease ran out while its holder was suspended, and which it starts again as it
-     * resumes, before it has seen that the job's node has closed their connections.
+     * Guards against a task whose lease expired while its holder was suspended, and which the holder starts again when
+     * it resumes, before it has seen that the job's origin has closed their connections.
      */
     @Test
     public void testHolderSuspended_resumesAfterJobIsOfferedElsewhere() {
@@ -202,7 +202,7 @@
         cluster.submit(cluster.hobartHolder, FILLER, SeparatePoolsFixture.TASKS_PER_ENDPOINT);
         cluster.timers.pass(300);
         cluster.submit(cluster.hobartNode, JOB, 1);
-        // The holder of the own domain has returned the job, and the offer to the other is on its way.
+        // The holder of the own domain has returned the job, and the offer to the other holder is in transit.
         cluster.timers.pass(2);
         cluster.connections.breakConnection(cluster.hobartNode.id(), cluster.launcestonHolder.id());
         cluster.timers.pass(2_000);
--- a/tarragonarch-core/src/test/java/org/tarragonarch/core/cluster/StatusSenderTest.java
+++ b/tarragonarch-core/src/test/java/org/tarragonarch/core/cluster/StatusSenderTest.java
@@ -21,7 +21,7 @@
 import org.tarragonarch.model.report.Member;
 import org.testng.annotations.Test;
 
-/** When and to whom a node sends its status, and what the status says. */
+/** Times and content of a node's statuses. */
 public final class StatusSenderTest {
     private static final FailureDomain HOBART = FailureDomain.of("hobart");
 
@@ -36,7 +36,7 @@
         return new StatusSender(self, heartbeats, ImmutableList::of, new RecordingPeerSender(sent), timers);
     }
 
-    /** Guards against a status sent twice within a period, first outside it and then as due. */
+    /** Guards against a second status in one period after a status was sent outside the period. */
     @Test
     public void testSendNow_restartsPeriod() {
         StatusSenderTest test = new StatusSenderTest();
@@ -48,7 +48,7 @@
         assertEquals(test.sent.size(), 2, test.sent.toString());
     }
 
-    /** Guards against jobs offered to a node that is about to stop, and against peers that keep an older drain. */
+    /** Guards against statuses that omit that the node is about to stop, or its drained domains. */
     @Test
     public void testStatus_containsCurrentState() {
         StatusSenderTest test = new StatusSenderTest();
--- a/tarragonarch-core/src/test/java/org/tarragonarch/core/cluster/SuspendableNode.java
+++ b/tarragonarch-core/src/test/java/org/tarragonarch/core/cluster/SuspendableNode.java
@@ -15,7 +15,7 @@
 import org.tarragonarch.model.task.TaskRun;
 import org.tarragonarch.model.task.Timers;
 
-/** The clock and the endpoint calls of a node that can be suspended; its steady clock stands still meanwhile. */
+/** The clock and endpoint calls of a node that can be suspended; its steady clock stops while it is suspended. */
 final class SuspendableNode implements Timers, EndpointOrders {
     private final VirtualTimers real;
     private final EndpointOrders orders;
@@ -29,7 +29,7 @@
         this.orders = orders;
     }
 
-    /** Suspends the node from now on for a while; answers that come meanwhile are read when it resumes. */
+    /** Suspends the node for the given time; answers that arrive meanwhile are delivered when it resumes. */
     void suspend(long millis) {
         suspended = true;
         suspendedAtMillis = real.nowMillis();
--- a/tarragonarch-core/src/test/java/org/tarragonarch/core/routing/DomainBalanceTest.java
+++ b/tarragonarch-core/src/test/java/org/tarragonarch/core/routing/DomainBalanceTest.java
@@ -19,7 +19,7 @@
 import org.tarragonarch.model.task.Verdict;
 import org.testng.annotations.Test;
 
-/** The order of the holders that a job is offered to where each failure domain has its own: job of 14 cores. */
+/** The order in which a job of 14 cores is offered to the holders of separate failure domains. */
 public final class DomainBalanceTest {
     private static final JobId JOB = id(1);
     private static final QueueDefinition QUEUE = new QueueDefinition("q", "h", "/p/", "s", 0, 3, 1.6, 60);
@@ -54,13 +54,13 @@
                 reply -> replies.add(reply.outcome() + " " + reply.retryMillis()));
     }
 
-    private void notAtOnce(String... nodes) {
+    private void settledNotAtOnce(String... nodes) {
         for (String node : nodes) {
             router.settled(NodeId.of(node), JOB, Verdict.NOT_AT_ONCE, 0);
         }
     }
 
-    /** Guards against a job that waits in its own domain while another has room, and against its loss in rounds. */
+    /** Guards against a job queued in its own domain while another has free capacity, or lost among several offers. */
     @Test
     public void testSubmit_ownDomainThenTwoNeighboursThenOwnDomainToWait() {
         DomainBalanceTest test = new DomainBalanceTest();
@@ -69,7 +69,7 @@
         test.holders.addNeighbour("c", "devonport", AMPLE_MILLI_CORES);
         test.holders.addNeighbour("d", "burnie", AMPLE_MILLI_CORES);
         test.submit(JOB);
-        test.notAtOnce("a", "b", "c", "d");
+        test.settledNotAtOnce("a", "b", "c", "d");
         assertEquals(test.holders.calls.size(), 4, test.holders.calls.toString());
         assertEquals(test.holders.calls.get(0), "offer a at once");
         assertTrue(test.holders.calls.get(1).endsWith("at once")
@@ -80,7 +80,7 @@
         assertEquals(test.replies, ImmutableList.of("DONE 0"));
     }
 
-    /** Guards against a round trip that leads to nothing: no other domain has room for the whole job. */
+    /** Guards against a needless round trip when no other domain has capacity for the whole job. */
     @Test
     public void testSubmit_noCapacityElsewhere() {
         DomainBalanceTest test = new DomainBalanceTest();
@@ -90,14 +90,14 @@
         assertEquals(test.holders.calls, ImmutableList.of("offer a"));
     }
 
-    /** Guards against a decline of an at-once offer that counts as a refusal: every holder may have the job to wait. */
+    /** Guards against a holder that is skipped for queueing because it could not start the job at once. */
     @Test
     public void testSettled_notAtOnceDoesNotCountAsDeclined() {
         DomainBalanceTest test = new DomainBalanceTest();
         test.holders.add("a", "hobart", 1);
         test.holders.addNeighbour("b", "launceston", AMPLE_MILLI_CORES);
         test.submit(JOB);
-        test.notAtOnce("a", "b");
+        test.settledNotAtOnce("a", "b");
         test.router.settled(NodeId.of("a"), JOB, Verdict.DECLINED, 300);
         test.router.settled(NodeId.of("b"), JOB, Verdict.DECLINED, 200);
         assertEquals(test.holders.calls, ImmutableList.of("offer a at once", "offer b at once", "offer a", "offer b"));
@@ -106,7 +106,7 @@
         assertEquals(test.holders.notStartedAtOnce, ImmutableList.of("b 14000"));
     }
 
-    /** Guards against a job that waits until its deadline: its holders are gone as the last one gives it back late. */
+    /** Guards against a job that waits until its deadline after its last holder returned it and no holder is left. */
     @Test
     public void testSettled_notAtOnceAndNoHolderLeft() {
         DomainBalanceTest test = new DomainBalanceTest();
@@ -116,12 +116,12 @@
         test.timers.pass(600);
         test.holders.holders.clear();
         test.holders.neighboursWithRoom.clear();
-        test.notAtOnce(own.node().value());
+        test.settledNotAtOnce(own.node().value());
         test.timers.pass(500);
         assertEquals(test.replies, ImmutableList.of("REFUSED 1000"));
     }
 
-    /** Guards against a second run: the holder that was to start the job at once is lost, and may have started it. */
+    /** Guards against a second run of a job whose holder is lost after it may have started the job at once. */
     @Test
     public void testNodeLost_atOnceOfferMayHaveStarted() {
         DomainBalanceTest test = new DomainBalanceTest();
@@ -130,7 +130,7 @@
         test.holders.addNeighbour("c", "devonport", AMPLE_MILLI_CORES);
         test.holders.neighboursWithRoom.remove(1);
         test.submit(JOB);
-        test.notAtOnce("a");
+        test.settledNotAtOnce("a");
         test.holders.holders.remove(lost);
         test.router.nodeLost(NodeId.of("b"));
         test.timers.pass(1_000);
@@ -139,7 +139,7 @@
         assertEquals(test.holders.calls, ImmutableList.of("offer a at once", "offer b at once", "offer a"));
     }
 
-    /** Guards against rounds that make a job later which is late already. */
+    /** Guards against further delay of a job that is already late by offers for an immediate start. */
     @Test
     public void testHoldersChanged_lateJobSkipsImmediateStartOffers() {
         DomainBalanceTest test = new DomainBalanceTest();
@@ -151,7 +151,7 @@
         assertEquals(test.holders.calls, ImmutableList.of("offer a"));
     }
 
-    /** Guards against a domain that takes part in rounds though its holder covers the own domain too. */
+    /** Guards against offers for an immediate start when the preferred holder is not that of the own domain. */
     @Test
     public void testSubmit_ownDomainIsNotFirst() {
         DomainBalanceTest test = new DomainBalanceTest();
@@ -161,7 +161,7 @@
         assertEquals(test.holders.calls, ImmutableList.of("offer b"));
     }
 
-    /** Guards against a herd: nodes that see the same statuses do not all choose the same holder. */
+    /** Guards against a thundering herd: nodes that see the same statuses must not all choose the same holder. */
     @Test
     public void testSubmit_jobsSpreadOverNeighboursAndPreferMoreCapacity() {
         DomainBalanceTest test = new DomainBalanceTest();
@@ -180,8 +180,8 @@
     }
 
     /**
-     * Guards against a task that runs twice: its client leaves and sends the job again while the holder next door is
-     * stopping the first runs.
+     * Guards against a task that runs twice when its client disconnects and submits the job again while the neighbour
+     * that holds it is still stopping the first runs.
      */
     @Test
     public void testSubmit_resubmittedWhileNeighbourStopsRuns() {
@@ -189,7 +189,7 @@
         test.holders.add("a", "hobart", 1);
         test.holders.addNeighbour("b", "launceston", AMPLE_MILLI_CORES);
         JobService.Submission first = test.submit(JOB);
-        test.notAtOnce("a");
+        test.settledNotAtOnce("a");
         first.clientLeft();
         test.holders.calls.clear();
         test.submit(JOB);
@@ -199,14 +199,14 @@
         assertTrue(test.holders.calls.get(1).startsWith("offer a"));
     }
 
-    /** Guards against the same after the deadline of the first time, which is answered as one that may have run. */
+    /** Guards against a task that runs twice when its client submits the job again after its deadline has passed. */
     @Test
     public void testSubmit_resubmittedAfterDeadline() {
         DomainBalanceTest test = new DomainBalanceTest();
         test.holders.add("a", "hobart", 1);
         test.holders.addNeighbour("b", "launceston", AMPLE_MILLI_CORES);
         test.submit(JOB);
-        test.notAtOnce("a");
+        test.settledNotAtOnce("a");
         test.timers.pass(2_000);
         test.holders.calls.clear();
         test.submit(JOB);
--- a/tarragonarch-core/src/test/java/org/tarragonarch/core/routing/FakeHolders.java
+++ b/tarragonarch-core/src/test/java/org/tarragonarch/core/routing/FakeHolders.java
@@ -14,7 +14,7 @@
 import org.tarragonarch.model.task.Offer;
 import org.tarragonarch.model.task.OfferTerms;
 
-/** Holders that note what they are asked. */
+/** Configurable holders that record the calls they receive. */
 final class FakeHolders implements Holders {
     static final NodeId OWN = NodeId.of("own");
     static final FailureDomain OWN_DOMAIN = FailureDomain.of("hobart");
@@ -40,7 +40,7 @@
         return ImmutableList.copyOf(holders);
     }
 
-    /** Adds the holder of another failure domain that has room. */
+    /** Adds the holder of another failure domain with free capacity. */
     Holder addNeighbour(String node, String shard, long freeMilliCores) {
         Holder holder = add(node, shard, 1);
         neighboursWithRoom.add(new HolderCapacity(holder, freeMilliCores));
--- a/tarragonarch-core/src/test/java/org/tarragonarch/core/routing/JobRouterTest.java
+++ b/tarragonarch-core/src/test/java/org/tarragonarch/core/routing/JobRouterTest.java
@@ -19,7 +19,7 @@
 import org.tarragonarch.model.task.Verdict;
 import org.testng.annotations.Test;
 
-/** The jobs of one node's clients, with holders that come and go. */
+/** Routing of the jobs of one node's clients while holders are lost, return jobs or decline them. */
 public final class JobRouterTest {
     private static final JobId JOB = new JobId("00000000000000aa");
     private static final QueueDefinition QUEUE = new QueueDefinition("q", "h", "/p/", "s", 0, 3, 1.6, 60);
@@ -42,7 +42,7 @@
         return new JobRouterTest();
     }
 
-    /** Returns a node with one holder, which was offered a job. */
+    /** Returns a node with one holder, to which a job was offered. */
     private static JobRouterTest offered(long deadlineMillis) {
         JobRouterTest test = fresh();
         test.holders.add("a", "hobart", 1);
@@ -50,7 +50,7 @@
         return test;
     }
 
-    /** Returns a node with two holders, of which the first was offered a job. */
+    /** Returns a node with two holders, to the first of which a job was offered. */
     private static JobRouterTest offeredToTwo(long deadlineMillis) {
         JobRouterTest test = fresh();
         test.holders.add("a", "hobart", 1);
@@ -71,7 +71,7 @@
         assertEquals(test.router.openJobs(), 0);
     }
 
-    /** Every shard declines: the client learns at once, with the soonest time at which there should be room. */
+    /** Guards against a job that waits after all holders declined it, or is refused with a longer retry delay. */
     @Test
     public void testSubmit_declinedByAll() {
         JobRouterTest test = offeredToTwo(2_000);
@@ -81,7 +81,7 @@
         assertEquals(test.replies, ImmutableList.of("REFUSED 200"));
     }
 
-    /** Guards against a job of a drained domain that waits for runs which its holder has stopped already. */
+    /** Guards against a job of a drained domain that waits for runs that its holder has already stopped. */
     @Test
     public void testSettled_evictedJobGoesElsewhereAtOnce() {
         JobRouterTest test = offeredToTwo(2_000);
@@ -91,7 +91,7 @@
         assertEquals(test.replies, ImmutableList.of("DONE"));
     }
 
-    /** Guards against "has not run" for a job that ran in a drained domain before nobody else took it. */
+    /** Guards against an answer of "has not run" for a job that was evicted from a drained domain after it ran. */
     @Test
     public void testSettled_evictedJobWithoutOtherHolderIsGivenUp() {
         JobRouterTest test = offered(2_000);
@@ -99,7 +99,7 @@
         assertEquals(test.replies, ImmutableList.of("GIVEN_UP"));
     }
 
-    /** Guards against jobs refused after the first decline while two more holders come 150 ms later. */
+    /** Guards against jobs refused after the first decline although two more holders claim shards 150 ms later. */
     @Test
     public void testSubmit_declinedWhileHolderIsExpected() {
         JobRouterTest test = fresh();
@@ -113,7 +113,7 @@
         assertEquals(test.holders.calls, ImmutableList.of("offer a", "offer b"));
     }
 
-    /** The same, and nobody comes: the client is told when the first holder should have room, and not held for long. */
+    /** Guards against a client that waits longer than 500 ms for an expected holder that never claims its shard. */
     @Test
     public void testSubmit_declinedAndExpectedHolderNeverClaims() {
         JobRouterTest test = fresh();
@@ -125,7 +125,7 @@
         assertEquals(test.replies, ImmutableList.of("REFUSED 300"));
     }
 
-    /** Guards against a job offered to another shard while its runs may go on in that of the lost holder. */
+    /** Guards against a job offered to another shard while its runs may continue in the shard of the lost holder. */
     @Test
     public void testNodeLost_sameShardFirst() {
         JobRouterTest test = fresh();
@@ -155,7 +155,7 @@
         assertEquals(test.holders.calls, ImmutableList.of("offer a", "offer c"));
     }
 
-    /** Guards against tasks that run twice since the lost holder had claimed again under a higher token. */
+    /** Guards against tasks that run twice because the lost holder had claimed its shard again under a higher token. */
     @Test
     public void testNodeLost_holderHadClaimedAgain() {
         JobRouterTest test = fresh();
@@ -170,7 +170,7 @@
         assertEquals(test.holders.calls, ImmutableList.of("offer a", "offer b"));
     }
 
-    /** The lost holder's shard finds no successor: when its runs are over the job goes to another shard. */
+    /** Guards against a job that waits for a successor of its lost holder after its runs are certainly over. */
     @Test
     public void testNodeLost_noSuccessor() {
         JobRouterTest test = fresh();
@@ -185,7 +185,7 @@
         assertEquals(test.holders.calls, ImmutableList.of("offer a", "offer b"));
     }
 
-    /** Guards against a job that no holder is offered again since its own domain declined it once. */
+    /** Guards against a job that is never offered again to the holder of its own domain, which declined it once. */
     @Test
     public void testNodeLost_decliningHolderIsOfferedTheJobAgain() {
         JobRouterTest test = fresh();
@@ -201,7 +201,7 @@
         assertEquals(test.replies, ImmutableList.of("GIVEN_UP"));
     }
 
-    /** Guards against a returned job that waits, or goes back to the holder that returned it. */
+    /** Guards against a returned job that waits, or is offered again to the holder that returned it. */
     @Test
     public void testSettled_returnedJobGoesToAnotherHolderAtOnce() {
         JobRouterTest test = offeredToTwo(4_000);
@@ -209,7 +209,7 @@
         assertEquals(test.holders.calls, ImmutableList.of("offer a", "offer b"));
     }
 
-    /** No other holder takes it: it waits for the next holder of its domain, and is told the truth if none comes. */
+    /** Guards against a returned job that is refused before the next holder of its domain has claimed the shard. */
     @Test
     public void testSettled_returnedJobWaitsForNextHolder() {
         JobRouterTest test = fresh();
@@ -226,7 +226,7 @@
         assertEquals(test.replies, ImmutableList.of("REFUSED 200"));
     }
 
-    /** Guards against a returned job without a holder that is kept until its deadline. */
+    /** Guards against a returned job that waits until its deadline although no holder is left. */
     @Test
     public void testSettled_returnedJobWithoutHolderIsRefused() {
         JobRouterTest test = fresh();
@@ -239,7 +239,7 @@
         assertEquals(test.replies, ImmutableList.of("REFUSED 1000"));
     }
 
-    /** The node is cut off from every other: no holder will be heard, so its callers are told at once to come back. */
+    /** Guards against clients that wait at a node that is partitioned from every other and cannot reach a holder. */
     @Test
     public void testSubmit_partitionedNodeRefusesAtOnce() {
         JobRouterTest test = fresh();
@@ -248,7 +248,7 @@
         assertEquals(test.replies, ImmutableList.of("REFUSED 1000"));
     }
 
-    /** A job that may have run is never said to be refused: its client would believe that nothing of it happened. */
+    /** Guards against a refusal of a job that may have run, which tells its client that no task has started. */
     @Test
     public void testDeadline_afterHolderLost() {
         JobRouterTest test = fresh();
@@ -260,7 +260,7 @@
         assertEquals(test.replies, ImmutableList.of("GIVEN_UP"));
     }
 
-    /** Nobody holds anything: the truth is that the job has not run, and it is told long before the deadline. */
+    /** Guards against a job that waits until its deadline although no shard has a holder. */
     @Test
     public void testSubmit_noHolder() {
         JobRouterTest test = fresh();
@@ -280,7 +280,7 @@
         assertEquals(test.holders.calls, ImmutableList.of("offer a", "offer b"));
     }
 
-    /** The same job arrives a second time, after its answer: it gets the same answer and is not run again. */
+    /** Guards against a second run of a job that is submitted again after its answer. */
     @Test
     public void testSubmit_resubmittedAfterAnswer() {
         JobRouterTest test = offered(2_000);
@@ -299,7 +299,7 @@
         assertEquals(test.router.openJobs(), 0);
     }
 
-    /** A verdict of a holder that lost the job comes late and must not answer for the one that has it now. */
+    /** Guards against a late verdict of a former holder that answers a job which another holder now has. */
     @Test
     public void testSettled_byFormerHolder() {
         JobRouterTest test = fresh();
@@ -321,7 +321,7 @@
         assertEquals(test.holders.calls, ImmutableList.of("offer a", "withdraw a"));
     }
 
-    /** Guards against jobs of a stopping node that are cut off without an answer. */
+    /** Guards against connections of a stopping node that close without an answer to open jobs. */
     @Test
     public void testGiveUpAll_leavingNode() {
         JobRouterTest test = offered(4_000);
