--- a/tarragonarch-core/src/test/java/org/tarragonarch/core/routing/DomainBalanceTest.java
+++ b/tarragonarch-core/src/test/java/org/tarragonarch/core/routing/DomainBalanceTest.java
@@ -173,10 +173,10 @@
             test.submit(id(job));
             test.router.settled(NodeId.of("a"), id(job), Verdict.NOT_AT_ONCE, 0);
         }
-        Multiset<String> asked = HashMultiset.create(test.holders.calls);
-        assertEquals(asked.count("offer a at once"), 300);
-        assertTrue(asked.count("offer b at once") > 20 && asked.count("offer c at once") > 20, asked.toString());
-        assertTrue(asked.count("offer d at once") > 150, asked.toString());
+        Multiset<String> offers = HashMultiset.create(test.holders.calls);
+        assertEquals(offers.count("offer a at once"), 300);
+        assertTrue(offers.count("offer b at once") > 20 && offers.count("offer c at once") > 20, offers.toString());
+        assertTrue(offers.count("offer d at once") > 150, offers.toString());
     }
 
     /**
