--- a/tarragonarch-benchmark/src/main/java/org/tarragonarch/benchmark/decision/Decisions.java
+++ b/tarragonarch-benchmark/src/main/java/org/tarragonarch/benchmark/decision/Decisions.java
@@ -59,7 +59,7 @@
     Optional<Endpoint> place() {
         nowNanos += SECOND / 10_000;
         TaskEnded ended = new TaskEnded(task, 1, running[oldest].id(), SendResult.SUCCEEDED, false, "");
-        directory.ended(ended, SERVICE, KIND, SECOND / 5, nowNanos, Decisions::ignore);
+        directory.taskEnded(ended, SERVICE, KIND, SECOND / 5, nowNanos, Decisions::ignore);
         Long job = queue.next(team -> true).orElseThrow();
         queue.taskStarted(job);
         if (queue.queuedTasks() % TASKS_OF_A_JOB == 0) {
@@ -92,7 +92,7 @@
                     ImmutableSet.of(SERVICE),
                     SLOTS));
         }
-        directory.listed(lines.build(), nowNanos, Decisions::ignore);
+        directory.vmListRead(lines.build(), nowNanos, Decisions::ignore);
     }
 
     private static void ignore(Action action) {}
--- a/tarragonarch-benchmark/src/main/java/org/tarragonarch/benchmark/policy/NodeModel.java
+++ b/tarragonarch-benchmark/src/main/java/org/tarragonarch/benchmark/policy/NodeModel.java
@@ -74,11 +74,11 @@
     }
 
     void listed(ImmutableList<VmRecord> vms) {
-        handle(() -> directory.listed(vms, time.nowNanos(), this::act));
+        handle(() -> directory.vmListRead(vms, time.nowNanos(), this::act));
     }
 
     void alive(ImmutableSet<NodeId> nodes) {
-        handle(() -> directory.aliveNodes(nodes, time.nowNanos(), this::act));
+        handle(() -> directory.setAliveNodes(nodes, time.nowNanos(), this::act));
     }
 
     /** Takes a job in, or refuses it if its expected wait passes its deadline. */
@@ -86,7 +86,7 @@
         handle(() -> {
             long expected = estimator.expectedNanos(SERVICE, job.kind, job.declared);
             long work = expected * job.runNanos.length;
-            double wait = (double) (queue.nanosAhead(job, work) + work) / Math.max(1, directory.slots(SERVICE));
+            double wait = (double) (queue.nanosAhead(job, work) + work) / Math.max(1, directory.slotsPerNode(SERVICE));
             if (wait > DEADLINE_NANOS / 2 || queue.tasks() + job.runNanos.length > MOST_QUEUED) {
                 run.refused(job);
                 return;
@@ -206,7 +206,7 @@
     private void ended(Job job, int task, EndpointModel endpoint, SendResult result) {
         job.sent.remove(task);
         TaskEnded ended = new TaskEnded(anyTask, 1, endpoint.id, result, false, "");
-        directory.ended(ended, SERVICE, job.kind, job.runNanos[task], time.nowNanos(), this::act);
+        directory.taskEnded(ended, SERVICE, job.kind, job.runNanos[task], time.nowNanos(), this::act);
         if (result == SendResult.REFUSED_BUSY) {
             run.measures.waste.add(Waste.REFUSED_SEND);
             if (!job.ended) {
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/admission/AdmissionControl.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/admission/AdmissionControl.java
@@ -103,7 +103,7 @@
 
     private AdmissionDecision checkLoad(Submission submission) {
         ServiceName service = submission.service().name();
-        if (!endpoints.usable(service)) {
+        if (!endpoints.hasUsableEndpoint(service)) {
             return refuseForNow(ProblemCode.NO_ENDPOINT, "no endpoint of " + service + " can be reached");
         }
         if (estimates.limitFor(service, submission.team()) == 0) {
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/claim/ClaimBatcher.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/claim/ClaimBatcher.java
@@ -19,12 +19,12 @@
  * Writes the claims of many submissions in one write, one write at a time.
  *
  * <p>The platform's table service takes several hundred writes a second from all nodes together. A node that is alone
- * writes at once; with more nodes the writes of each are spaced so that the sum stays within {@link #WRITES_A_SECOND}.
+ * writes at once; with more nodes the writes of each are spaced so that the sum stays within {@link #MAX_WRITES_PER_SECOND}.
  * Not safe for use by several threads.
  */
 final class ClaimBatcher {
     /** The part of the table service's writes that all nodes together spend on claims. */
-    static final int WRITES_A_SECOND = 200;
+    static final int MAX_WRITES_PER_SECOND = 200;
     /** A larger batch would make one write slow for all in it. */
     static final int MAX_BATCH = 500;
     /** How long to wait before a read whose reply was lost is tried again. */
@@ -41,7 +41,7 @@
     private int writers = 1;
 
     /** Sets how many nodes write claims to the same table service. */
-    void writers(int count) {
+    void setWriters(int count) {
         writers = Math.max(1, count);
     }
 
@@ -55,7 +55,7 @@
     }
 
     /** Returns whether a write had no reply and the reads that should settle it have none either. */
-    boolean storeOut() {
+    boolean isStoreUnavailable() {
         return readBack && !inFlight.isEmpty();
     }
 
@@ -77,12 +77,12 @@
         inFlight = claims;
         readBack = false;
         batch++;
-        nextWriteNanos = nowNanos + writers * (SECOND_NANOS / WRITES_A_SECOND);
+        nextWriteNanos = nowNanos + writers * (SECOND_NANOS / MAX_WRITES_PER_SECOND);
         sink.emit(new WriteClaims(batch, ImmutableList.copyOf(claims)));
     }
 
     /** Returns the claims of the batch in flight if this is its number, and takes the batch as done. */
-    Optional<ImmutableList<Claim>> settled(long settledBatch) {
+    Optional<ImmutableList<Claim>> settle(long settledBatch) {
         if (settledBatch != batch || inFlight.isEmpty()) {
             return Optional.empty();
         }
@@ -99,12 +99,12 @@
      * write could find its own first one and take it for another node's. Returns the claims that certainly were not
      * written.
      */
-    ImmutableList<Claim> uncertain(long uncertainBatch, boolean mayHaveApplied, long nowNanos, ActionSink sink) {
+    ImmutableList<Claim> recordNoReply(long uncertainBatch, boolean mayHaveApplied, long nowNanos, ActionSink sink) {
         if (uncertainBatch != batch || inFlight.isEmpty()) {
             return ImmutableList.of();
         }
         if (!mayHaveApplied && !readBack) {
-            return settled(uncertainBatch).orElseThrow();
+            return settle(uncertainBatch).orElseThrow();
         }
         long wait = readBack ? READ_RETRY_NANOS : 0;
         readBack = true;
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/claim/HolderQuestions.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/claim/HolderQuestions.java
@@ -24,7 +24,7 @@
     }
 
     /** Drops the question of a submission that has ended. */
-    void ended(Submission submission) {
+    void remove(Submission submission) {
         if (submission.stage() == Stage.ASKING_HOLDER) {
             asking.values().forEach(waiting -> waiting.remove(submission));
         }
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/claim/IdempotencyKeys.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/claim/IdempotencyKeys.java
@@ -69,19 +69,19 @@
     }
 
     /** Sets how many nodes write claims to the same table service. */
-    public void writers(int count) {
-        batcher.writers(count);
+    public void setWriters(int count) {
+        batcher.setWriters(count);
     }
 
     /** Records a submission with a key, which was taken and has no answer yet. */
-    public void arrived(Submission submission, long nowNanos, ActionSink sink) {
+    public void submissionArrived(Submission submission, long nowNanos, ActionSink sink) {
         ClaimKey key = submission.claimKey().orElseThrow();
         KeyEntry entry = entries.get(key);
         if (entry == null || entry.mayRunAgain()) {
             begin(key, submission, nowNanos, sink);
         } else if (!entry.claim().content().equals(submission.arrived().content())) {
             dispatcher.end(submission, Optional.of(KeyProblems.keyReused(key)), nowNanos, sink);
-        } else if (!entry.answered()) {
+        } else if (!entry.isAnswered()) {
             submission.stage(Stage.JOINED);
             entry.joined().add(submission);
         } else {
@@ -90,7 +90,7 @@
     }
 
     /** Returns whether other submissions wait for the answer of this one. */
-    public boolean awaited(Submission submission) {
+    public boolean isAwaited(Submission submission) {
         KeyEntry entry = submission.claimKey().map(entries::get).orElse(null);
         return entry != null
                 && entry.isRunBy(submission)
@@ -99,52 +99,52 @@
 
     @Override
     public void ended(Submission submission, Optional<Problem> problem, long nowNanos, ActionSink sink) {
-        asking.ended(submission);
+        asking.remove(submission);
         KeyEntry entry = submission.claimKey().map(entries::get).orElse(null);
         if (entry == null || !entry.isRunBy(submission)) {
             return;
         }
-        entry.answer(problem);
-        if (entry.notRun() && entry.claimAsked() && !batcher.withdraw(entry.claim())) {
+        entry.recordAnswer(problem);
+        if (entry.endedWithoutRun() && entry.isClaimRequested() && !batcher.withdraw(entry.claim())) {
             // The caller may send it again, to any node: the claim must not stand in the way.
             released.release(entry.claim(), sink);
         }
-        kept.keep(entry, nowNanos);
+        kept.add(entry, nowNanos);
         ImmutableList.copyOf(entry.joined()).forEach(joined -> answerLike(entry, joined, nowNanos, sink));
-        entry.questions().forEach(question -> question.give(entry, sink));
+        entry.questions().forEach(question -> question.sendAnswer(entry, sink));
         entry.joined().clear();
         entry.questions().clear();
     }
 
     /** Processes what became of a batch of claims, written or read back. */
-    public void settled(long batch, ImmutableList<ClaimResult> results, long nowNanos, ActionSink sink) {
-        if (batcher.settled(batch).isPresent()) {
+    public void claimsSettled(long batch, ImmutableList<ClaimResult> results, long nowNanos, ActionSink sink) {
+        if (batcher.settle(batch).isPresent()) {
             results.forEach(result -> settle(result, nowNanos, sink));
         }
     }
 
     /** Records that a batch of claims had no reply. */
-    public void uncertain(long batch, boolean mayHaveApplied, long nowNanos, ActionSink sink) {
-        for (Claim unwritten : batcher.uncertain(batch, mayHaveApplied, nowNanos, sink)) {
+    public void claimsUncertain(long batch, boolean mayHaveApplied, long nowNanos, ActionSink sink) {
+        for (Claim unwritten : batcher.recordNoReply(batch, mayHaveApplied, nowNanos, sink)) {
             claimant(unwritten).ifPresent(submission -> unavailable(submission, nowNanos, sink));
         }
     }
 
     /** Records a peer's question for the answer under a key. */
-    public void asked(PeerAnswerAsked asked, ActionSink sink) {
+    public void peerAnswerAsked(PeerAnswerAsked asked, ActionSink sink) {
         PeerQuestion question = new PeerQuestion(asked.peer(), asked.question());
         KeyEntry entry = entries.get(asked.key());
         if (entry == null) {
-            question.giveNothing(sink);
-        } else if (entry.answered()) {
-            question.give(entry, sink);
+            question.sendNoAnswer(sink);
+        } else if (entry.isAnswered()) {
+            question.sendAnswer(entry, sink);
         } else {
             entry.questions().add(question);
         }
     }
 
     /** Records the answer of the node that holds a key. */
-    public void peerAnswered(Submission waiting, PeerAnswerArrived arrived, long nowNanos, ActionSink sink) {
+    public void peerAnswerArrived(Submission waiting, PeerAnswerArrived arrived, long nowNanos, ActionSink sink) {
         if (waiting.stage() != Stage.ASKING_HOLDER) {
             return;
         }
@@ -161,7 +161,7 @@
      *
      * <p>A frozen holder keeps its connections open, so nothing else would tell its askers before their deadlines.
      */
-    public void silent(NodeId holder, long nowNanos, ActionSink sink) {
+    public void holderSilent(NodeId holder, long nowNanos, ActionSink sink) {
         for (Submission submission : asking.waitingFor(holder)) {
             heldElsewhere(submission, "the node that holds the key fell silent", nowNanos, sink);
         }
@@ -177,10 +177,10 @@
         }
         batcher.timePassed(nowNanos, sink);
         sweeper.timePassed(nowNanos, sink);
-        Optional<KeyEntry> old = kept.forget(nowNanos);
+        Optional<KeyEntry> old = kept.pollExpired(nowNanos);
         while (old.isPresent()) {
             forget(old.get(), sink);
-            old = kept.forget(nowNanos);
+            old = kept.pollExpired(nowNanos);
         }
     }
 
@@ -209,12 +209,12 @@
             return;
         }
         submission.stage(Stage.CLAIMING);
-        if (batcher.storeOut()) {
+        if (batcher.isStoreUnavailable()) {
             unavailable(submission, nowNanos, sink);
             return;
         }
         claiming.add(submission);
-        entry.askClaim();
+        entry.markClaimRequested();
         batcher.add(claim);
         batcher.timePassed(nowNanos, sink);
     }
@@ -259,20 +259,20 @@
         KeyEntry entry = entries.remove(key);
         asking.ask(submission, key, holder, sink);
         entry.joined().forEach(joined -> asking.ask(joined, key, holder, sink));
-        entry.questions().forEach(question -> question.giveNothing(sink));
+        entry.questions().forEach(question -> question.sendNoAnswer(sink));
     }
 
     // The submission that wants this claim, if it still waits for it.
     private Optional<Submission> claimant(Claim claim) {
         return Optional.ofNullable(entries.get(claim.key()))
                 .filter(entry -> entry.claim().token().equals(claim.token()))
-                .flatMap(KeyEntry::running)
+                .flatMap(KeyEntry::runningSubmission)
                 .filter(holder -> holder.stage() == Stage.CLAIMING);
     }
 
     private void answerLike(KeyEntry entry, Submission submission, long nowNanos, ActionSink sink) {
-        if (entry.complete()) {
-            dispatcher.endSameAs(submission, entry.holderId(), nowNanos, sink);
+        if (entry.isComplete()) {
+            dispatcher.endSameAs(submission, entry.submissionId(), nowNanos, sink);
         } else {
             dispatcher.end(submission, entry.problem(), nowNanos, sink);
         }
@@ -280,13 +280,13 @@
 
     private void forget(KeyEntry entry, ActionSink sink) {
         entries.remove(entry.claim().key(), entry);
-        if (entry.complete()) {
-            sink.emit(new ForgetAnswer(entry.holderId()));
+        if (entry.isComplete()) {
+            sink.emit(new ForgetAnswer(entry.submissionId()));
         }
     }
 
     private void unavailable(Submission submission, long nowNanos, ActionSink sink) {
-        dispatcher.end(submission, Optional.of(KeyProblems.unavailable(claimTimeout)), nowNanos, sink);
+        dispatcher.end(submission, Optional.of(KeyProblems.claimUnavailable(claimTimeout)), nowNanos, sink);
     }
 
     private void heldElsewhere(Submission submission, String detail, long nowNanos, ActionSink sink) {
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/claim/KeptAnswers.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/claim/KeptAnswers.java
@@ -15,12 +15,12 @@
         this.most = most;
     }
 
-    void keep(KeyEntry entry, long nowNanos) {
+    void add(KeyEntry entry, long nowNanos) {
         kept.add(new Kept(entry, nowNanos + keptNanos));
     }
 
     /** Takes out one entry whose time is over, or the oldest if there are too many. */
-    Optional<KeyEntry> forget(long nowNanos) {
+    Optional<KeyEntry> pollExpired(long nowNanos) {
         if (kept.isEmpty() || (kept.size() <= most && kept.peek().untilNanos() > nowNanos)) {
             return Optional.empty();
         }
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/claim/KeyEntry.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/claim/KeyEntry.java
@@ -11,37 +11,37 @@
 
 /** What this node knows under one key: the submission that runs for it, its answer, and who else waits for that. */
 final class KeyEntry {
-    private final SubmissionId holderId;
+    private final SubmissionId submissionId;
     private final boolean idempotent;
     private final Claim claim;
     private final List<Submission> joined = new ArrayList<>();
     private final List<PeerQuestion> questions = new ArrayList<>();
     // Released with the answer: a job of 110 tasks holds some 17 KB, and thousands of answers are kept.
-    private Optional<Submission> running;
-    private boolean claimAsked;
+    private Optional<Submission> runningSubmission;
+    private boolean claimRequested;
     private boolean answered;
     private Optional<Problem> problem = Optional.empty();
 
     KeyEntry(Submission holder, Claim claim) {
-        this.holderId = holder.id();
+        this.submissionId = holder.id();
         this.idempotent = holder.kind().idempotent();
-        this.running = Optional.of(holder);
+        this.runningSubmission = Optional.of(holder);
         this.claim = claim;
     }
 
     /** Returns the submission that runs for the key. */
-    SubmissionId holderId() {
-        return holderId;
+    SubmissionId submissionId() {
+        return submissionId;
     }
 
     /** Returns the submission that runs for the key, until it is answered. */
-    Optional<Submission> running() {
-        return running;
+    Optional<Submission> runningSubmission() {
+        return runningSubmission;
     }
 
     /** Returns whether this submission runs for the key and is not answered yet. */
     boolean isRunBy(Submission submission) {
-        return running.filter(holder -> holder == submission).isPresent();
+        return runningSubmission.filter(holder -> holder == submission).isPresent();
     }
 
     /**
@@ -51,20 +51,20 @@
      * more, while its caller would read the same failure for as long as the answer is kept.
      */
     boolean mayRunAgain() {
-        return answered && (notRun() || (idempotent && problem.isPresent()));
+        return answered && (endedWithoutRun() || (idempotent && problem.isPresent()));
     }
 
     Claim claim() {
         return claim;
     }
 
-    void askClaim() {
-        claimAsked = true;
+    void markClaimRequested() {
+        claimRequested = true;
     }
 
     /** Returns whether the claim was handed over to be written; kinds declared idempotent need none. */
-    boolean claimAsked() {
-        return claimAsked;
+    boolean isClaimRequested() {
+        return claimRequested;
     }
 
     List<Submission> joined() {
@@ -75,17 +75,17 @@
         return questions;
     }
 
-    void answer(Optional<Problem> why) {
+    void recordAnswer(Optional<Problem> why) {
         answered = true;
         problem = why;
-        running = Optional.empty();
+        runningSubmission = Optional.empty();
     }
 
-    boolean answered() {
+    boolean isAnswered() {
         return answered;
     }
 
-    boolean complete() {
+    boolean isComplete() {
         return answered && problem.isEmpty();
     }
 
@@ -94,7 +94,7 @@
     }
 
     /** Returns whether the submission ended without running, so that the key may be used again. */
-    boolean notRun() {
+    boolean endedWithoutRun() {
         return problem.filter(why -> why.code().outcome() == Outcome.NOT_RUN).isPresent();
     }
 }
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/claim/KeyProblems.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/claim/KeyProblems.java
@@ -14,7 +14,7 @@
     private KeyProblems() {}
 
     /** The claim could not be written or read in time. */
-    static Problem unavailable(Duration claimTimeout) {
+    static Problem claimUnavailable(Duration claimTimeout) {
         return Problem.of(
                         ProblemCode.CLAIM_UNAVAILABLE,
                         Step.CLAIM,
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/claim/PeerQuestion.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/claim/PeerQuestion.java
@@ -14,18 +14,18 @@
  */
 record PeerQuestion(NodeId peer, long question) {
     /** Gives the peer the answer of a key that has one. */
-    void give(KeyEntry entry, ActionSink sink) {
-        PeerAnswer answer = entry.complete() ? PeerAnswer.COMPLETE : PeerAnswer.PROBLEM;
+    void sendAnswer(KeyEntry entry, ActionSink sink) {
+        PeerAnswer answer = entry.isComplete() ? PeerAnswer.COMPLETE : PeerAnswer.PROBLEM;
         sink.emit(new GivePeerAnswer(
                 peer,
                 question,
                 answer,
-                entry.complete() ? Optional.of(entry.holderId()) : Optional.empty(),
+                entry.isComplete() ? Optional.of(entry.submissionId()) : Optional.empty(),
                 entry.problem()));
     }
 
     /** Says that there is no answer. */
-    void giveNothing(ActionSink sink) {
+    void sendNoAnswer(ActionSink sink) {
         sink.emit(new GivePeerAnswer(peer, question, PeerAnswer.NOT_TO_BE_HAD, Optional.empty(), Optional.empty()));
     }
 }
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/endpoint/Condition.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/endpoint/Condition.java
@@ -29,7 +29,7 @@
     }
 
     /** Returns whether it may get work at all. */
-    boolean open() {
+    boolean isUsable() {
         return this == LIVE || this == ON_TRIAL;
     }
 }
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/endpoint/DomainPool.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/endpoint/DomainPool.java
@@ -15,15 +15,15 @@
     private static final long IDLE_NANOS = Duration.ofSeconds(3).toNanos();
 
     private final Map<EndpointRecord, Counted> members = new HashMap<>();
-    private final SlotPool ready;
-    private int open;
-    private int openSlots;
+    private final SlotPool readySlots;
+    private int usableEndpoints;
+    private int usableSlots;
     private int quarantined;
     private int peersInFlight;
     private long peersBusyNanos = Long.MIN_VALUE;
 
     DomainPool(PlacementStrategy strategy) {
-        ready = SlotPool.create(strategy);
+        readySlots = SlotPool.create(strategy);
     }
 
     /** Adds an endpoint, or updates it. */
@@ -31,29 +31,29 @@
         Counted now = Counted.of(endpoint);
         count(members.put(endpoint, now), -1);
         count(now, 1);
-        if (peersBusyNanos == Long.MIN_VALUE || peersInFlight * IDLE_PART >= openSlots) {
+        if (peersBusyNanos == Long.MIN_VALUE || peersInFlight * IDLE_PART >= usableSlots) {
             peersBusyNanos = nowNanos;
         }
-        if (endpoint.mayGetTask()) {
-            ready.put(endpoint.slots());
+        if (endpoint.canReceiveTask()) {
+            readySlots.put(endpoint.slots());
         } else {
-            ready.remove(endpoint.slots());
+            readySlots.remove(endpoint.slots());
         }
     }
 
     void remove(EndpointRecord endpoint) {
         count(members.remove(endpoint), -1);
-        ready.remove(endpoint.slots());
+        readySlots.remove(endpoint.slots());
     }
 
     /** Returns how many endpoints may get work at all, full or not. */
-    int open() {
-        return open;
+    int usableEndpoints() {
+        return usableEndpoints;
     }
 
     /** Returns the slots of the open endpoints. */
-    int openSlots() {
-        return openSlots;
+    int usableSlots() {
+        return usableSlots;
     }
 
     /**
@@ -62,9 +62,9 @@
      * <p>Guards against a fault that shows at many endpoints but is none of theirs, a bad kind or a broken network,
      * putting out a whole failure domain: most endpoints stay, whatever is believed of them.
      */
-    boolean sparesOne() {
+    boolean canQuarantineOne() {
         int most = Math.max(1, members.size() / HealthPolicy.ENDPOINTS_PER_QUARANTINE);
-        return quarantined < most && open > 1;
+        return quarantined < most && usableEndpoints > 1;
     }
 
     /**
@@ -73,19 +73,19 @@
      * <p>Then the slots that are otherwise left to them would stay empty while this node's work waits: one node alone
      * under load, because the balancer or the callers prefer it, could never fill the failure domain.
      */
-    boolean peersIdle(long nowNanos) {
+    boolean arePeersIdle(long nowNanos) {
         return peersBusyNanos != Long.MIN_VALUE && nowNanos - peersBusyNanos >= IDLE_NANOS;
     }
 
     /** Returns the slots of the endpoints that may get a task now. */
-    SlotPool ready() {
-        return ready;
+    SlotPool readySlots() {
+        return readySlots;
     }
 
     private void count(Counted counted, int sign) {
         if (counted != null) {
-            open += counted.open ? sign : 0;
-            openSlots += counted.open ? sign * counted.slots : 0;
+            usableEndpoints += counted.open ? sign : 0;
+            usableSlots += counted.open ? sign * counted.slots : 0;
             quarantined += counted.quarantined ? sign : 0;
             peersInFlight += sign * counted.peersInFlight;
         }
@@ -94,7 +94,7 @@
     private record Counted(boolean open, int slots, boolean quarantined, int peersInFlight) {
         static Counted of(EndpointRecord endpoint) {
             return new Counted(
-                    endpoint.condition().open(),
+                    endpoint.condition().isUsable(),
                     endpoint.slots().slots(),
                     endpoint.countsAsQuarantined(),
                     endpoint.slots().peersInFlight());
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/endpoint/DomainReach.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/endpoint/DomainReachability.java
@@ -7,19 +7,19 @@
  * and every task tried on the next one would lose time to find the same. After a few nothing more is sent there until
  * any endpoint of it answers a probe.
  */
-final class DomainReach {
+final class DomainReachability {
     private int unreachableInTurn;
 
-    boolean isCut() {
-        return unreachableInTurn >= HealthPolicy.UNREACHABLE_WHEN_CUT;
+    boolean isCutOff() {
+        return unreachableInTurn >= HealthPolicy.UNREACHABLE_WHEN_CUT_OFF;
     }
 
     /** Records that an endpoint there answered. */
-    void answered() {
+    void recordAnswer() {
         unreachableInTurn = 0;
     }
 
-    void unreachable() {
+    void recordUnreachable() {
         unreachableInTurn++;
     }
 }
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/endpoint/EndpointDirectory.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/endpoint/EndpointDirectory.java
@@ -78,8 +78,8 @@
      *
      * <p>An endpoint that it does not name is dropped, unless the list is doubtful: see {@link MissingEndpoints}.
      */
-    public void listed(ImmutableList<VmRecord> vms, long nowNanos, ActionSink sink) {
-        peers.forgetBefore(nowNanos - HealthPolicy.PEER_VIEW_NANOS, peerEffects.at(nowNanos, sink));
+    public void vmListRead(ImmutableList<VmRecord> vms, long nowNanos, ActionSink sink) {
+        peers.forgetBefore(nowNanos - HealthPolicy.PEER_REPORT_VALID_NANOS, peerEffects.listenerAt(nowNanos, sink));
         Set<EndpointId> named = new HashSet<>();
         for (VmRecord vm : vms) {
             if (vm.role() == VmRole.ENDPOINT) {
@@ -88,51 +88,52 @@
                 takeLine(id, vm, nowNanos, sink);
             }
         }
-        for (EndpointRecord endpoint : MissingEndpoints.of(records.byId().values(), named, nowNanos)) {
-            endpoint.unlisted();
+        for (EndpointRecord endpoint :
+                MissingEndpoints.findRemovable(records.byId().values(), named, nowNanos)) {
+            endpoint.markUnlisted();
             EndpointNotes.emit(NoteEvent.ENDPOINT_GONE, endpoint.id(), "list", sink);
             records.refresh(endpoint, nowNanos);
         }
         // Only once the whole list is processed is it known how many endpoints can be spared.
-        records.all().forEach(endpoint -> peerEffects.followPeers(endpoint, nowNanos, sink));
+        records.snapshot().forEach(endpoint -> peerEffects.updatePeerQuarantine(endpoint, nowNanos, sink));
     }
 
     /** Records the nodes of the own failure domain that are alive, this one among them. */
-    public void aliveNodes(ImmutableSet<NodeId> nowAlive, long nowNanos, ActionSink sink) {
+    public void setAliveNodes(ImmutableSet<NodeId> nowAlive, long nowNanos, ActionSink sink) {
         ImmutableSet<NodeId> withSelf =
                 ImmutableSet.<NodeId>builder().addAll(nowAlive).add(self).build();
-        if (withSelf.equals(records.alive())) {
+        if (withSelf.equals(records.aliveNodes())) {
             return;
         }
-        ImmutableSet<NodeId> before = records.alive();
-        records.alive(withSelf);
-        Sets.difference(before, withSelf).forEach(node -> peers.forget(node, peerEffects.at(nowNanos, sink)));
-        records.resizeAll(nowNanos);
+        ImmutableSet<NodeId> before = records.aliveNodes();
+        records.aliveNodes(withSelf);
+        Sets.difference(before, withSelf).forEach(node -> peers.forget(node, peerEffects.listenerAt(nowNanos, sink)));
+        records.updateShares(nowNanos);
     }
 
     /** Processes what a peer reported of loads, leaving endpoints and quarantine. */
     public void peerReported(PeerReport report, long nowNanos, ActionSink sink) {
         if (!report.from().equals(self)) {
-            peers.reported(report, nowNanos, peerEffects.at(nowNanos, sink));
+            peers.update(report, nowNanos, peerEffects.listenerAt(nowNanos, sink));
         }
     }
 
     /** Takes an endpoint out of use for an operator, or puts it back; holds also if it is listed only later. */
-    public void drain(EndpointId endpoint, boolean out, long nowNanos, ActionSink sink) {
+    public void setDrained(EndpointId endpoint, boolean out, long nowNanos, ActionSink sink) {
         drains.setDrained(endpoint, out);
         records.find(endpoint).ifPresent(record -> followDrains(record, nowNanos, sink));
     }
 
     /** Records which failure domains operators have drained; endpoints there get no task, also if listed later. */
-    public void drainDomains(ImmutableSet<FailureDomain> domains, long nowNanos, ActionSink sink) {
-        drains.setDomains(domains);
-        records.all().forEach(record -> followDrains(record, nowNanos, sink));
+    public void setDrainedDomains(ImmutableSet<FailureDomain> domains, long nowNanos, ActionSink sink) {
+        drains.setDrainedDomains(domains);
+        records.snapshot().forEach(record -> followDrains(record, nowNanos, sink));
     }
 
     private void followDrains(EndpointRecord endpoint, long nowNanos, ActionSink sink) {
         boolean out = drains.isDrained(endpoint.id(), endpoint.vm().domain());
         if (out != endpoint.isDrained()) {
-            endpoint.drained(out);
+            endpoint.setDrained(out);
             EndpointNotes.emit(
                     out ? NoteEvent.ENDPOINT_LEAVING : NoteEvent.ENDPOINT_READMITTED, endpoint.id(), "operator", sink);
             records.refresh(endpoint, nowNanos);
@@ -164,10 +165,10 @@
      * @param kind the task's kind
      * @param runNanos the time from sending to the end
      */
-    public void ended(
+    public void taskEnded(
             TaskEnded ended, ServiceName service, KindName kind, long runNanos, long nowNanos, ActionSink sink) {
         records.find(ended.endpoint()).ifPresent(endpoint -> {
-            results.ended(endpoint, ended, service, kind, nowNanos, sink);
+            results.taskEnded(endpoint, ended, service, kind, nowNanos, sink);
             records.refresh(endpoint, nowNanos);
         });
     }
@@ -178,9 +179,9 @@
      * <p>A stopped task ends as failed or lost through no fault of its endpoint; judged by it, a wave of cancels would
      * put healthy endpoints into quarantine.
      */
-    public void endedAfterStop(TaskEnded ended, long nowNanos, ActionSink sink) {
+    public void stoppedTaskEnded(TaskEnded ended, long nowNanos, ActionSink sink) {
         records.find(ended.endpoint()).ifPresent(endpoint -> {
-            results.endedAfterStop(endpoint, ended, nowNanos, sink);
+            results.stoppedTaskEnded(endpoint, ended, nowNanos, sink);
             records.refresh(endpoint, nowNanos);
         });
     }
@@ -191,33 +192,33 @@
         if (endpoint == null) {
             return;
         }
-        endpoint.wakeNanos(EndpointRecord.NEVER);
+        endpoint.nextProbeNanos(EndpointRecord.NEVER);
         if (ended.leaving()) {
-            probes.leaves(endpoint, "its answer to a probe", nowNanos, sink);
+            probes.markLeaving(endpoint, "its answer to a probe", nowNanos, sink);
         } else if (ended.healthy()) {
-            probes.answered(endpoint, nowNanos, sink);
+            probes.probeSucceeded(endpoint, nowNanos, sink);
         } else {
-            probes.unreachable(endpoint, nowNanos, sink);
+            probes.markUnreachable(endpoint, nowNanos, sink);
         }
         records.refresh(endpoint, nowNanos);
     }
 
     /** Does what is due: probes, and the end of waits after a refusal. */
     public void timePassed(long nowNanos, ActionSink sink) {
-        if (pools.riskAgainNanos() <= nowNanos) {
-            pools.riskedAgain();
+        if (pools.nextRetryNanos() <= nowNanos) {
+            pools.clearNextRetry();
         }
         for (Optional<EndpointRecord> due = probes.pollDue(nowNanos); due.isPresent(); due = probes.pollDue(nowNanos)) {
             EndpointRecord endpoint = due.get();
             if (!records.contains(endpoint)) {
                 continue;
             }
-            if (endpoint.wakeNanos() <= nowNanos) {
+            if (endpoint.nextProbeNanos() <= nowNanos) {
                 probes.probe(endpoint, nowNanos, sink);
             }
-            if (endpoint.fadesNanos() <= nowNanos) {
-                endpoint.refusalFades(nowNanos);
-                probes.wakeAt(endpoint, endpoint.fadesNanos());
+            if (endpoint.nextDecayNanos() <= nowNanos) {
+                endpoint.decayRefusal(nowNanos);
+                probes.scheduleWake(endpoint, endpoint.nextDecayNanos());
             }
             records.refresh(endpoint, nowNanos);
         }
@@ -225,23 +226,23 @@
 
     /** Returns when {@link #timePassed} is next worth calling; {@code Long.MAX_VALUE} for never. */
     public long nextWakeNanos() {
-        return Math.min(probes.nextNanos(), pools.riskAgainNanos());
+        return Math.min(probes.nextWakeNanos(), pools.nextRetryNanos());
     }
 
     /** Returns whether any endpoint of the service may get work, now or once a slot is free. */
-    public boolean usable(ServiceName service) {
-        return pools.openSlots(service) > 0;
+    public boolean hasUsableEndpoint(ServiceName service) {
+        return pools.usableSlots(service) > 0;
     }
 
     /** Returns how many slots this node may count on for the service, for estimates of the wait. */
-    public int slots(ServiceName service) {
-        int open = pools.openSlots(service);
-        return open == 0 ? 0 : Math.max(1, open / records.alive().size());
+    public int slotsPerNode(ServiceName service) {
+        int open = pools.usableSlots(service);
+        return open == 0 ? 0 : Math.max(1, open / records.aliveNodes().size());
     }
 
     /** Returns how many slots all nodes of the failure domain may use together for the service. */
-    public int slotsOfAllNodes(ServiceName service) {
-        return pools.openSlots(service);
+    public int totalSlots(ServiceName service) {
+        return pools.usableSlots(service);
     }
 
     /** Returns what this node knows of its endpoints, as it is at each call. */
@@ -253,21 +254,21 @@
         EndpointRecord endpoint = records.find(id).orElse(null);
         if (endpoint == null) {
             endpoint = new EndpointRecord(id, vm);
-            endpoint.drained(drains.isDrained(id, vm.domain()));
+            endpoint.setDrained(drains.isDrained(id, vm.domain()));
             endpoint.slots().peersChanged(peers.inFlight(id));
-            endpoint.peersConvicting(peers.quarantining(id).size());
+            endpoint.adjustPeerQuarantines(peers.peersQuarantining(id).size());
             records.add(endpoint);
             EndpointNotes.emit(NoteEvent.ENDPOINT_APPEARED, id, "list", sink);
         } else if (vm.equals(endpoint.vm()) && endpoint.isListed()) {
             return;
         } else {
             pools.remove(endpoint);
-            endpoint.listed(vm);
+            endpoint.markListed(vm);
         }
         if (vm.state() == VmState.LEAVING) {
-            probes.leaves(endpoint, "list", nowNanos, sink);
+            probes.markLeaving(endpoint, "list", nowNanos, sink);
         }
-        records.resize(endpoint);
+        records.updateShare(endpoint);
         records.refresh(endpoint, nowNanos);
     }
 
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/endpoint/EndpointPools.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/endpoint/EndpointPools.java
@@ -22,8 +22,8 @@
     private final Random random;
     private final PlacementStrategy strategy;
     private final Map<ServiceName, ServicePools> services = new HashMap<>();
-    private final Map<FailureDomain, DomainReach> reaches = new HashMap<>();
-    private long riskAgainNanos = Long.MAX_VALUE;
+    private final Map<FailureDomain, DomainReachability> reaches = new HashMap<>();
+    private long nextRetryNanos = Long.MAX_VALUE;
 
     EndpointPools(FailureDomain own, Random random, PlacementStrategy strategy) {
         this.own = own;
@@ -31,7 +31,7 @@
         this.strategy = strategy;
     }
 
-    boolean inOwnDomain(EndpointRecord endpoint) {
+    boolean isInOwnDomain(EndpointRecord endpoint) {
         return endpoint.vm().domain().equals(own);
     }
 
@@ -54,72 +54,73 @@
         if (pools == null) {
             return Optional.empty();
         }
-        int slotsLeft = pools.own().peersIdle(nowNanos) ? 0 : favour.slotsLeftWhenBorrowing();
-        Optional<EndpointSlots> chosen = pools.own().ready().choose(favour, slotsLeft, avoid, random, nowNanos);
-        if (chosen.isEmpty() && (favour.spillsWhenFull() || pools.own().open() == 0)) {
+        int slotsLeft = pools.ownDomain().arePeersIdle(nowNanos) ? 0 : favour.slotsLeftWhenBorrowing();
+        Optional<EndpointSlots> chosen =
+                pools.ownDomain().readySlots().choose(favour, slotsLeft, avoid, random, nowNanos);
+        if (chosen.isEmpty() && (favour.spillsWhenFull() || pools.ownDomain().usableEndpoints() == 0)) {
             chosen = chooseElsewhere(pools, favour, avoid, nowNanos);
         }
         if (chosen.isEmpty()) {
-            waitToRisk(pools.own(), nowNanos);
+            waitToRisk(pools.ownDomain(), nowNanos);
         }
         return chosen;
     }
 
     /** Counts an end towards the pace of sends that may be refused. */
-    void counted(ServiceName service, EndpointRecord endpoint, SendResult result, long nowNanos) {
+    void recordResult(ServiceName service, EndpointRecord endpoint, SendResult result, long nowNanos) {
         if (result == SendResult.REFUSED_BUSY) {
-            pool(service, endpoint).ready().refused(endpoint.slots(), nowNanos);
+            pool(service, endpoint).readySlots().refused(endpoint.slots(), nowNanos);
         } else if (result.started() != SendResult.Started.NO) {
-            pool(service, endpoint).ready().started();
+            pool(service, endpoint).readySlots().started();
         }
     }
 
     /** Returns when a task that was not worth a risk may be; {@code Long.MAX_VALUE} if none waits for it. */
-    long riskAgainNanos() {
-        return riskAgainNanos;
+    long nextRetryNanos() {
+        return nextRetryNanos;
     }
 
     /** Forgets that a task waits, because it is tried again now. */
-    void riskedAgain() {
-        riskAgainNanos = Long.MAX_VALUE;
+    void clearNextRetry() {
+        nextRetryNanos = Long.MAX_VALUE;
     }
 
     /** Returns the slots of open endpoints that all nodes of the own failure domain may use together. */
-    int openSlots(ServiceName service) {
+    int usableSlots(ServiceName service) {
         ServicePools pools = services.get(service);
         if (pools == null) {
             return 0;
         }
-        int ownSlots = pools.own().openSlots();
+        int ownSlots = pools.ownDomain().usableSlots();
         return ownSlots > 0 ? ownSlots : openSlotsElsewhere(pools);
     }
 
     /** Returns whether every service of an endpoint can do with one endpoint less. */
-    boolean spareOne(EndpointRecord endpoint) {
+    boolean canQuarantine(EndpointRecord endpoint) {
         return endpoint.vm().services().stream()
-                .allMatch(service -> pool(service, endpoint).sparesOne());
+                .allMatch(service -> pool(service, endpoint).canQuarantineOne());
     }
 
-    DomainReach reach(EndpointRecord endpoint) {
-        return reach(endpoint.vm().domain());
+    DomainReachability reachability(EndpointRecord endpoint) {
+        return reachability(endpoint.vm().domain());
     }
 
     private Optional<EndpointSlots> chooseElsewhere(
             ServicePools pools, ServiceObjective favour, Set<EndpointId> avoid, long nowNanos) {
-        List<FailureDomain> domains = new ArrayList<>(pools.others().keySet());
+        List<FailureDomain> domains = new ArrayList<>(pools.otherDomains().keySet());
         Collections.shuffle(domains, random);
         for (FailureDomain domain : domains) {
-            DomainPool pool = pools.other(domain);
-            if (reach(domain).isCut()) {
+            DomainPool pool = pools.otherDomain(domain);
+            if (reachability(domain).isCutOff()) {
                 continue;
             }
-            if (!pool.ready().mayRisk(nowNanos)) {
+            if (!pool.readySlots().mayRisk(nowNanos)) {
                 waitToRisk(pool, nowNanos);
                 continue;
             }
             // With the own failure domain gone there is nothing to fall back upon, so every slot is worth asking for.
-            int slotsLeft = pools.own().open() == 0 ? 0 : favour.slotsLeftWhenBorrowing();
-            Optional<EndpointSlots> chosen = pool.ready().choose(favour, slotsLeft, avoid, random, nowNanos);
+            int slotsLeft = pools.ownDomain().usableEndpoints() == 0 ? 0 : favour.slotsLeftWhenBorrowing();
+            Optional<EndpointSlots> chosen = pool.readySlots().choose(favour, slotsLeft, avoid, random, nowNanos);
             if (chosen.isPresent()) {
                 return chosen;
             }
@@ -128,24 +129,26 @@
     }
 
     private void waitToRisk(DomainPool pool, long nowNanos) {
-        if (!pool.ready().mayRisk(nowNanos)) {
-            riskAgainNanos = Math.min(riskAgainNanos, pool.ready().riskNanos());
+        if (!pool.readySlots().mayRisk(nowNanos)) {
+            nextRetryNanos = Math.min(nextRetryNanos, pool.readySlots().riskNanos());
         }
     }
 
     private int openSlotsElsewhere(ServicePools pools) {
-        return pools.others().entrySet().stream()
-                .filter(entry -> !reach(entry.getKey()).isCut())
-                .mapToInt(entry -> entry.getValue().openSlots())
+        return pools.otherDomains().entrySet().stream()
+                .filter(entry -> !reachability(entry.getKey()).isCutOff())
+                .mapToInt(entry -> entry.getValue().usableSlots())
                 .sum();
     }
 
     private DomainPool pool(ServiceName service, EndpointRecord endpoint) {
         ServicePools pools = services.computeIfAbsent(service, key -> new ServicePools(strategy));
-        return inOwnDomain(endpoint) ? pools.own() : pools.other(endpoint.vm().domain());
+        return isInOwnDomain(endpoint)
+                ? pools.ownDomain()
+                : pools.otherDomain(endpoint.vm().domain());
     }
 
-    private DomainReach reach(FailureDomain domain) {
-        return reaches.computeIfAbsent(domain, key -> new DomainReach());
+    private DomainReachability reachability(FailureDomain domain) {
+        return reaches.computeIfAbsent(domain, key -> new DomainReachability());
     }
 }
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/endpoint/EndpointProbes.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/endpoint/EndpointProbes.java
@@ -30,56 +30,56 @@
     }
 
     /** Returns when the next endpoint is due; {@code Long.MAX_VALUE} for never. */
-    long nextNanos() {
-        return wakes.nextNanos();
+    long nextWakeNanos() {
+        return wakes.nextWakeNanos();
     }
 
     /** Wakes the endpoint at a time, for whatever is due then. */
-    void wakeAt(EndpointRecord endpoint, long nanos) {
+    void scheduleWake(EndpointRecord endpoint, long nanos) {
         wakes.add(nanos, endpoint);
     }
 
     /** Wakes the endpoint for a probe. */
-    void schedule(EndpointRecord endpoint, long nanos) {
-        endpoint.wakeNanos(nanos);
+    void scheduleProbe(EndpointRecord endpoint, long nanos) {
+        endpoint.nextProbeNanos(nanos);
         wakes.add(nanos, endpoint);
     }
 
     /** A connection to the endpoint did not come about; it is probed after a pause. */
-    void unreachable(EndpointRecord endpoint, long nowNanos, ActionSink sink) {
+    void markUnreachable(EndpointRecord endpoint, long nowNanos, ActionSink sink) {
         if (!endpoint.isUnreachable()) {
-            pools.reach(endpoint).unreachable();
+            pools.reachability(endpoint).recordUnreachable();
             EndpointNotes.emit(NoteEvent.ENDPOINT_QUARANTINED, endpoint.id(), "unreachable", sink);
-        } else if (endpoint.wakeNanos() != EndpointRecord.NEVER) {
+        } else if (endpoint.nextProbeNanos() != EndpointRecord.NEVER) {
             return;
         }
-        long wait = endpoint.unreachable(nowNanos);
-        schedule(endpoint, nowNanos + wait + random.nextLong(1 + wait / HealthPolicy.JITTER_PART));
+        long wait = endpoint.markUnreachable(nowNanos);
+        scheduleProbe(endpoint, nowNanos + wait + random.nextLong(1 + wait / HealthPolicy.JITTER_DIVISOR));
     }
 
     /** The endpoint leaves; it is probed, in case it is back under the same address. */
-    void leaves(EndpointRecord endpoint, String why, long nowNanos, ActionSink sink) {
+    void markLeaving(EndpointRecord endpoint, String why, long nowNanos, ActionSink sink) {
         if (!endpoint.isLeaving()) {
             EndpointNotes.emit(NoteEvent.ENDPOINT_LEAVING, endpoint.id(), why, sink);
         }
-        endpoint.leaving(true, why);
-        schedule(endpoint, nowNanos + HealthPolicy.LEAVING_PROBE_NANOS);
+        endpoint.setLeaving(true, why);
+        scheduleProbe(endpoint, nowNanos + HealthPolicy.LEAVING_PROBE_NANOS);
     }
 
     /** The endpoint has answered a probe as one that takes work. */
-    void answered(EndpointRecord endpoint, long nowNanos, ActionSink sink) {
-        pools.reach(endpoint).answered();
+    void probeSucceeded(EndpointRecord endpoint, long nowNanos, ActionSink sink) {
+        pools.reachability(endpoint).recordAnswer();
         boolean wasOut = endpoint.isLeaving() || endpoint.isUnreachable();
         if (endpoint.isLeaving()) {
-            endpoint.leaving(false, "probe");
+            endpoint.setLeaving(false, "probe");
         }
         if (endpoint.isUnreachable()) {
-            endpoint.reachable();
+            endpoint.markReachable();
         }
-        if (endpoint.isConvicted() && nowNanos >= endpoint.convictedUntilNanos()) {
+        if (endpoint.isQuarantined() && nowNanos >= endpoint.quarantinedUntilNanos()) {
             endpoint.startTrial();
-        } else if (endpoint.isConvicted()) {
-            schedule(endpoint, endpoint.convictedUntilNanos());
+        } else if (endpoint.isQuarantined()) {
+            scheduleProbe(endpoint, endpoint.quarantinedUntilNanos());
         } else if (wasOut) {
             EndpointNotes.emit(NoteEvent.ENDPOINT_READMITTED, endpoint.id(), "probe", sink);
         }
@@ -88,18 +88,18 @@
     /** Probes the endpoint if that is still needed. */
     void probe(EndpointRecord endpoint, long nowNanos, ActionSink sink) {
         if (!endpoint.needsProbe()) {
-            endpoint.wakeNanos(EndpointRecord.NEVER);
-        } else if (endpoint.isConvicted() && isTriedByPeer(endpoint)) {
-            schedule(endpoint, nowNanos + HealthPolicy.TRIAL_BY_PEER_NANOS);
+            endpoint.nextProbeNanos(EndpointRecord.NEVER);
+        } else if (endpoint.isQuarantined() && isTriedByPeer(endpoint)) {
+            scheduleProbe(endpoint, nowNanos + HealthPolicy.PEER_TRIAL_WAIT_NANOS);
         } else {
             sink.emit(new ProbeEndpoint(endpoint.id(), endpoint.vm().address()));
-            schedule(endpoint, nowNanos + HealthPolicy.PROBE_TIMEOUT_NANOS);
+            scheduleProbe(endpoint, nowNanos + HealthPolicy.PROBE_TIMEOUT_NANOS);
         }
     }
 
     /** Returns whether a peer holds the same endpoint in quarantine and comes first, so that only one tries it. */
     private boolean isTriedByPeer(EndpointRecord endpoint) {
-        ImmutableSet<NodeId> others = peers.quarantining(endpoint.id());
+        ImmutableSet<NodeId> others = peers.peersQuarantining(endpoint.id());
         return RendezvousHash.rank(self, others, endpoint.id().value()) > 0;
     }
 }
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/endpoint/EndpointRecord.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/endpoint/EndpointRecord.java
@@ -13,34 +13,34 @@
 
     private final EndpointId id;
     private final EndpointSlots slots;
-    private final Backoff busyWait = new Backoff(HealthPolicy.FIRST_BUSY_NANOS, 2, HealthPolicy.LONGEST_BUSY_NANOS);
-    private final Backoff unreachableWait = new Backoff(
-            HealthPolicy.FIRST_UNREACHABLE_NANOS,
+    private final Backoff busyBackoff = new Backoff(HealthPolicy.INITIAL_BUSY_NANOS, 2, HealthPolicy.MAX_BUSY_NANOS);
+    private final Backoff unreachableBackoff = new Backoff(
+            HealthPolicy.INITIAL_UNREACHABLE_NANOS,
             HealthPolicy.UNREACHABLE_GROWTH,
-            HealthPolicy.LONGEST_UNREACHABLE_NANOS);
-    private final Backoff quarantineWait = new Backoff(
-            HealthPolicy.FIRST_QUARANTINE_NANOS, HealthPolicy.QUARANTINE_GROWTH, HealthPolicy.LONGEST_QUARANTINE_NANOS);
-    private final Map<FailureJudge.Kind, KindTally> tallies = new HashMap<>();
+            HealthPolicy.MAX_UNREACHABLE_NANOS);
+    private final Backoff quarantineBackoff = new Backoff(
+            HealthPolicy.INITIAL_QUARANTINE_NANOS, HealthPolicy.QUARANTINE_GROWTH, HealthPolicy.MAX_QUARANTINE_NANOS);
+    private final Map<FailureScorer.KindKey, KindTally> tallies = new HashMap<>();
 
     private VmRecord vm;
     private boolean listed = true;
     private boolean drained;
     private boolean leaving;
     private boolean unreachable;
-    private boolean convicted;
-    private boolean onTrialAfterConviction;
-    private long convictedUntilNanos;
-    private int peersConvicting;
-    private boolean outByPeers;
+    private boolean quarantined;
+    private boolean onTrialAfterQuarantine;
+    private long quarantinedUntilNanos;
+    private int quarantiningPeers;
+    private boolean quarantinedForPeers;
     private int trialsLeft;
-    private double evidence;
+    private double failureScore;
     private long trustedSinceNanos;
     private long unreachableSinceNanos;
-    private boolean fadedSinceRefusal = true;
-    private long fadesNanos;
-    private long fadeWaitNanos;
-    private long wakeNanos = NEVER;
-    private String why = "list";
+    private boolean decayedSinceRefusal = true;
+    private long nextDecayNanos;
+    private long decayWaitNanos;
+    private long nextProbeNanos = NEVER;
+    private String reason = "list";
 
     EndpointRecord(EndpointId id, VmRecord vm) {
         this.id = id;
@@ -60,32 +60,32 @@
         return slots;
     }
 
-    KindTally tally(FailureJudge.Kind kind) {
+    KindTally tally(FailureScorer.KindKey kind) {
         return tallies.computeIfAbsent(kind, key -> new KindTally());
     }
 
     /** Records the list's line; another address means another machine, of which nothing is known yet. */
-    void listed(VmRecord line) {
+    void markListed(VmRecord line) {
         boolean another = !line.address().equals(vm.address());
         vm = line;
         listed = true;
         if (another) {
             leaving = false;
             unreachable = false;
-            convicted = false;
-            onTrialAfterConviction = false;
+            quarantined = false;
+            onTrialAfterQuarantine = false;
             trialsLeft = 0;
-            evidence = 0;
+            failureScore = 0;
             tallies.clear();
-            unreachableWait.reset();
-            quarantineWait.reset();
-            why = "list";
+            unreachableBackoff.reset();
+            quarantineBackoff.reset();
+            reason = "list";
         }
     }
 
-    void unlisted() {
+    void markUnlisted() {
         listed = false;
-        why = "missing from the list";
+        reason = "missing from the list";
     }
 
     boolean isListed() {
@@ -96,13 +96,13 @@
         return drained;
     }
 
-    void drained(boolean out) {
+    void setDrained(boolean out) {
         drained = out;
     }
 
-    void leaving(boolean now, String reason) {
+    void setLeaving(boolean now, String reason) {
         leaving = now;
-        why = reason;
+        this.reason = reason;
     }
 
     boolean isLeaving() {
@@ -110,11 +110,11 @@
     }
 
     /** Notes that no connection to it came about; returns how long to wait before it is probed. */
-    long unreachable(long nowNanos) {
+    long markUnreachable(long nowNanos) {
         unreachableSinceNanos = unreachable ? unreachableSinceNanos : nowNanos;
         unreachable = true;
-        why = "unreachable";
-        return unreachableWait.next();
+        reason = "unreachable";
+        return unreachableBackoff.next();
     }
 
     boolean isUnreachable() {
@@ -122,53 +122,54 @@
     }
 
     /** Ends that it is unreachable; one task must succeed before it gets more than one at a time. */
-    void reachable() {
+    void markReachable() {
         unreachable = false;
         trialsLeft = Math.max(trialsLeft, 1);
     }
 
     /** Puts it in quarantine, for longer each time. */
-    void convict(boolean elsewhere, long nowNanos, String reason) {
-        if (trialsLeft == 0 && nowNanos - trustedSinceNanos > HealthPolicy.FORGIVEN_AFTER_NANOS) {
-            quarantineWait.reset();
+    void quarantine(boolean elsewhere, long nowNanos, String reason) {
+        if (trialsLeft == 0 && nowNanos - trustedSinceNanos > HealthPolicy.QUARANTINE_RESET_NANOS) {
+            quarantineBackoff.reset();
         }
-        convicted = true;
-        onTrialAfterConviction = false;
+        quarantined = true;
+        onTrialAfterQuarantine = false;
         long factor = elsewhere ? HealthPolicy.QUARANTINE_FACTOR_ELSEWHERE : 1;
-        convictedUntilNanos = nowNanos + factor * quarantineWait.next();
-        why = reason;
+        quarantinedUntilNanos = nowNanos + factor * quarantineBackoff.next();
+        this.reason = reason;
     }
 
-    boolean isConvicted() {
-        return convicted;
+    boolean isQuarantined() {
+        return quarantined;
     }
 
-    long convictedUntilNanos() {
-        return convictedUntilNanos;
+    long quarantinedUntilNanos() {
+        return quarantinedUntilNanos;
     }
 
     /** Returns whether this node's own judgement keeps it from full work, which its peers should know. */
-    boolean isUnderConviction() {
-        return convicted || onTrialAfterConviction;
+    boolean isQuarantinedOrOnTrial() {
+        return quarantined || onTrialAfterQuarantine;
     }
 
     void startTrial() {
-        convicted = false;
-        onTrialAfterConviction = true;
-        evidence = 0;
+        quarantined = false;
+        onTrialAfterQuarantine = true;
+        failureScore = 0;
         trialsLeft = HealthPolicy.TRIAL_TASKS;
-        why = "on trial";
+        reason = "on trial";
     }
 
     /** Returns whether what is known is enough for quarantine; on trial one failure that is its own fault is. */
-    boolean isConvictable(boolean elsewhere) {
-        double needed = elsewhere ? HealthPolicy.CONVICTION_ELSEWHERE : HealthPolicy.CONVICTION;
-        return !convicted && evidence >= (onTrialAfterConviction ? HealthPolicy.CONVICTION_ON_TRIAL : needed);
+    boolean shouldQuarantine(boolean elsewhere) {
+        double needed = elsewhere ? HealthPolicy.QUARANTINE_THRESHOLD_ELSEWHERE : HealthPolicy.QUARANTINE_THRESHOLD;
+        return !quarantined
+                && failureScore >= (onTrialAfterQuarantine ? HealthPolicy.QUARANTINE_THRESHOLD_ON_TRIAL : needed);
     }
 
     /** Records a success; returns whether it ended the trial. */
-    boolean succeeded(long nowNanos) {
-        unreachableWait.reset();
+    boolean recordSuccess(long nowNanos) {
+        unreachableBackoff.reset();
         if (trialsLeft == 0) {
             return false;
         }
@@ -177,85 +178,85 @@
             return false;
         }
         trustedSinceNanos = nowNanos;
-        onTrialAfterConviction = false;
-        why = "trial passed";
+        onTrialAfterQuarantine = false;
+        reason = "trial passed";
         return true;
     }
 
-    void peersConvicting(int delta) {
-        peersConvicting += delta;
+    void adjustPeerQuarantines(int delta) {
+        quarantiningPeers += delta;
     }
 
-    boolean isConvictedByPeers() {
-        return peersConvicting > 0;
+    boolean isQuarantinedAtPeers() {
+        return quarantiningPeers > 0;
     }
 
     /** Lets it have one task at a time until some succeed. */
-    void suspect() {
-        evidence = Math.max(evidence, HealthPolicy.SUSPICION);
+    void markSuspected() {
+        failureScore = Math.max(failureScore, HealthPolicy.SUSPICION_THRESHOLD);
     }
 
-    void outByPeers(boolean out) {
-        outByPeers = out;
+    void setQuarantinedForPeers(boolean out) {
+        quarantinedForPeers = out;
         if (out) {
-            why = "a peer's quarantine";
+            reason = "a peer's quarantine";
         } else {
             trialsLeft = Math.max(trialsLeft, 1);
         }
     }
 
-    boolean isOutByPeers() {
-        return outByPeers;
+    boolean isQuarantinedForPeers() {
+        return quarantinedForPeers;
     }
 
     /** Returns whether it is out or on trial for failing tasks, so that a trial's end cannot break the bound. */
     boolean countsAsQuarantined() {
-        return isUnderConviction() || outByPeers;
+        return isQuarantinedOrOnTrial() || quarantinedForPeers;
     }
 
-    void addEvidence(double added) {
-        evidence = Math.max(0, evidence + added);
+    void addFailureScore(double added) {
+        failureScore = Math.max(0, failureScore + added);
     }
 
-    double evidence() {
-        return evidence;
+    double failureScore() {
+        return failureScore;
     }
 
     /** Records that it refused a task as full; refusals of tasks that were sent together count as one. */
-    void busy(long nowNanos) {
+    void recordBusyRefusal(long nowNanos) {
         slots.full();
-        if (fadedSinceRefusal) {
-            fadedSinceRefusal = false;
-            fadeWaitNanos = busyWait.next();
-            fadesNanos = nowNanos + fadeWaitNanos;
+        if (decayedSinceRefusal) {
+            decayedSinceRefusal = false;
+            decayWaitNanos = busyBackoff.next();
+            nextDecayNanos = nowNanos + decayWaitNanos;
         }
     }
 
     /** Lets the last refusal fade by one slot. */
-    void refusalFades(long nowNanos) {
+    void decayRefusal(long nowNanos) {
         slots.refusalFades();
-        fadedSinceRefusal = true;
-        fadesNanos = nowNanos + fadeWaitNanos;
+        decayedSinceRefusal = true;
+        nextDecayNanos = nowNanos + decayWaitNanos;
         if (!slots.remembersRefusal()) {
-            busyWait.reset();
+            busyBackoff.reset();
         }
     }
 
     /** Returns when a refusal is next to fade; {@link #NEVER} if none counts. */
-    long fadesNanos() {
-        return slots.remembersRefusal() ? fadesNanos : NEVER;
+    long nextDecayNanos() {
+        return slots.remembersRefusal() ? nextDecayNanos : NEVER;
     }
 
-    long wakeNanos() {
-        return wakeNanos;
+    long nextProbeNanos() {
+        return nextProbeNanos;
     }
 
-    void wakeNanos(long nanos) {
-        wakeNanos = nanos;
+    void nextProbeNanos(long nanos) {
+        nextProbeNanos = nanos;
     }
 
-    String why() {
-        return drained ? "operator" : why;
+    String reason() {
+        return drained ? "operator" : reason;
     }
 
     Condition condition() {
@@ -271,27 +272,27 @@
         if (unreachable) {
             return Condition.UNREACHABLE;
         }
-        if (convicted || outByPeers) {
+        if (quarantined || quarantinedForPeers) {
             return Condition.QUARANTINED;
         }
-        return trialsLeft > 0 || evidence >= HealthPolicy.SUSPICION ? Condition.ON_TRIAL : Condition.LIVE;
+        return trialsLeft > 0 || failureScore >= HealthPolicy.SUSPICION_THRESHOLD ? Condition.ON_TRIAL : Condition.LIVE;
     }
 
     /** Returns whether to keep it although a doubted list misses it: it works, or may be cut off for a while. */
-    boolean isWorthKeeping(long nowNanos) {
+    boolean isKeptWhenMissing(long nowNanos) {
         boolean longUnreachable =
-                unreachable && nowNanos - unreachableSinceNanos > HealthPolicy.LONGEST_UNREACHABLE_KEPT_NANOS;
+                unreachable && nowNanos - unreachableSinceNanos > HealthPolicy.MAX_UNREACHABLE_KEPT_NANOS;
         return !leaving && !longUnreachable;
     }
 
     /** Returns whether only an answer to a probe can bring it back. */
     boolean needsProbe() {
         boolean listedAsLive = listed && !drained && vm.state() == VmState.LIVE;
-        return listedAsLive && (leaving || unreachable || convicted);
+        return listedAsLive && (leaving || unreachable || quarantined);
     }
 
     /** Returns whether one more task may go there now, as far as its condition says. */
-    boolean mayGetTask() {
+    boolean canReceiveTask() {
         Condition condition = condition();
         return condition == Condition.LIVE || condition == Condition.ON_TRIAL && slots.ownInFlight() == 0;
     }
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/endpoint/EndpointRecords.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/endpoint/EndpointRecords.java
@@ -16,13 +16,13 @@
     private final EndpointPools pools;
     private final EndpointProbes probes;
     private final Map<EndpointId, EndpointRecord> records = new LinkedHashMap<>();
-    private ImmutableSet<NodeId> alive;
+    private ImmutableSet<NodeId> aliveNodes;
 
     EndpointRecords(NodeId self, EndpointPools pools, EndpointProbes probes) {
         this.self = self;
         this.pools = pools;
         this.probes = probes;
-        this.alive = ImmutableSet.of(self);
+        this.aliveNodes = ImmutableSet.of(self);
     }
 
     /** Returns the records by id, as a view. */
@@ -35,7 +35,7 @@
     }
 
     /** Returns a copy, so that records may go while it is worked through. */
-    ImmutableList<EndpointRecord> all() {
+    ImmutableList<EndpointRecord> snapshot() {
         return ImmutableList.copyOf(records.values());
     }
 
@@ -49,28 +49,28 @@
     }
 
     /** Returns the nodes of the own failure domain that share the endpoints, this one among them. */
-    ImmutableSet<NodeId> alive() {
-        return alive;
+    ImmutableSet<NodeId> aliveNodes() {
+        return aliveNodes;
     }
 
-    void alive(ImmutableSet<NodeId> nowAlive) {
-        alive = nowAlive;
+    void aliveNodes(ImmutableSet<NodeId> nowAlive) {
+        aliveNodes = nowAlive;
     }
 
     /** Sets this node's share of each endpoint anew. */
-    void resizeAll(long nowNanos) {
-        for (EndpointRecord endpoint : all()) {
-            resize(endpoint);
+    void updateShares(long nowNanos) {
+        for (EndpointRecord endpoint : snapshot()) {
+            updateShare(endpoint);
             refresh(endpoint, nowNanos);
         }
     }
 
     /** Sets how many of the endpoint's slots are this node's share. */
-    void resize(EndpointRecord endpoint) {
+    void updateShare(EndpointRecord endpoint) {
         VmRecord vm = endpoint.vm();
-        int rank = RendezvousHash.rank(self, alive, vm.name());
-        int home = RendezvousHash.share(rank, alive.size(), vm.slots());
-        endpoint.slots().resize(vm.slots(), pools.inOwnDomain(endpoint) ? home : 0);
+        int rank = RendezvousHash.rank(self, aliveNodes, vm.name());
+        int home = RendezvousHash.share(rank, aliveNodes.size(), vm.slots());
+        endpoint.slots().resize(vm.slots(), pools.isInOwnDomain(endpoint) ? home : 0);
     }
 
     /** Brings the pools in line with what changed of an endpoint, and drops one that is unlisted and idle. */
@@ -81,8 +81,8 @@
             return;
         }
         pools.update(endpoint, nowNanos);
-        if (endpoint.needsProbe() && endpoint.wakeNanos() == EndpointRecord.NEVER) {
-            probes.schedule(endpoint, nowNanos + HealthPolicy.LEAVING_PROBE_NANOS);
+        if (endpoint.needsProbe() && endpoint.nextProbeNanos() == EndpointRecord.NEVER) {
+            probes.scheduleProbe(endpoint, nowNanos + HealthPolicy.LEAVING_PROBE_NANOS);
         }
     }
 }
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/endpoint/EndpointViews.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/endpoint/EndpointViews.java
@@ -36,7 +36,7 @@
      * <p>Endpoints that this node cannot reach are not among them: another node may reach them well.
      */
     public ImmutableSet<EndpointId> quarantined() {
-        return idsWhere(EndpointRecord::isUnderConviction);
+        return idsWhere(EndpointRecord::isQuarantinedOrOnTrial);
     }
 
     /** Returns a line for each endpoint. */
@@ -49,7 +49,7 @@
                         endpoint.vm().slots(),
                         endpoint.slots().ownInFlight(),
                         endpoint.condition().word(),
-                        endpoint.why()))
+                        endpoint.reason()))
                 .collect(ImmutableList.toImmutableList());
     }
 
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/endpoint/FailureJudge.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/endpoint/FailureScorer.java
@@ -14,21 +14,21 @@
  * and none does where the kind fails everywhere: then the kind is to blame. The sum never falls below 0, so that a long
  * good past does not cover for an endpoint that breaks now.
  */
-final class FailureJudge {
-    private final Map<Kind, KindTally> everywhere = new HashMap<>();
+final class FailureScorer {
+    private final Map<KindKey, KindTally> everywhere = new HashMap<>();
 
     /** Records how a task ended at an endpoint. */
     void add(EndpointRecord endpoint, ServiceName service, KindName kind, boolean failed) {
-        Kind key = new Kind(service, kind);
+        KindKey key = new KindKey(service, kind);
         KindTally all = everywhere.computeIfAbsent(key, name -> new KindTally());
         KindTally here = endpoint.tally(key);
-        double usual = Math.min(all.failureRateWithout(here), HealthPolicy.BROKEN_FAILURE_RATE);
+        double usual = Math.min(all.failureRateExcluding(here), HealthPolicy.BROKEN_FAILURE_RATE);
         double broken = HealthPolicy.BROKEN_FAILURE_RATE;
         double evidence = failed ? Math.log(broken / usual) : Math.log((1 - broken) / (1 - usual));
-        endpoint.addEvidence(evidence);
+        endpoint.addFailureScore(evidence);
         all.add(failed);
         here.add(failed);
     }
 
-    record Kind(ServiceName service, KindName name) {}
+    record KindKey(ServiceName service, KindName name) {}
 }
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/endpoint/KindTally.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/endpoint/KindTally.java
@@ -6,17 +6,17 @@
     private double failures;
 
     void add(boolean failed) {
-        double kept = 1 - 1 / HealthPolicy.REMEMBERED_TASKS;
+        double kept = 1 - 1 / HealthPolicy.TALLY_WINDOW_TASKS;
         tasks = tasks * kept + 1;
         failures = failures * kept + (failed ? 1 : 0);
     }
 
     /** Returns the failure rate of the tasks counted here and not in the other tally, which is a part of this one. */
-    double failureRateWithout(KindTally part) {
+    double failureRateExcluding(KindTally part) {
         double otherTasks = Math.max(0, tasks - part.tasks);
         double otherFailures = Math.min(otherTasks, Math.max(0, failures - part.failures));
-        double rate = (otherFailures + HealthPolicy.LEAST_FAILURE_RATE * HealthPolicy.PRIOR_TASKS)
+        double rate = (otherFailures + HealthPolicy.MIN_FAILURE_RATE * HealthPolicy.PRIOR_TASKS)
                 / (otherTasks + HealthPolicy.PRIOR_TASKS);
-        return Math.max(HealthPolicy.LEAST_FAILURE_RATE, rate);
+        return Math.max(HealthPolicy.MIN_FAILURE_RATE, rate);
     }
 }
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/endpoint/MissingEndpoints.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/endpoint/MissingEndpoints.java
@@ -19,7 +19,8 @@
 final class MissingEndpoints {
     private MissingEndpoints() {}
 
-    static ImmutableList<EndpointRecord> of(Collection<EndpointRecord> known, Set<EndpointId> named, long nowNanos) {
+    static ImmutableList<EndpointRecord> findRemovable(
+            Collection<EndpointRecord> known, Set<EndpointId> named, long nowNanos) {
         Map<FailureDomain, List<EndpointRecord>> listed = new LinkedHashMap<>();
         for (EndpointRecord endpoint : known) {
             if (endpoint.isListed()) {
@@ -37,9 +38,9 @@
                 .filter(endpoint -> !named.contains(endpoint.id()))
                 .toList();
         boolean doubted = named.isEmpty()
-                || missing.size() >= HealthPolicy.MISSING_WHEN_DOUBTED && missing.size() * 2 > ofDomain.size();
+                || missing.size() >= HealthPolicy.MISSING_WHEN_DOUBTFUL && missing.size() * 2 > ofDomain.size();
         return missing.stream()
-                .filter(endpoint -> !doubted || !endpoint.isWorthKeeping(nowNanos))
+                .filter(endpoint -> !doubted || !endpoint.isKeptWhenMissing(nowNanos))
                 .toList();
     }
 }
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/endpoint/OperatorDrains.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/endpoint/OperatorDrains.java
@@ -17,7 +17,7 @@
     }
 
     /** Records which failure domains are out of use. */
-    void setDomains(ImmutableSet<FailureDomain> drained) {
+    void setDrainedDomains(ImmutableSet<FailureDomain> drained) {
         domains = drained;
     }
 
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/endpoint/PeerEffects.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/endpoint/PeerEffects.java
@@ -18,7 +18,7 @@
     }
 
     /** Returns a listener that applies the changes of one event. */
-    PeerViews.Listener at(long nowNanos, ActionSink sink) {
+    PeerViews.Listener listenerAt(long nowNanos, ActionSink sink) {
         return new PeerViews.Listener() {
             @Override
             public void loadChanged(EndpointId id, int delta) {
@@ -29,9 +29,9 @@
             }
 
             @Override
-            public void leavingSaid(EndpointId id, NodeId peer) {
+            public void leavingReported(EndpointId id, NodeId peer) {
                 records.find(id).ifPresent(endpoint -> {
-                    probes.leaves(endpoint, "peer " + peer, nowNanos, sink);
+                    probes.markLeaving(endpoint, "peer " + peer, nowNanos, sink);
                     records.refresh(endpoint, nowNanos);
                 });
             }
@@ -39,26 +39,26 @@
             @Override
             public void quarantineChanged(EndpointId id, int delta) {
                 records.find(id).ifPresent(endpoint -> {
-                    endpoint.peersConvicting(delta);
-                    followPeers(endpoint, nowNanos, sink);
+                    endpoint.adjustPeerQuarantines(delta);
+                    updatePeerQuarantine(endpoint, nowNanos, sink);
                 });
             }
         };
     }
 
     /** Quarantines an endpoint that enough peers hold in quarantine, before it has failed this node's tasks too. */
-    void followPeers(EndpointRecord endpoint, long nowNanos, ActionSink sink) {
-        boolean out = endpoint.isConvictedByPeers();
-        if (out == endpoint.isOutByPeers()) {
+    void updatePeerQuarantine(EndpointRecord endpoint, long nowNanos, ActionSink sink) {
+        boolean out = endpoint.isQuarantinedAtPeers();
+        if (out == endpoint.isQuarantinedForPeers()) {
             return;
         }
         if (!out) {
-            endpoint.outByPeers(false);
-        } else if (pools.spareOne(endpoint)) {
-            endpoint.outByPeers(true);
-            EndpointNotes.emit(NoteEvent.ENDPOINT_QUARANTINED, endpoint.id(), endpoint.why(), sink);
+            endpoint.setQuarantinedForPeers(false);
+        } else if (pools.canQuarantine(endpoint)) {
+            endpoint.setQuarantinedForPeers(true);
+            EndpointNotes.emit(NoteEvent.ENDPOINT_QUARANTINED, endpoint.id(), endpoint.reason(), sink);
         } else {
-            endpoint.suspect();
+            endpoint.markSuspected();
         }
         records.refresh(endpoint, nowNanos);
     }
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/endpoint/PeerViews.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/endpoint/PeerViews.java
@@ -15,7 +15,7 @@
     private final Map<NodeId, View> views = new HashMap<>();
 
     /** Records a report; costs time in proportion to what it names. */
-    void reported(PeerReport report, long nowNanos, Listener listener) {
+    void update(PeerReport report, long nowNanos, Listener listener) {
         View view = views.computeIfAbsent(report.from(), key -> new View());
         view.heardNanos = nowNanos;
         if (report.full()) {
@@ -31,7 +31,7 @@
         for (EndpointId endpoint : report.leaving()) {
             // Only a new report counts: a peer that has not asked the endpoint again repeats an old answer.
             if (!view.leaving.contains(endpoint)) {
-                listener.leavingSaid(endpoint, report.from());
+                listener.leavingReported(endpoint, report.from());
             }
         }
         view.leaving = report.leaving();
@@ -64,7 +64,7 @@
     }
 
     /** Returns the peers that hold an endpoint in quarantine. */
-    ImmutableSet<NodeId> quarantining(EndpointId endpoint) {
+    ImmutableSet<NodeId> peersQuarantining(EndpointId endpoint) {
         return views.entrySet().stream()
                 .filter(entry -> entry.getValue().quarantined.contains(endpoint))
                 .map(Map.Entry::getKey)
@@ -94,7 +94,7 @@
     interface Listener {
         void loadChanged(EndpointId endpoint, int delta);
 
-        void leavingSaid(EndpointId endpoint, NodeId peer);
+        void leavingReported(EndpointId endpoint, NodeId peer);
 
         void quarantineChanged(EndpointId endpoint, int delta);
     }
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/endpoint/ServicePools.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/endpoint/ServicePools.java
@@ -8,23 +8,23 @@
 /** The endpoints of one service by failure domain. */
 final class ServicePools {
     private final PlacementStrategy strategy;
-    private final DomainPool own;
-    private final Map<FailureDomain, DomainPool> others = new LinkedHashMap<>();
+    private final DomainPool ownDomain;
+    private final Map<FailureDomain, DomainPool> otherDomains = new LinkedHashMap<>();
 
     ServicePools(PlacementStrategy strategy) {
         this.strategy = strategy;
-        this.own = new DomainPool(strategy);
+        this.ownDomain = new DomainPool(strategy);
     }
 
-    DomainPool own() {
-        return own;
+    DomainPool ownDomain() {
+        return ownDomain;
     }
 
-    Map<FailureDomain, DomainPool> others() {
-        return others;
+    Map<FailureDomain, DomainPool> otherDomains() {
+        return otherDomains;
     }
 
-    DomainPool other(FailureDomain domain) {
-        return others.computeIfAbsent(domain, key -> new DomainPool(strategy));
+    DomainPool otherDomain(FailureDomain domain) {
+        return otherDomains.computeIfAbsent(domain, key -> new DomainPool(strategy));
     }
 }
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/endpoint/TaskResults.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/endpoint/TaskResults.java
@@ -11,7 +11,7 @@
 final class TaskResults {
     private final EndpointPools pools;
     private final EndpointProbes probes;
-    private final FailureJudge judge = new FailureJudge();
+    private final FailureScorer judge = new FailureScorer();
 
     TaskResults(EndpointPools pools, EndpointProbes probes) {
         this.pools = pools;
@@ -19,7 +19,7 @@
     }
 
     /** Gives the slot back and judges the endpoint by how the task ended. */
-    void ended(
+    void taskEnded(
             EndpointRecord endpoint,
             TaskEnded ended,
             ServiceName service,
@@ -27,28 +27,28 @@
             long nowNanos,
             ActionSink sink) {
         endpoint.slots().givenBack();
-        pools.counted(service, endpoint, ended.result(), nowNanos);
+        pools.recordResult(service, endpoint, ended.result(), nowNanos);
         if (ended.endpointLeaving() || ended.result() == SendResult.REFUSED_DRAINING) {
-            probes.leaves(endpoint, "its own answer", nowNanos, sink);
+            probes.markLeaving(endpoint, "its own answer", nowNanos, sink);
         }
         if (ended.result().endpointAnswered()) {
-            pools.reach(endpoint).answered();
+            pools.reachability(endpoint).recordAnswer();
         }
         switch (ended.result()) {
             case SUCCEEDED -> ran(endpoint, service, kind, false, nowNanos, sink);
             case TASK_FAILED, LOST -> ran(endpoint, service, kind, true, nowNanos, sink);
             case REFUSED_BUSY -> refusedBusy(endpoint, nowNanos);
-            case CONNECT_FAILED -> probes.unreachable(endpoint, nowNanos, sink);
+            case CONNECT_FAILED -> probes.markUnreachable(endpoint, nowNanos, sink);
             case REFUSED_DRAINING -> {}
             default -> throw new AssertionError(ended.result());
         }
     }
 
     /** Gives the slot back without judging the endpoint. */
-    void endedAfterStop(EndpointRecord endpoint, TaskEnded ended, long nowNanos, ActionSink sink) {
+    void stoppedTaskEnded(EndpointRecord endpoint, TaskEnded ended, long nowNanos, ActionSink sink) {
         endpoint.slots().givenBack();
         if (ended.endpointLeaving()) {
-            probes.leaves(endpoint, "its own answer", nowNanos, sink);
+            probes.markLeaving(endpoint, "its own answer", nowNanos, sink);
         }
     }
 
@@ -61,20 +61,20 @@
             ActionSink sink) {
         endpoint.slots().vacated();
         judge.add(endpoint, service, kind, failed);
-        if (!failed && endpoint.succeeded(nowNanos)) {
-            EndpointNotes.emit(NoteEvent.ENDPOINT_READMITTED, endpoint.id(), endpoint.why(), sink);
+        if (!failed && endpoint.recordSuccess(nowNanos)) {
+            EndpointNotes.emit(NoteEvent.ENDPOINT_READMITTED, endpoint.id(), endpoint.reason(), sink);
         }
-        boolean elsewhere = !pools.inOwnDomain(endpoint);
-        boolean mayBeOut = endpoint.countsAsQuarantined() || pools.spareOne(endpoint);
-        if (failed && endpoint.isConvictable(elsewhere) && mayBeOut) {
-            endpoint.convict(elsewhere, nowNanos, "fails what others do not fail");
-            EndpointNotes.emit(NoteEvent.ENDPOINT_QUARANTINED, endpoint.id(), endpoint.why(), sink);
-            probes.schedule(endpoint, endpoint.convictedUntilNanos());
+        boolean elsewhere = !pools.isInOwnDomain(endpoint);
+        boolean mayBeOut = endpoint.countsAsQuarantined() || pools.canQuarantine(endpoint);
+        if (failed && endpoint.shouldQuarantine(elsewhere) && mayBeOut) {
+            endpoint.quarantine(elsewhere, nowNanos, "fails what others do not fail");
+            EndpointNotes.emit(NoteEvent.ENDPOINT_QUARANTINED, endpoint.id(), endpoint.reason(), sink);
+            probes.scheduleProbe(endpoint, endpoint.quarantinedUntilNanos());
         }
     }
 
     private void refusedBusy(EndpointRecord endpoint, long nowNanos) {
-        endpoint.busy(nowNanos);
-        probes.wakeAt(endpoint, endpoint.fadesNanos());
+        endpoint.recordBusyRefusal(nowNanos);
+        probes.scheduleWake(endpoint, endpoint.nextDecayNanos());
     }
 }
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/endpoint/WakeQueue.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/endpoint/WakeQueue.java
@@ -17,14 +17,14 @@
     }
 
     /** Returns when the next falls due; {@code Long.MAX_VALUE} for never. */
-    long nextNanos() {
+    long nextWakeNanos() {
         Wake next = wakes.peek();
         return next == null ? Long.MAX_VALUE : next.nanos;
     }
 
     /** Takes one out that is due, if any is. */
     Optional<EndpointRecord> pollDue(long nowNanos) {
-        return nextNanos() <= nowNanos ? Optional.of(wakes.poll().endpoint) : Optional.empty();
+        return nextWakeNanos() <= nowNanos ? Optional.of(wakes.poll().endpoint) : Optional.empty();
     }
 
     private record Wake(long nanos, long sequence, EndpointRecord endpoint) {}
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/node/ClaimHandler.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/node/ClaimHandler.java
@@ -22,18 +22,21 @@
     void register(EventHandlers handlers) {
         handlers.register(
                 ClaimsWritten.class,
-                (written, nowNanos, sink) -> keys.settled(written.batch(), written.results(), nowNanos, sink));
+                (written, nowNanos, sink) -> keys.claimsSettled(written.batch(), written.results(), nowNanos, sink));
         handlers.register(
-                ClaimsRead.class, (read, nowNanos, sink) -> keys.settled(read.batch(), read.results(), nowNanos, sink));
+                ClaimsRead.class,
+                (read, nowNanos, sink) -> keys.claimsSettled(read.batch(), read.results(), nowNanos, sink));
         handlers.register(
                 ClaimsUncertain.class,
                 (uncertain, nowNanos, sink) ->
-                        keys.uncertain(uncertain.batch(), uncertain.mayHaveApplied(), nowNanos, sink));
-        handlers.register(PeerAnswerAsked.class, (asked, nowNanos, sink) -> keys.asked(asked, sink));
+                        keys.claimsUncertain(uncertain.batch(), uncertain.mayHaveApplied(), nowNanos, sink));
+        handlers.register(PeerAnswerAsked.class, (asked, nowNanos, sink) -> keys.peerAnswerAsked(asked, sink));
         handlers.register(PeerAnswerArrived.class, this::peerAnswered);
     }
 
     private void peerAnswered(PeerAnswerArrived arrived, long nowNanos, ActionSink sink) {
-        submissions.find(arrived.waiting()).ifPresent(waiting -> keys.peerAnswered(waiting, arrived, nowNanos, sink));
+        submissions
+                .find(arrived.waiting())
+                .ifPresent(waiting -> keys.peerAnswerArrived(waiting, arrived, nowNanos, sink));
     }
 }
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/node/ConfigurationHandler.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/node/ConfigurationHandler.java
@@ -35,7 +35,7 @@
         }
         parts.configuration
                 .inForce()
-                .ifPresent(catalog -> parts.endpoints.drainDomains(catalog.drainedDomains(), nowNanos, sink));
+                .ifPresent(catalog -> parts.endpoints.setDrainedDomains(catalog.drainedDomains(), nowNanos, sink));
         lifecycle.configurationLoaded(sink);
         parts.dispatcher.everythingChanged();
         parts.peers.reportNow(nowNanos, parts.reportSource, sink);
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/node/EndpointHandler.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/node/EndpointHandler.java
@@ -31,7 +31,7 @@
     }
 
     private void drain(EndpointDrainRequested drain, long nowNanos, ActionSink sink) {
-        parts.endpoints.drain(drain.endpoint(), drain.out(), nowNanos, sink);
+        parts.endpoints.setDrained(drain.endpoint(), drain.out(), nowNanos, sink);
         parts.dispatcher.everythingChanged();
         parts.peers.reportNow(nowNanos, parts.reportSource, sink);
     }
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/node/MembershipHandler.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/node/MembershipHandler.java
@@ -62,9 +62,9 @@
 
     private void vmListRead(VmListRead read, long nowNanos, ActionSink sink) {
         parts.peers.listed(read.vms(), nowNanos, sink);
-        parts.endpoints.listed(read.vms(), nowNanos, sink);
+        parts.endpoints.vmListRead(read.vms(), nowNanos, sink);
         long nodes = read.vms().stream().filter(vm -> vm.role() == VmRole.ENTRY).count();
-        parts.keys.writers(Math.toIntExact(nodes));
+        parts.keys.setWriters(Math.toIntExact(nodes));
         membershipChanged(nowNanos, sink);
         lifecycle.vmListRead(sink);
         parts.dispatcher.everythingChanged();
@@ -75,8 +75,8 @@
         if (!now.equals(alive)) {
             ImmutableSet<NodeId> before = alive;
             alive = now;
-            parts.endpoints.aliveNodes(now, nowNanos, sink);
-            Sets.difference(before, now).forEach(gone -> parts.keys.silent(gone, nowNanos, sink));
+            parts.endpoints.setAliveNodes(now, nowNanos, sink);
+            Sets.difference(before, now).forEach(gone -> parts.keys.holderSilent(gone, nowNanos, sink));
         }
         parts.quotas.sharers(parts.peers.sharers());
         parts.services.sharers(parts.peers.sharers());
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/node/SubmissionHandler.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/node/SubmissionHandler.java
@@ -37,7 +37,7 @@
             Submission submission = admitted.submission();
             parts.submissions.add(submission);
             if (submission.claimKey().isPresent()) {
-                parts.keys.arrived(submission, nowNanos, sink);
+                parts.keys.submissionArrived(submission, nowNanos, sink);
             } else {
                 parts.dispatcher.dispatch(submission);
             }
@@ -69,6 +69,6 @@
     // A caller that lost its connection comes back with the same key for the answer. Work that may have run is worth
     // finishing for it, and so is work that others wait for.
     private boolean runsOnWithoutCaller(Submission submission) {
-        return submission.claimKey().isPresent() && (submission.mayHaveRun() || parts.keys.awaited(submission));
+        return submission.claimKey().isPresent() && (submission.mayHaveRun() || parts.keys.isAwaited(submission));
     }
 }
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/submission/TaskFeedback.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/submission/TaskFeedback.java
@@ -20,11 +20,11 @@
 
     void ended(InFlightTask flight, TaskEnded ended, long nowNanos, ActionSink sink) {
         if (flight.stopped()) {
-            endpoints.endedAfterStop(ended, nowNanos, sink);
+            endpoints.stoppedTaskEnded(ended, nowNanos, sink);
             return;
         }
         long runNanos = nowNanos - flight.sentNanos();
-        endpoints.ended(ended, flight.service(), flight.kind(), runNanos, nowNanos, sink);
+        endpoints.taskEnded(ended, flight.service(), flight.kind(), runNanos, nowNanos, sink);
         if (ended.result() == SendResult.SUCCEEDED) {
             runTimes.observe(flight.service(), flight.kind(), runNanos);
             retryBudget.succeeded();
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/submission/WaitEstimates.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/submission/WaitEstimates.java
@@ -71,7 +71,7 @@
 
     /** Returns how many tasks of a team can run from this node at once at a service; at least 1. */
     public int slotsFor(ServiceName service, TeamDefinition team) {
-        return Math.max(1, Math.min(endpoints.slots(service), limitFor(service, team)));
+        return Math.max(1, Math.min(endpoints.slotsPerNode(service), limitFor(service, team)));
     }
 
     /** Returns how many tasks of a team the limits let run from this node at once at a service; may be 0. */
@@ -89,7 +89,7 @@
     public boolean cannotFinish(Submission submission, long nowNanos) {
         ServiceName service = submission.service().name();
         int tasks = submission.tasks().size();
-        int slots = Math.max(1, endpoints.slotsOfAllNodes(service));
+        int slots = Math.max(1, endpoints.totalSlots(service));
         if (tasks <= slots || !runTimes.learnt(service, submission.kind().name())) {
             return false;
         }
--- a/tarragonarch-core/src/test/java/org/tarragonarch/core/endpoint/DirectoryFixture.java
+++ b/tarragonarch-core/src/test/java/org/tarragonarch/core/endpoint/DirectoryFixture.java
@@ -67,12 +67,12 @@
         return vms.build();
     }
 
-    void list(ImmutableList<VmRecord> vms) {
-        directory.listed(vms, nowNanos, actions::add);
+    void readVmList(ImmutableList<VmRecord> vms) {
+        directory.vmListRead(vms, nowNanos, actions::add);
     }
 
     /** Lets time pass, waking the directory whenever it asked for it. */
-    void pass(Duration time) {
+    void advance(Duration time) {
         long end = nowNanos + time.toNanos();
         while (directory.nextWakeNanos() <= end) {
             nowNanos = Math.max(nowNanos, directory.nextWakeNanos());
@@ -89,21 +89,21 @@
         return reserve(ServiceObjective.RESPONSE_TIME);
     }
 
-    void end(EndpointId endpoint, SendResult result, KindName kind) {
+    void endTask(EndpointId endpoint, SendResult result, KindName kind) {
         TaskEnded ended = new TaskEnded(TASK, 1, endpoint, result, false, "test");
-        directory.ended(ended, SERVICE, kind, Duration.ofMillis(1).toNanos(), nowNanos, actions::add);
+        directory.taskEnded(ended, SERVICE, kind, Duration.ofMillis(1).toNanos(), nowNanos, actions::add);
     }
 
-    void end(EndpointId endpoint, SendResult result) {
-        end(endpoint, result, KIND);
+    void endTask(EndpointId endpoint, SendResult result) {
+        endTask(endpoint, result, KIND);
     }
 
-    void endSayingThatItLeaves(EndpointId endpoint) {
+    void endTaskAsLeaving(EndpointId endpoint) {
         TaskEnded ended = new TaskEnded(TASK, 1, endpoint, SendResult.SUCCEEDED, true, "test");
-        directory.ended(ended, SERVICE, KIND, Duration.ofMillis(1).toNanos(), nowNanos, actions::add);
+        directory.taskEnded(ended, SERVICE, KIND, Duration.ofMillis(1).toNanos(), nowNanos, actions::add);
     }
 
-    void probed(EndpointId endpoint, boolean healthy, boolean leaving) {
+    void endProbe(EndpointId endpoint, boolean healthy, boolean leaving) {
         directory.probeEnded(new ProbeEnded(endpoint, healthy, leaving), nowNanos, actions::add);
     }
 
@@ -127,33 +127,33 @@
     }
 
     /** Reserves and ends tasks at once, each as the endpoint's health says, and returns where they went. */
-    List<EndpointId> run(int tasks, KindName kind, Function<EndpointId, SendResult> result) {
+    List<EndpointId> runTasks(int tasks, KindName kind, Function<EndpointId, SendResult> result) {
         List<EndpointId> used = new ArrayList<>();
         for (int i = 0; i < tasks; i++) {
             nowNanos += Duration.ofMillis(2).toNanos();
             reserve().ifPresent(endpoint -> {
                 used.add(endpoint);
-                end(endpoint, result.apply(endpoint), kind);
+                endTask(endpoint, result.apply(endpoint), kind);
             });
         }
         return used;
     }
 
     /** Reserves until nothing more is to be had, a millisecond apart, and returns where. */
-    List<EndpointId> fill(ServiceObjective favour) {
+    List<EndpointId> reserveAll(ServiceObjective favour) {
         List<EndpointId> used = new ArrayList<>();
         for (Optional<EndpointId> next = reserve(favour); next.isPresent(); next = reserve(favour)) {
             used.add(next.get());
-            pass(Duration.ofMillis(1));
+            advance(Duration.ofMillis(1));
         }
         return used;
     }
 
-    long probes() {
+    long probeCount() {
         return actions.stream().filter(ProbeEndpoint.class::isInstance).count();
     }
 
-    long notes(NoteEvent event) {
+    long noteCount(NoteEvent event) {
         return actions.stream()
                 .filter(action -> action instanceof Note note && note.event() == event)
                 .count();
--- a/tarragonarch-core/src/test/java/org/tarragonarch/core/endpoint/EndpointDirectoryHealthTest.java
+++ b/tarragonarch-core/src/test/java/org/tarragonarch/core/endpoint/EndpointDirectoryHealthTest.java
@@ -36,102 +36,102 @@
 
     private DirectoryFixture withTenEndpoints() {
         DirectoryFixture fixture = new DirectoryFixture();
-        fixture.list(vms(1, 10, HOBART));
+        fixture.readVmList(vms(1, 10, HOBART));
         return fixture;
     }
 
     private DirectoryFixture withBrokenOneOut() {
         DirectoryFixture fixture = withTenEndpoints();
-        fixture.run(500, KIND, this::failsAtBroken);
+        fixture.runTasks(500, KIND, this::failsAtBroken);
         assertEquals(fixture.directory.views().quarantined(), ImmutableSet.of(broken));
         return fixture;
     }
 
     @Test
-    public void testEnded_endpointThatFailsEveryTask() {
+    public void testTaskEnded_endpointFailsEveryTask() {
         // One worker of ten lost its model files and fails every task in a millisecond. It always has free slots, so it
         // draws ever more tasks, and callers see a tenth or more of their jobs fail until somebody takes it out.
         DirectoryFixture fixture = withTenEndpoints();
-        List<EndpointId> used = fixture.run(500, KIND, this::failsAtBroken);
+        List<EndpointId> used = fixture.runTasks(500, KIND, this::failsAtBroken);
         assertEquals(Collections.frequency(used, broken), 3);
         assertEquals(fixture.directory.views().quarantined(), ImmutableSet.of(broken));
-        assertEquals(fixture.notes(NoteEvent.ENDPOINT_QUARANTINED), 1);
+        assertEquals(fixture.noteCount(NoteEvent.ENDPOINT_QUARANTINED), 1);
     }
 
     @Test
-    public void testEnded_kindThatFailsEverywhere() {
+    public void testTaskEnded_kindFailsEverywhere() {
         // A new kind is set up wrong and fails at every worker, while the old kind works. Blaming the workers would put
         // out the whole failure domain and with it the old kind.
         DirectoryFixture fixture = withTenEndpoints();
         KindName bad = KindName.of("bad");
         for (int i = 0; i < 300; i++) {
-            fixture.run(1, KIND, endpoint -> SendResult.SUCCEEDED);
-            fixture.run(1, bad, endpoint -> SendResult.TASK_FAILED);
+            fixture.runTasks(1, KIND, endpoint -> SendResult.SUCCEEDED);
+            fixture.runTasks(1, bad, endpoint -> SendResult.TASK_FAILED);
         }
         assertEquals(fixture.directory.views().quarantined(), ImmutableSet.of());
-        assertEquals(fixture.directory.slots(SERVICE), 80);
+        assertEquals(fixture.directory.slotsPerNode(SERVICE), 80);
     }
 
     @Test
-    public void testEnded_onlyEndpointIsNeverPutOut() {
+    public void testTaskEnded_onlyEndpointIsNeverQuarantined() {
         DirectoryFixture fixture = new DirectoryFixture();
-        fixture.list(vms(1, 1, HOBART));
-        fixture.run(50, KIND, this::failsAtBroken);
-        assertTrue(fixture.directory.usable(SERVICE));
+        fixture.readVmList(vms(1, 1, HOBART));
+        fixture.runTasks(50, KIND, this::failsAtBroken);
+        assertTrue(fixture.directory.hasUsableEndpoint(SERVICE));
         assertTrue(fixture.reserve().isPresent());
         assertFalse(fixture.reserve().isPresent(), "under suspicion it gets one task at a time");
     }
 
     @Test
-    public void testProbeEnded_readmitsByTrialOneTaskAtATime() {
+    public void testProbeEnded_trialRunsOneTaskAtATime() {
         DirectoryFixture fixture = withBrokenOneOut();
-        fixture.pass(Duration.ofSeconds(31));
-        assertEquals(fixture.probes(), 1);
-        fixture.probed(broken, true, false);
-        long trials = fixture.fill(ServiceObjective.RESPONSE_TIME).stream()
+        fixture.advance(Duration.ofSeconds(31));
+        assertEquals(fixture.probeCount(), 1);
+        fixture.endProbe(broken, true, false);
+        long trials = fixture.reserveAll(ServiceObjective.RESPONSE_TIME).stream()
                 .filter(broken::equals)
                 .count();
         assertEquals(trials, 1);
-        fixture.end(broken, SendResult.SUCCEEDED);
+        fixture.endTask(broken, SendResult.SUCCEEDED);
         for (int i = 0; i < 2; i++) {
             assertEquals(fixture.reserve(), Optional.of(broken));
-            fixture.end(broken, SendResult.SUCCEEDED);
+            fixture.endTask(broken, SendResult.SUCCEEDED);
         }
         assertEquals(fixture.directory.views().quarantined(), ImmutableSet.of());
-        assertEquals(fixture.fill(ServiceObjective.RESPONSE_TIME).size(), 8);
-        assertEquals(fixture.notes(NoteEvent.ENDPOINT_READMITTED), 1);
+        assertEquals(fixture.reserveAll(ServiceObjective.RESPONSE_TIME).size(), 8);
+        assertEquals(fixture.noteCount(NoteEvent.ENDPOINT_READMITTED), 1);
     }
 
     @Test
-    public void testProbeEnded_brokenEndpointThatAnswersProbesFailsOneTrialOnly() {
+    public void testProbeEnded_firstFailureEndsTheTrial() {
         // The broken worker answers its health address well. Each trial costs a caller a failed job, so one failure
         // ends the trial and the next one comes much later.
         DirectoryFixture fixture = withBrokenOneOut();
-        fixture.pass(Duration.ofSeconds(31));
-        fixture.probed(broken, true, false);
-        List<EndpointId> used = fixture.run(500, KIND, this::failsAtBroken);
+        fixture.advance(Duration.ofSeconds(31));
+        fixture.endProbe(broken, true, false);
+        List<EndpointId> used = fixture.runTasks(500, KIND, this::failsAtBroken);
         assertEquals(Collections.frequency(used, broken), 1);
-        fixture.pass(Duration.ofSeconds(110));
-        assertEquals(fixture.probes(), 1);
-        fixture.pass(Duration.ofSeconds(12));
-        assertEquals(fixture.probes(), 2);
+        fixture.advance(Duration.ofSeconds(110));
+        assertEquals(fixture.probeCount(), 1);
+        fixture.advance(Duration.ofSeconds(12));
+        assertEquals(fixture.probeCount(), 2);
     }
 
     @Test
-    public void testPeerReported_quarantineOfAPeerCounts() {
+    public void testPeerReported_peerQuarantineIsApplied() {
         DirectoryFixture fixture = withTenEndpoints();
         fixture.report(PEER, ImmutableList.of(), ImmutableSet.of(), ImmutableSet.of(broken));
-        assertFalse(fixture.fill(ServiceObjective.RESPONSE_TIME).contains(broken));
+        assertFalse(fixture.reserveAll(ServiceObjective.RESPONSE_TIME).contains(broken));
         assertEquals(
                 fixture.directory.views().quarantined(),
                 ImmutableSet.of(),
                 "a peer's word is not passed on as its own");
         fixture.report(PEER, ImmutableList.of(), ImmutableSet.of(), ImmutableSet.of());
-        assertEquals(fixture.fill(ServiceObjective.RESPONSE_TIME), List.of(broken));
+        assertEquals(fixture.reserveAll(ServiceObjective.RESPONSE_TIME), List.of(broken));
     }
 
     @Test
-    public void testPeerReported_peerThatBlamesAllPutsOutAThird() {
+    public void testPeerReported_peerQuarantinesAllEndpoints() {
         // A peer's own network is broken and every task of it is lost, so it blames all workers. The others must not
         // stop for it.
         DirectoryFixture fixture = withTenEndpoints();
@@ -140,23 +140,23 @@
             all.add(endpoint(number));
         }
         fixture.report(PEER, ImmutableList.of(), ImmutableSet.of(), all.build());
-        assertEquals(fixture.directory.slots(SERVICE), 56);
+        assertEquals(fixture.directory.slotsPerNode(SERVICE), 56);
     }
 
     @Test
-    public void testEnded_connectFailurePutsOutAtOnceUntilProbed() {
+    public void testTaskEnded_connectFailure() {
         DirectoryFixture fixture = withTenEndpoints();
-        fixture.fill(ServiceObjective.RESPONSE_TIME);
-        fixture.end(broken, SendResult.CONNECT_FAILED);
+        fixture.reserveAll(ServiceObjective.RESPONSE_TIME);
+        fixture.endTask(broken, SendResult.CONNECT_FAILED);
         assertFalse(fixture.reserve().isPresent());
-        fixture.pass(Duration.ofSeconds(1));
-        assertEquals(fixture.probes(), 1);
-        fixture.probed(broken, false, false);
-        fixture.pass(Duration.ofMillis(900));
-        assertEquals(fixture.probes(), 1);
-        fixture.pass(Duration.ofSeconds(1));
-        assertEquals(fixture.probes(), 2);
-        fixture.probed(broken, true, false);
+        fixture.advance(Duration.ofSeconds(1));
+        assertEquals(fixture.probeCount(), 1);
+        fixture.endProbe(broken, false, false);
+        fixture.advance(Duration.ofMillis(900));
+        assertEquals(fixture.probeCount(), 1);
+        fixture.advance(Duration.ofSeconds(1));
+        assertEquals(fixture.probeCount(), 2);
+        fixture.endProbe(broken, true, false);
         assertEquals(fixture.directory.views().quarantined(), ImmutableSet.of());
         assertEquals(fixture.health(broken), "live");
     }
@@ -166,35 +166,35 @@
         DirectoryFixture fixture = withTenEndpoints();
         fixture.reserve();
         EndpointId used = fixture.directory.views().loads().get(0).endpoint();
-        fixture.end(used, SendResult.CONNECT_FAILED);
-        fixture.pass(Duration.ofSeconds(7));
-        assertEquals(fixture.probes(), 2);
+        fixture.endTask(used, SendResult.CONNECT_FAILED);
+        fixture.advance(Duration.ofSeconds(7));
+        assertEquals(fixture.probeCount(), 2);
     }
 
     @Test
-    public void testPeerReported_quarantineOfAnEndpointThatIsListedLater() {
+    public void testPeerReported_quarantinedEndpointIsListedLater() {
         DirectoryFixture fixture = new DirectoryFixture();
         fixture.report(PEER, ImmutableList.of(), ImmutableSet.of(), ImmutableSet.of(broken));
-        fixture.list(vms(1, 10, HOBART));
-        assertFalse(fixture.fill(ServiceObjective.RESPONSE_TIME).contains(broken));
+        fixture.readVmList(vms(1, 10, HOBART));
+        assertFalse(fixture.reserveAll(ServiceObjective.RESPONSE_TIME).contains(broken));
     }
 
     @Test
-    public void testTimePassed_onlyTheFirstOfTwoNodesTriesABrokenEndpoint() {
+    public void testTimePassed_endpointQuarantinedByTwoNodes() {
         // Two nodes hold a worker in quarantine. Each trial costs a caller a failed job, so one of them tries it, and
         // the other waits for what comes of it.
         DirectoryFixture fixture = withBrokenOneOut();
         boolean selfFirst = RendezvousHash.rank(DirectoryFixture.SELF, ImmutableSet.of(PEER), broken.value()) == 0;
         fixture.report(PEER, ImmutableList.of(), ImmutableSet.of(), ImmutableSet.of(broken));
-        fixture.pass(Duration.ofSeconds(31));
-        assertEquals(fixture.probes(), selfFirst ? 1 : 0);
+        fixture.advance(Duration.ofSeconds(31));
+        assertEquals(fixture.probeCount(), selfFirst ? 1 : 0);
         fixture.report(PEER, ImmutableList.of(), ImmutableSet.of(), ImmutableSet.of());
-        fixture.pass(Duration.ofSeconds(6));
-        assertTrue(fixture.probes() >= 1);
+        fixture.advance(Duration.ofSeconds(6));
+        assertTrue(fixture.probeCount() >= 1);
     }
 
     @Test
-    public void testReserve_spillsIntoNoDomainThatIsCutOff() {
+    public void testReserve_otherDomainIsCutOff() {
         // The link to launceston is cut while hobart is full. Two tasks find it out; the third must wait for a slot in
         // hobart rather than lose time at the next worker of launceston.
         DirectoryFixture fixture = new DirectoryFixture();
@@ -202,22 +202,22 @@
                 .addAll(vms(1, 1, HOBART))
                 .addAll(vms(2, 11, LAUNCESTON))
                 .build();
-        fixture.list(both);
+        fixture.readVmList(both);
         for (int i = 0; i < 8; i++) {
             assertEquals(fixture.reserve(), Optional.of(broken));
         }
         for (int i = 0; i < 2; i++) {
-            fixture.end(fixture.reserve().get(), SendResult.CONNECT_FAILED);
-            fixture.pass(Duration.ofMillis(1));
+            fixture.endTask(fixture.reserve().get(), SendResult.CONNECT_FAILED);
+            fixture.advance(Duration.ofMillis(1));
         }
         assertFalse(fixture.reserve().isPresent());
-        fixture.pass(Duration.ofSeconds(1));
+        fixture.advance(Duration.ofSeconds(1));
         EndpointId probed = fixture.actions.stream()
                 .filter(ProbeEndpoint.class::isInstance)
                 .map(action -> ((ProbeEndpoint) action).endpoint())
                 .findFirst()
                 .get();
-        fixture.probed(probed, true, false);
+        fixture.endProbe(probed, true, false);
         assertTrue(fixture.reserve().isPresent());
     }
 }
--- a/tarragonarch-core/src/test/java/org/tarragonarch/core/endpoint/EndpointDirectoryLeavingTest.java
+++ b/tarragonarch-core/src/test/java/org/tarragonarch/core/endpoint/EndpointDirectoryLeavingTest.java
@@ -27,71 +27,71 @@
     private final EndpointId first = endpoint(1);
 
     @Test
-    public void testReserve_afterEndpointSaidItLeaves() {
+    public void testReserve_endpointReportedLeaving() {
         // A worker is about to be replaced and says so with an answer. The platform's list lags and calls it live for
         // another minute. Without care the next list would bring it back, and its last tasks would be cut off.
         DirectoryFixture leaving = new DirectoryFixture();
-        leaving.list(vms(1, 2, HOBART));
-        List<EndpointId> before = leaving.fill(ServiceObjective.RESPONSE_TIME);
+        leaving.readVmList(vms(1, 2, HOBART));
+        List<EndpointId> before = leaving.reserveAll(ServiceObjective.RESPONSE_TIME);
         assertTrue(before.contains(first));
-        leaving.endSayingThatItLeaves(first);
-        leaving.list(vms(1, 2, HOBART));
+        leaving.endTaskAsLeaving(first);
+        leaving.readVmList(vms(1, 2, HOBART));
         assertEquals(leaving.directory.views().leaving(), ImmutableSet.of(first));
         assertFalse(leaving.reserve().isPresent());
-        assertEquals(leaving.notes(NoteEvent.ENDPOINT_LEAVING), 1);
+        assertEquals(leaving.noteCount(NoteEvent.ENDPOINT_LEAVING), 1);
     }
 
     @Test
-    public void testReserve_afterDrainingRefusalUntilProbeSaysLive() {
+    public void testReserve_endpointRefusedAsDraining() {
         // A worker's process is restarted in place: it refuses as draining, then serves again under its old address.
         // The list never changes, so only asking the worker itself tells that it is back.
         DirectoryFixture restarted = new DirectoryFixture();
-        restarted.list(vms(1, 1, HOBART));
+        restarted.readVmList(vms(1, 1, HOBART));
         restarted.reserve();
-        restarted.end(first, SendResult.REFUSED_DRAINING);
+        restarted.endTask(first, SendResult.REFUSED_DRAINING);
         assertFalse(restarted.reserve().isPresent());
-        restarted.pass(Duration.ofSeconds(16));
-        assertEquals(restarted.probes(), 1);
-        restarted.probed(first, true, true);
+        restarted.advance(Duration.ofSeconds(16));
+        assertEquals(restarted.probeCount(), 1);
+        restarted.endProbe(first, true, true);
         assertFalse(restarted.reserve().isPresent());
-        restarted.pass(Duration.ofSeconds(16));
-        restarted.probed(first, true, false);
+        restarted.advance(Duration.ofSeconds(16));
+        restarted.endProbe(first, true, false);
         assertEquals(restarted.reserve().get(), first);
     }
 
     /** Guards against a drained failure domain whose endpoints get tasks, also those that are listed later. */
     @Test
-    public void testDrainDomains_noEndpointOfTheDomainGetsTasks() {
+    public void testSetDrainedDomains_noEndpointOfTheDomainGetsTasks() {
         DirectoryFixture drained = new DirectoryFixture();
-        drained.list(vms(1, 1, HOBART));
-        drained.directory.drainDomains(ImmutableSet.of(HOBART), drained.nowNanos, drained.actions::add);
+        drained.readVmList(vms(1, 1, HOBART));
+        drained.directory.setDrainedDomains(ImmutableSet.of(HOBART), drained.nowNanos, drained.actions::add);
         assertFalse(drained.reserve().isPresent());
-        drained.list(vms(1, 2, HOBART));
+        drained.readVmList(vms(1, 2, HOBART));
         assertFalse(drained.reserve().isPresent());
-        drained.directory.drainDomains(ImmutableSet.of(), drained.nowNanos, drained.actions::add);
+        drained.directory.setDrainedDomains(ImmutableSet.of(), drained.nowNanos, drained.actions::add);
         assertTrue(drained.reserve().isPresent());
     }
 
     /** Guards against an endpoint that an operator drained and that comes back with its failure domain. */
     @Test
-    public void testDrainDomains_endpointThatIsDrainedByItselfStaysOut() {
+    public void testSetDrainedDomains_separatelyDrainedEndpoint() {
         DirectoryFixture drained = new DirectoryFixture();
-        drained.list(vms(1, 1, HOBART));
-        drained.directory.drain(first, true, drained.nowNanos, drained.actions::add);
-        drained.directory.drainDomains(ImmutableSet.of(HOBART), drained.nowNanos, drained.actions::add);
-        drained.directory.drainDomains(ImmutableSet.of(), drained.nowNanos, drained.actions::add);
+        drained.readVmList(vms(1, 1, HOBART));
+        drained.directory.setDrained(first, true, drained.nowNanos, drained.actions::add);
+        drained.directory.setDrainedDomains(ImmutableSet.of(HOBART), drained.nowNanos, drained.actions::add);
+        drained.directory.setDrainedDomains(ImmutableSet.of(), drained.nowNanos, drained.actions::add);
         assertFalse(drained.reserve().isPresent());
     }
 
     @Test
-    public void testListed_leavingEndpointWithAnotherAddress() {
+    public void testVmListRead_leavingEndpointWithAnotherAddress() {
         DirectoryFixture replaced = new DirectoryFixture();
-        replaced.list(ImmutableList.of(vm(1, HOBART, VmState.LEAVING, 8)));
+        replaced.readVmList(ImmutableList.of(vm(1, HOBART, VmState.LEAVING, 8)));
         assertFalse(replaced.reserve().isPresent());
-        replaced.list(vms(1, 1, HOBART));
+        replaced.readVmList(vms(1, 1, HOBART));
         assertFalse(replaced.reserve().isPresent());
         VmRecord old = vm(1, HOBART, VmState.LIVE, 8);
-        replaced.list(ImmutableList.of(new VmRecord(
+        replaced.readVmList(ImmutableList.of(new VmRecord(
                 old.name(),
                 VmRole.ENDPOINT,
                 HOBART,
@@ -103,57 +103,57 @@
     }
 
     @Test
-    public void testPeerReported_leavingCountsOnceForEachTimeThePeerLearns() {
+    public void testPeerReported_repeatedLeavingReportIsIgnored() {
         // A peer hears that a worker leaves and repeats it in every report. This node asks the worker, which is back.
         // The peer's old word must not take it out again.
         DirectoryFixture told = new DirectoryFixture();
-        told.list(vms(1, 1, HOBART));
+        told.readVmList(vms(1, 1, HOBART));
         told.report(PEER, ImmutableList.of(), ImmutableSet.of(first), ImmutableSet.of());
         assertFalse(told.reserve().isPresent());
-        told.pass(Duration.ofSeconds(16));
-        told.probed(first, true, false);
+        told.advance(Duration.ofSeconds(16));
+        told.endProbe(first, true, false);
         told.report(PEER, ImmutableList.of(), ImmutableSet.of(first), ImmutableSet.of());
         assertTrue(told.reserve().isPresent());
     }
 
     @Test
-    public void testDrain_holdsForAnEndpointThatIsListedLater() {
+    public void testSetDrained_endpointIsListedLater() {
         DirectoryFixture drained = new DirectoryFixture();
-        drained.directory.drain(first, true, drained.nowNanos, drained.actions::add);
-        drained.list(vms(1, 1, HOBART));
+        drained.directory.setDrained(first, true, drained.nowNanos, drained.actions::add);
+        drained.readVmList(vms(1, 1, HOBART));
         assertFalse(drained.reserve().isPresent());
         assertEquals(drained.health(first), "drained");
-        assertFalse(drained.directory.usable(DirectoryFixture.SERVICE));
-        drained.directory.drain(first, false, drained.nowNanos, drained.actions::add);
+        assertFalse(drained.directory.hasUsableEndpoint(DirectoryFixture.SERVICE));
+        drained.directory.setDrained(first, false, drained.nowNanos, drained.actions::add);
         assertTrue(drained.reserve().isPresent());
     }
 
     @Test
-    public void testListed_missingEndpointKeepsItsRunningTasks() {
+    public void testVmListRead_missingEndpointKeepsItsRunningTasks() {
         DirectoryFixture missing = new DirectoryFixture();
-        missing.list(vms(1, 4, HOBART));
-        missing.fill(ServiceObjective.RESPONSE_TIME);
-        missing.list(vms(2, 4, HOBART));
-        missing.end(first, SendResult.SUCCEEDED);
+        missing.readVmList(vms(1, 4, HOBART));
+        missing.reserveAll(ServiceObjective.RESPONSE_TIME);
+        missing.readVmList(vms(2, 4, HOBART));
+        missing.endTask(first, SendResult.SUCCEEDED);
         assertFalse(missing.reserve().isPresent());
         assertEquals(missing.directory.views().loads().get(0).inFlight(), 7);
         for (int i = 0; i < 7; i++) {
-            missing.end(first, SendResult.SUCCEEDED);
+            missing.endTask(first, SendResult.SUCCEEDED);
         }
         assertEquals(missing.health(first), "unknown");
-        assertEquals(missing.notes(NoteEvent.ENDPOINT_GONE), 1);
+        assertEquals(missing.noteCount(NoteEvent.ENDPOINT_GONE), 1);
     }
 
     @Test
-    public void testListed_emptyOrShrunkenListKeepsWhatWorks() {
+    public void testVmListRead_emptyOrTruncatedList() {
         // The platform has a fault and gives an empty list, then one with two of ten workers. All ten still serve.
         // Believing it would stop the whole failure domain.
-        fixture.list(vms(1, 10, HOBART));
-        fixture.list(ImmutableList.of());
-        assertEquals(fixture.directory.slots(DirectoryFixture.SERVICE), 80);
-        fixture.list(vms(9, 10, HOBART));
-        assertEquals(fixture.directory.slots(DirectoryFixture.SERVICE), 80);
-        fixture.list(vms(2, 10, HOBART));
-        assertEquals(fixture.directory.slots(DirectoryFixture.SERVICE), 72);
+        fixture.readVmList(vms(1, 10, HOBART));
+        fixture.readVmList(ImmutableList.of());
+        assertEquals(fixture.directory.slotsPerNode(DirectoryFixture.SERVICE), 80);
+        fixture.readVmList(vms(9, 10, HOBART));
+        assertEquals(fixture.directory.slotsPerNode(DirectoryFixture.SERVICE), 80);
+        fixture.readVmList(vms(2, 10, HOBART));
+        assertEquals(fixture.directory.slotsPerNode(DirectoryFixture.SERVICE), 72);
     }
 }
--- a/tarragonarch-core/src/test/java/org/tarragonarch/core/endpoint/EndpointDirectoryPlacementTest.java
+++ b/tarragonarch-core/src/test/java/org/tarragonarch/core/endpoint/EndpointDirectoryPlacementTest.java
@@ -35,15 +35,15 @@
 
     private static DirectoryFixture withAPeer() {
         DirectoryFixture fixture = new DirectoryFixture();
-        fixture.directory.aliveNodes(ImmutableSet.of(SELF, PEER), fixture.nowNanos, fixture.actions::add);
-        fixture.list(vms(1, 10, HOBART));
+        fixture.directory.setAliveNodes(ImmutableSet.of(SELF, PEER), fixture.nowNanos, fixture.actions::add);
+        fixture.readVmList(vms(1, 10, HOBART));
         return fixture;
     }
 
     @Test
     public void testReserve_spreadsOverEndpoints() {
         DirectoryFixture fixture = withAPeer();
-        assertEquals(fixture.directory.slots(SERVICE), 40);
+        assertEquals(fixture.directory.slotsPerNode(SERVICE), 40);
         HashSet<EndpointId> used = new HashSet<>();
         for (int i = 0; i < 10; i++) {
             used.add(fixture.reserve().get());
@@ -52,9 +52,9 @@
     }
 
     @Test
-    public void testReserve_borrowsFreeSlotsByFavour() {
-        assertEquals(withABusyPeer().fill(ServiceObjective.RESPONSE_TIME).size(), 50);
-        assertEquals(withABusyPeer().fill(ServiceObjective.FEW_MESSAGES).size(), 40);
+    public void testReserve_borrowsFreeSlotsByObjective() {
+        assertEquals(withABusyPeer().reserveAll(ServiceObjective.RESPONSE_TIME).size(), 50);
+        assertEquals(withABusyPeer().reserveAll(ServiceObjective.FEW_MESSAGES).size(), 40);
     }
 
     /** All callers go to one node while its peer is idle: what is left to the peer would stay empty. */
@@ -63,15 +63,15 @@
         for (ServiceObjective favour : ServiceObjective.values()) {
             DirectoryFixture fixture = withAPeer();
             fixture.nowNanos += Duration.ofSeconds(3).toNanos();
-            assertEquals(fixture.fill(favour).size(), 80);
+            assertEquals(fixture.reserveAll(favour).size(), 80);
         }
     }
 
     /** A peer's work comes in bursts: that it had none in its last report does not say that it has none now. */
     @Test
-    public void testReserve_leavesSlotsToPeersThatWereBusyOfLate() {
-        assertEquals(withAPeer().fill(ServiceObjective.RESPONSE_TIME).size(), 60);
-        assertEquals(withAPeer().fill(ServiceObjective.FEW_MESSAGES).size(), 50);
+    public void testReserve_leavesSlotsToRecentlyBusyPeers() {
+        assertEquals(withAPeer().reserveAll(ServiceObjective.RESPONSE_TIME).size(), 60);
+        assertEquals(withAPeer().reserveAll(ServiceObjective.FEW_MESSAGES).size(), 50);
     }
 
     private static DirectoryFixture withABusyPeer() {
@@ -85,23 +85,25 @@
     }
 
     @Test
-    public void testReserve_leavesSlotsThatPeersReport() {
+    public void testReserve_leavesSlotsUsedByPeers() {
         DirectoryFixture fixture = withAPeer();
         ImmutableList.Builder<EndpointLoad> loads = ImmutableList.builder();
         for (int number = 1; number <= 10; number++) {
             loads.add(new EndpointLoad(endpoint(number), 3));
         }
         fixture.report(PEER, loads.build(), ImmutableSet.of(), ImmutableSet.of());
-        assertEquals(fixture.fill(ServiceObjective.RESPONSE_TIME).size(), 40);
-        fixture.directory.aliveNodes(ImmutableSet.of(SELF), fixture.nowNanos, fixture.actions::add);
+        assertEquals(fixture.reserveAll(ServiceObjective.RESPONSE_TIME).size(), 40);
+        fixture.directory.setAliveNodes(ImmutableSet.of(SELF), fixture.nowNanos, fixture.actions::add);
         assertEquals(
-                fixture.fill(ServiceObjective.RESPONSE_TIME).size(), 40, "a dead peer's tasks do not count for ever");
+                fixture.reserveAll(ServiceObjective.RESPONSE_TIME).size(),
+                40,
+                "a dead peer's tasks do not count for ever");
     }
 
     @Test
-    public void testReserve_avoidsWhatFailedTheTask() {
+    public void testReserve_avoidsEndpointsThatFailedTheTask() {
         DirectoryFixture fixture = new DirectoryFixture();
-        fixture.list(vms(1, 2, HOBART));
+        fixture.readVmList(vms(1, 2, HOBART));
         for (int i = 0; i < 8; i++) {
             assertEquals(
                     fixture.reserve(ServiceObjective.RESPONSE_TIME, endpoint(1)).get(), endpoint(2));
@@ -110,45 +112,45 @@
     }
 
     @Test
-    public void testEnded_refusalCountsUntilItFades() {
+    public void testTaskEnded_busyRefusalDecays() {
         // Peers use slots that they have not reported yet. A refusal tells that all are in use; each slot that counts
         // as
         // free again before one really is costs another refused send, so they come back one at a time.
         DirectoryFixture fixture = new DirectoryFixture();
-        fixture.list(vms(1, 1, HOBART));
+        fixture.readVmList(vms(1, 1, HOBART));
         fixture.reserve();
         fixture.reserve();
-        fixture.end(endpoint(1), SendResult.REFUSED_BUSY);
+        fixture.endTask(endpoint(1), SendResult.REFUSED_BUSY);
         assertFalse(fixture.reserve().isPresent());
-        fixture.end(endpoint(1), SendResult.SUCCEEDED);
+        fixture.endTask(endpoint(1), SendResult.SUCCEEDED);
         assertTrue(fixture.reserve().isPresent(), "the slot that its own task left");
         assertFalse(fixture.reserve().isPresent());
-        fixture.pass(Duration.ofMillis(41));
+        fixture.advance(Duration.ofMillis(41));
         assertTrue(fixture.reserve().isPresent());
         assertFalse(fixture.reserve().isPresent());
-        fixture.end(endpoint(1), SendResult.REFUSED_BUSY);
-        fixture.pass(Duration.ofMillis(41));
+        fixture.endTask(endpoint(1), SendResult.REFUSED_BUSY);
+        fixture.advance(Duration.ofMillis(41));
         assertFalse(fixture.reserve().isPresent(), "the second refusal fades more slowly");
-        fixture.pass(Duration.ofMillis(40));
+        fixture.advance(Duration.ofMillis(40));
         assertTrue(fixture.reserve().isPresent());
     }
 
     @Test
     public void testReserve_ownDomainBeforeOthers() {
         DirectoryFixture fixture = new DirectoryFixture();
-        fixture.list(hobartAndLaunceston());
-        List<EndpointId> used = fixture.fill(ServiceObjective.RESPONSE_TIME);
+        fixture.readVmList(hobartAndLaunceston());
+        List<EndpointId> used = fixture.reserveAll(ServiceObjective.RESPONSE_TIME);
         assertEquals(used.subList(0, 8), Collections.nCopies(8, endpoint(1)));
         assertEquals(used.size(), 14);
     }
 
     @Test
-    public void testReserve_fewMessagesSpillsOnlyWhenOwnDomainIsGone() {
+    public void testReserve_fewMessagesSpillsOnlyWhenOwnDomainIsUnusable() {
         DirectoryFixture fixture = new DirectoryFixture();
-        fixture.list(hobartAndLaunceston());
-        assertFalse(fixture.fill(ServiceObjective.FEW_MESSAGES).contains(endpoint(2)));
-        fixture.end(endpoint(1), SendResult.CONNECT_FAILED);
-        assertTrue(fixture.fill(ServiceObjective.FEW_MESSAGES).contains(endpoint(2)));
+        fixture.readVmList(hobartAndLaunceston());
+        assertFalse(fixture.reserveAll(ServiceObjective.FEW_MESSAGES).contains(endpoint(2)));
+        fixture.endTask(endpoint(1), SendResult.CONNECT_FAILED);
+        assertTrue(fixture.reserveAll(ServiceObjective.FEW_MESSAGES).contains(endpoint(2)));
     }
 
     @Test
@@ -156,7 +158,7 @@
         // Both failure domains are full. Without a pace each end of a task would send all that waits to launceston, to
         // be refused there, and launceston's own nodes would meet the rest.
         DirectoryFixture fixture = new DirectoryFixture();
-        fixture.list(ImmutableList.<VmRecord>builder()
+        fixture.readVmList(ImmutableList.<VmRecord>builder()
                 .addAll(vms(1, 1, HOBART))
                 .addAll(vms(2, 9, LAUNCESTON))
                 .build());
@@ -168,9 +170,9 @@
             Optional<EndpointId> spilled = fixture.reserve();
             if (spilled.isPresent()) {
                 sent++;
-                fixture.end(spilled.get(), SendResult.REFUSED_BUSY);
+                fixture.endTask(spilled.get(), SendResult.REFUSED_BUSY);
             }
-            fixture.pass(Duration.ofMillis(1));
+            fixture.advance(Duration.ofMillis(1));
         }
         assertTrue(sent >= 8 && sent <= 14, "sent " + sent);
     }
