--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/action/NoteEvent.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/action/NoteEvent.java
@@ -36,7 +36,7 @@
     CLAIM_REPLY_LOST,
     /** A claim was lost to another node. */
     CLAIM_LOST,
-    /** This node was paused for longer than its lease; its peer state and its reports to peers start anew. */
+    /** This node was paused for so long that peers discarded its reports; its full state is reported again. */
     SLEPT_PAST_LEASE,
     /** The drain deadline passed and the tasks in flight were cut off. */
     DRAIN_CUT_SHORT
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/claim/ClaimBatcher.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/claim/ClaimBatcher.java
@@ -16,25 +16,26 @@
 import org.tarragonarch.model.platform.Claim;
 
 /**
- * Writes the claims of many submissions in one write, one write at a time.
+ * Groups the claims of many submissions into batches and writes one batch at a time.
  *
- * <p>The platform's table service takes several hundred writes a second from all nodes together. A node that is alone
- * writes at once; with more nodes the writes of each are spaced so that the sum stays within {@link #MAX_WRITES_PER_SECOND}.
- * Not safe for use by several threads.
+ * <p>The platform's table service accepts several hundred writes per second from all nodes together. Each node spaces
+ * its writes by the number of nodes, so that all nodes together stay within {@link #MAX_WRITES_PER_SECOND}.
+ *
+ * <p>Not thread-safe.
  */
 final class ClaimBatcher {
-    /** The part of the table service's writes that all nodes together spend on claims. */
+    /** The maximum rate of claim writes of all nodes together. */
     static final int MAX_WRITES_PER_SECOND = 200;
-    /** A larger batch would make one write slow for all in it. */
+    /** The maximum batch size; a larger batch would delay every claim in it. */
     static final int MAX_BATCH = 500;
-    /** How long to wait before a read whose reply was lost is tried again. */
+    /** How long to wait before repeating a read that received no reply. */
     private static final long READ_RETRY_NANOS = 200_000_000L;
 
     private static final long SECOND_NANOS = 1_000_000_000L;
 
     private final Set<Claim> waiting = new LinkedHashSet<>();
     private List<Claim> inFlight = ImmutableList.of();
-    private boolean readBack;
+    private boolean readingBack;
     private long batch;
     private long nextWriteNanos = Long.MIN_VALUE;
     private long nextReadNanos = Long.MAX_VALUE;
@@ -49,17 +50,17 @@
         waiting.add(claim);
     }
 
-    /** Takes back a claim that is not wanted any more; returns false if its write was started. */
+    /** Removes a claim that is no longer needed; returns false if its write has already started. */
     boolean withdraw(Claim claim) {
         return waiting.remove(claim);
     }
 
-    /** Returns whether a write had no reply and the reads that should settle it have none either. */
+    /** Returns whether a write received no reply and reading it back has not succeeded yet. */
     boolean isStoreUnavailable() {
-        return readBack && !inFlight.isEmpty();
+        return readingBack && !inFlight.isEmpty();
     }
 
-    /** Starts the next write, or reads again, when that is due. */
+    /** Starts the next write or repeats a read, if due. */
     void timePassed(long nowNanos, ActionSink sink) {
         if (nowNanos >= nextReadNanos) {
             nextReadNanos = Long.MAX_VALUE;
@@ -69,19 +70,19 @@
             return;
         }
         List<Claim> claims = new ArrayList<>();
-        Iterator<Claim> oldest = waiting.iterator();
-        while (claims.size() < MAX_BATCH && oldest.hasNext()) {
-            claims.add(oldest.next());
-            oldest.remove();
+        Iterator<Claim> iterator = waiting.iterator();
+        while (claims.size() < MAX_BATCH && iterator.hasNext()) {
+            claims.add(iterator.next());
+            iterator.remove();
         }
         inFlight = claims;
-        readBack = false;
+        readingBack = false;
         batch++;
         nextWriteNanos = nowNanos + writers * (SECOND_NANOS / MAX_WRITES_PER_SECOND);
         sink.emit(new WriteClaims(batch, ImmutableList.copyOf(claims)));
     }
 
-    /** Returns the claims of the batch in flight if this is its number, and takes the batch as done. */
+    /** Completes the batch in flight and returns its claims; returns empty if the number is of another batch. */
     Optional<ImmutableList<Claim>> settle(long settledBatch) {
         if (settledBatch != batch || inFlight.isEmpty()) {
             return Optional.empty();
@@ -93,21 +94,22 @@
     }
 
     /**
-     * Records that no reply came.
+     * Records that a write or read received no reply.
+     *
+     * <p>If the write may have taken effect, the rows are read back. The write is never repeated, since a second write
+     * could find the first one and mistake it for a claim of another node.
      *
-     * <p>A write that may have taken effect is settled by reading the rows back, never by writing again: a second
-     * write could find its own first one and take it for another node's. Returns the claims that certainly were not
-     * written.
+     * @return the claims that were certainly not written
      */
     ImmutableList<Claim> recordNoReply(long uncertainBatch, boolean mayHaveApplied, long nowNanos, ActionSink sink) {
         if (uncertainBatch != batch || inFlight.isEmpty()) {
             return ImmutableList.of();
         }
-        if (!mayHaveApplied && !readBack) {
+        if (!mayHaveApplied && !readingBack) {
             return settle(uncertainBatch).orElseThrow();
         }
-        long wait = readBack ? READ_RETRY_NANOS : 0;
-        readBack = true;
+        long wait = readingBack ? READ_RETRY_NANOS : 0;
+        readingBack = true;
         nextReadNanos = nowNanos + wait;
         sink.emit(Note.of(NoteEvent.CLAIM_REPLY_LOST, Step.CLAIM, "table service", "claims", inFlight.size()));
         timePassed(nowNanos, sink);
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/claim/ClaimSweeper.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/claim/ClaimSweeper.java
@@ -6,14 +6,14 @@
 import org.tarragonarch.core.action.SweepClaims;
 
 /**
- * Has old claims deleted now and then, so that the table does not grow indefinitely.
+ * Periodically requests the deletion of old claims, so that the table does not grow without limit.
  *
- * <p>A key is protected for {@link #RETENTION}. That is far longer than any deadline a kind may have, so a holder that
- * was paused finds its submission's time over long before another node could claim the key again. Every node sweeps, at
- * times of its own, since none is set aside for it and any may be gone.
+ * <p>A claim is kept for {@link #RETENTION}, which is far longer than any deadline of a kind. A node that was paused
+ * therefore finds the deadline of its submission passed long before another node can claim the key again. Every node
+ * sweeps at its own times, since no node is designated for it and any node may fail.
  */
 final class ClaimSweeper {
-    /** How long a claim stands. */
+    /** How long a claim is kept. */
     static final Duration RETENTION = Duration.ofHours(24);
 
     private static final long INTERVAL_NANOS = Duration.ofHours(4).toNanos();
@@ -27,7 +27,7 @@
 
     void timePassed(long nowNanos, ActionSink sink) {
         if (nextNanos == Long.MAX_VALUE) {
-            nextNanos = nowNanos + afterAWhile();
+            nextNanos = nowNanos + randomDelayNanos();
         } else if (nowNanos >= nextNanos) {
             nextNanos = nowNanos + INTERVAL_NANOS;
             sink.emit(new SweepClaims(RETENTION));
@@ -38,8 +38,8 @@
         return nextNanos;
     }
 
-    // Nodes that are started together must not sweep together.
-    private long afterAWhile() {
+    // Keeps nodes that start together from sweeping at the same time.
+    private long randomDelayNanos() {
         return (long) (random.nextDouble() * INTERVAL_NANOS);
     }
 }
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/claim/HolderQuestions.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/claim/HolderQuestions.java
@@ -12,26 +12,26 @@
 import org.tarragonarch.model.id.ClaimKey;
 import org.tarragonarch.model.id.NodeId;
 
-/** The submissions whose answer was asked for at the node that holds their key. */
+/** The submissions that wait for an answer from the node that holds their key. */
 final class HolderQuestions {
-    private final Map<NodeId, Set<Submission>> asking = new HashMap<>();
+    private final Map<NodeId, Set<Submission>> waitingByHolder = new HashMap<>();
 
-    /** Asks the node that holds the key for the submission's answer. */
+    /** Asks the node that holds the key for the answer to the submission. */
     void ask(Submission submission, ClaimKey key, NodeId holder, ActionSink sink) {
         submission.stage(Stage.ASKING_HOLDER);
-        asking.computeIfAbsent(holder, node -> new LinkedHashSet<>()).add(submission);
+        waitingByHolder.computeIfAbsent(holder, node -> new LinkedHashSet<>()).add(submission);
         sink.emit(new AskPeerAnswer(holder, submission.id(), key));
     }
 
-    /** Drops the question of a submission that has ended. */
+    /** Removes a submission that has ended. */
     void remove(Submission submission) {
         if (submission.stage() == Stage.ASKING_HOLDER) {
-            asking.values().forEach(waiting -> waiting.remove(submission));
+            waitingByHolder.values().forEach(waiting -> waiting.remove(submission));
         }
     }
 
-    /** Returns the submissions that wait for an answer of this node. */
+    /** Returns the submissions that wait for an answer from the given node. */
     ImmutableList<Submission> waitingFor(NodeId holder) {
-        return ImmutableList.copyOf(asking.getOrDefault(holder, Set.of()));
+        return ImmutableList.copyOf(waitingByHolder.getOrDefault(holder, Set.of()));
     }
 }
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/claim/IdempotencyKeys.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/claim/IdempotencyKeys.java
@@ -32,22 +32,23 @@
 import org.tarragonarch.model.platform.Claim;
 
 /**
- * Sees to it that submissions under one key run at most once between them.
+ * Ensures that at most one of the submissions under an idempotency key runs.
  *
- * <p>On one node, a second submission joins the first or gets its answer again. Between nodes, a claim in the table
- * service decides before the first task starts; the loser asks the winner for its answer. A kind declared idempotent
- * needs no claim: running it on two nodes does no harm, and so it lives through an outage of the store. Not safe for
- * use by several threads.
+ * <p>On one node, a second submission joins the first or gets the same answer. Between nodes, a claim in the table
+ * service decides before the first task starts, and the losing node asks the winner for its answer. Idempotent kinds
+ * need no claim, since running them on two nodes is harmless, and so stay available when the table service is not.
+ *
+ * <p>Not thread-safe.
  */
 public final class IdempotencyKeys implements EndListener {
     private final NodeIdentity self;
     private final Duration claimTimeout;
     private final Map<ClaimKey, KeyEntry> entries = new HashMap<>();
     private final Deque<Submission> claiming = new ArrayDeque<>();
-    private final HolderQuestions asking = new HolderQuestions();
+    private final HolderQuestions holderQuestions = new HolderQuestions();
     private final ReleasedClaims released = new ReleasedClaims();
     private final ClaimBatcher batcher = new ClaimBatcher();
-    private final KeptAnswers kept;
+    private final KeptAnswers keptAnswers;
     private final ClaimSweeper sweeper;
     private Dispatcher dispatcher;
 
@@ -55,17 +56,17 @@
         this.self = checkNotNull(self, "self");
         this.claimTimeout = policy.claimTimeout();
         this.sweeper = new ClaimSweeper(random);
-        this.kept = new KeptAnswers(policy.keptAnswer().toNanos(), policy.maxKeptAnswers());
+        this.keptAnswers = new KeptAnswers(policy.keptAnswer().toNanos(), policy.maxKeptAnswers());
     }
 
-    /** Returns a table without keys; {@link #connect} must follow. */
+    /** Returns an empty table; {@link #connect} must be called before use. */
     public static IdempotencyKeys create(NodeIdentity self, NodePolicy policy, Random random) {
         return new IdempotencyKeys(self, policy, random);
     }
 
-    /** Connects the dispatcher, which in turn reports ends to this table. */
-    public void connect(Dispatcher connected) {
-        dispatcher = connected;
+    /** Sets the dispatcher, which in turn reports ended submissions to this table. */
+    public void connect(Dispatcher newDispatcher) {
+        dispatcher = newDispatcher;
     }
 
     /** Sets how many nodes write claims to the same table service. */
@@ -73,7 +74,7 @@
         batcher.setWriters(count);
     }
 
-    /** Records a submission with a key, which was taken and has no answer yet. */
+    /** Processes an admitted submission with a key. */
     public void submissionArrived(Submission submission, long nowNanos, ActionSink sink) {
         ClaimKey key = submission.claimKey().orElseThrow();
         KeyEntry entry = entries.get(key);
@@ -89,7 +90,7 @@
         }
     }
 
-    /** Returns whether other submissions wait for the answer of this one. */
+    /** Returns whether other submissions or peers wait for the answer to this one. */
     public boolean isAwaited(Submission submission) {
         KeyEntry entry = submission.claimKey().map(entries::get).orElse(null);
         return entry != null
@@ -99,38 +100,38 @@
 
     @Override
     public void ended(Submission submission, Optional<Problem> problem, long nowNanos, ActionSink sink) {
-        asking.remove(submission);
+        holderQuestions.remove(submission);
         KeyEntry entry = submission.claimKey().map(entries::get).orElse(null);
         if (entry == null || !entry.isRunBy(submission)) {
             return;
         }
         entry.recordAnswer(problem);
         if (entry.endedWithoutRun() && entry.isClaimRequested() && !batcher.withdraw(entry.claim())) {
-            // The caller may send it again, to any node: the claim must not stand in the way.
+            // Releases the key, since the caller may submit again to any node.
             released.release(entry.claim(), sink);
         }
-        kept.add(entry, nowNanos);
+        keptAnswers.add(entry, nowNanos);
         ImmutableList.copyOf(entry.joined()).forEach(joined -> answerLike(entry, joined, nowNanos, sink));
         entry.questions().forEach(question -> question.sendAnswer(entry, sink));
         entry.joined().clear();
         entry.questions().clear();
     }
 
-    /** Processes what became of a batch of claims, written or read back. */
+    /** Processes the results of a batch of claims that was written or read back. */
     public void claimsSettled(long batch, ImmutableList<ClaimResult> results, long nowNanos, ActionSink sink) {
         if (batcher.settle(batch).isPresent()) {
             results.forEach(result -> settle(result, nowNanos, sink));
         }
     }
 
-    /** Records that a batch of claims had no reply. */
+    /** Records that a write or read of a batch of claims received no reply. */
     public void claimsUncertain(long batch, boolean mayHaveApplied, long nowNanos, ActionSink sink) {
         for (Claim unwritten : batcher.recordNoReply(batch, mayHaveApplied, nowNanos, sink)) {
             claimant(unwritten).ifPresent(submission -> unavailable(submission, nowNanos, sink));
         }
     }
 
-    /** Records a peer's question for the answer under a key. */
+    /** Processes a peer's question for the answer under a key. */
     public void peerAnswerAsked(PeerAnswerAsked asked, ActionSink sink) {
         PeerQuestion question = new PeerQuestion(asked.peer(), asked.question());
         KeyEntry entry = entries.get(asked.key());
@@ -143,7 +144,7 @@
         }
     }
 
-    /** Records the answer of the node that holds a key. */
+    /** Processes the answer of the node that holds a key. */
     public void peerAnswerArrived(Submission waiting, PeerAnswerArrived arrived, long nowNanos, ActionSink sink) {
         if (waiting.stage() != Stage.ASKING_HOLDER) {
             return;
@@ -151,25 +152,26 @@
         switch (arrived.outcome()) {
             case COMPLETE -> dispatcher.endFromPeer(waiting, nowNanos, sink);
             case PROBLEM -> dispatcher.end(waiting, arrived.problem(), nowNanos, sink);
-            case NOT_TO_BE_HAD -> heldElsewhere(waiting, "the node that holds the key gives no answer", nowNanos, sink);
+            case NOT_TO_BE_HAD ->
+                heldElsewhere(waiting, "the node that holds the key has no answer or is unreachable", nowNanos, sink);
             default -> throw new AssertionError(arrived.outcome());
         }
     }
 
     /**
-     * Gives up on answers from a node that fell silent.
+     * Ends the submissions that wait for an answer from a node that no longer reports.
      *
-     * <p>A frozen holder keeps its connections open, so nothing else would tell its askers before their deadlines.
+     * <p>A frozen node keeps its connections open, so otherwise the submissions would wait until their deadlines.
      */
     public void holderSilent(NodeId holder, long nowNanos, ActionSink sink) {
-        for (Submission submission : asking.waitingFor(holder)) {
-            heldElsewhere(submission, "the node that holds the key fell silent", nowNanos, sink);
+        for (Submission submission : holderQuestions.waitingFor(holder)) {
+            heldElsewhere(submission, "the node that holds the key stopped reporting", nowNanos, sink);
         }
     }
 
-    /** Writes the claims that wait, gives up on those that took too long, and forgets old answers. */
+    /** Writes waiting claims, ends submissions whose claims timed out, and discards expired answers. */
     public void timePassed(long nowNanos, ActionSink sink) {
-        while (!claiming.isEmpty() && claimOver(claiming.peek(), nowNanos)) {
+        while (!claiming.isEmpty() && isClaimOver(claiming.peek(), nowNanos)) {
             Submission oldest = claiming.remove();
             if (oldest.stage() == Stage.CLAIMING) {
                 unavailable(oldest, nowNanos, sink);
@@ -177,20 +179,20 @@
         }
         batcher.timePassed(nowNanos, sink);
         sweeper.timePassed(nowNanos, sink);
-        Optional<KeyEntry> old = kept.pollExpired(nowNanos);
-        while (old.isPresent()) {
-            forget(old.get(), sink);
-            old = kept.pollExpired(nowNanos);
+        Optional<KeyEntry> expired = keptAnswers.pollExpired(nowNanos);
+        while (expired.isPresent()) {
+            forget(expired.get(), sink);
+            expired = keptAnswers.pollExpired(nowNanos);
         }
     }
 
     /** Returns when {@link #timePassed} is next due. */
     public long nextWakeNanos() {
         long claimEnd = claiming.isEmpty() ? Long.MAX_VALUE : claiming.peek().arrivedNanos() + claimTimeout.toNanos();
-        return Longs.min(claimEnd, batcher.nextWakeNanos(), kept.nextWakeNanos(), sweeper.nextWakeNanos());
+        return Longs.min(claimEnd, batcher.nextWakeNanos(), keptAnswers.nextWakeNanos(), sweeper.nextWakeNanos());
     }
 
-    private boolean claimOver(Submission submission, long nowNanos) {
+    private boolean isClaimOver(Submission submission, long nowNanos) {
         return submission.stage() != Stage.CLAIMING || submission.arrivedNanos() + claimTimeout.toNanos() <= nowNanos;
     }
 
@@ -223,7 +225,7 @@
         Optional<Submission> claimant = claimant(result.wanted());
         if (claimant.isEmpty()) {
             if (result.won()) {
-                // The submission ended while its claim was being written: nothing ran, so the key goes free again.
+                // The submission ended before its claim was written. Nothing ran, so the key is released.
                 released.release(result.wanted(), sink);
             }
             return;
@@ -234,13 +236,13 @@
         } else if (result.standing().isEmpty()) {
             unavailable(submission, nowNanos, sink);
         } else {
-            lost(submission, result.wanted(), result.standing().get(), nowNanos, sink);
+            claimLost(submission, result.wanted(), result.standing().get(), nowNanos, sink);
         }
     }
 
-    private void lost(Submission submission, Claim wanted, Claim standing, long nowNanos, ActionSink sink) {
+    private void claimLost(Submission submission, Claim wanted, Claim standing, long nowNanos, ActionSink sink) {
         if (released.contains(standing)) {
-            // An earlier submission of this run ended not-run and its claim's deletion is still on its way.
+            // The claim belongs to an earlier submission of this node that did not run; its deletion is still pending.
             released.release(standing, sink);
             batcher.add(wanted);
             return;
@@ -249,7 +251,7 @@
         if (!standing.content().equals(wanted.content())) {
             dispatcher.end(submission, Optional.of(KeyProblems.keyReused(wanted.key())), nowNanos, sink);
         } else if (standing.node().equals(self.node())) {
-            heldElsewhere(submission, "this node held the key before and has no answer for it", nowNanos, sink);
+            heldElsewhere(submission, "this node claimed the key before and no longer has the answer", nowNanos, sink);
         } else {
             askHolder(submission, wanted.key(), standing.node(), sink);
         }
@@ -257,12 +259,12 @@
 
     private void askHolder(Submission submission, ClaimKey key, NodeId holder, ActionSink sink) {
         KeyEntry entry = entries.remove(key);
-        asking.ask(submission, key, holder, sink);
-        entry.joined().forEach(joined -> asking.ask(joined, key, holder, sink));
+        holderQuestions.ask(submission, key, holder, sink);
+        entry.joined().forEach(joined -> holderQuestions.ask(joined, key, holder, sink));
         entry.questions().forEach(question -> question.sendNoAnswer(sink));
     }
 
-    // The submission that wants this claim, if it still waits for it.
+    /** Returns the submission that requested the claim, if it still waits for it. */
     private Optional<Submission> claimant(Claim claim) {
         return Optional.ofNullable(entries.get(claim.key()))
                 .filter(entry -> entry.claim().token().equals(claim.token()))
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/claim/KeptAnswers.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/claim/KeptAnswers.java
@@ -4,24 +4,24 @@
 import java.util.Deque;
 import java.util.Optional;
 
-/** The answered entries in the order in which they are forgotten, bounded in time and number. */
+/** The answered entries, oldest first, limited in age and number. */
 final class KeptAnswers {
     private final long keptNanos;
-    private final int most;
+    private final int maxKept;
     private final Deque<Kept> kept = new ArrayDeque<>();
 
-    KeptAnswers(long keptNanos, int most) {
+    KeptAnswers(long keptNanos, int maxKept) {
         this.keptNanos = keptNanos;
-        this.most = most;
+        this.maxKept = maxKept;
     }
 
     void add(KeyEntry entry, long nowNanos) {
         kept.add(new Kept(entry, nowNanos + keptNanos));
     }
 
-    /** Takes out one entry whose time is over, or the oldest if there are too many. */
+    /** Removes and returns the oldest entry if it has expired or there are too many entries. */
     Optional<KeyEntry> pollExpired(long nowNanos) {
-        if (kept.isEmpty() || (kept.size() <= most && kept.peek().untilNanos() > nowNanos)) {
+        if (kept.isEmpty() || (kept.size() <= maxKept && kept.peek().untilNanos() > nowNanos)) {
             return Optional.empty();
         }
         return Optional.of(kept.remove().entry());
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/claim/KeyEntry.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/claim/KeyEntry.java
@@ -9,46 +9,46 @@
 import org.tarragonarch.model.outcome.Problem;
 import org.tarragonarch.model.platform.Claim;
 
-/** What this node knows under one key: the submission that runs for it, its answer, and who else waits for that. */
+/** The state of one key at this node: the submission that runs, its answer, and who else waits for the answer. */
 final class KeyEntry {
     private final SubmissionId submissionId;
     private final boolean idempotent;
     private final Claim claim;
     private final List<Submission> joined = new ArrayList<>();
     private final List<PeerQuestion> questions = new ArrayList<>();
-    // Released with the answer: a job of 110 tasks holds some 17 KB, and thousands of answers are kept.
+    // Cleared with the answer to free memory: a job of 110 tasks takes about 17 KB, and thousands of answers are kept.
     private Optional<Submission> runningSubmission;
     private boolean claimRequested;
     private boolean answered;
     private Optional<Problem> problem = Optional.empty();
 
-    KeyEntry(Submission holder, Claim claim) {
-        this.submissionId = holder.id();
-        this.idempotent = holder.kind().idempotent();
-        this.runningSubmission = Optional.of(holder);
+    KeyEntry(Submission submission, Claim claim) {
+        this.submissionId = submission.id();
+        this.idempotent = submission.kind().idempotent();
+        this.runningSubmission = Optional.of(submission);
         this.claim = claim;
     }
 
-    /** Returns the submission that runs for the key. */
+    /** Returns the id of the submission that runs, or ran, under the key. */
     SubmissionId submissionId() {
         return submissionId;
     }
 
-    /** Returns the submission that runs for the key, until it is answered. */
+    /** Returns the submission that runs under the key; empty once it is answered. */
     Optional<Submission> runningSubmission() {
         return runningSubmission;
     }
 
-    /** Returns whether this submission runs for the key and is not answered yet. */
+    /** Returns whether the given submission runs under the key and is not answered yet. */
     boolean isRunBy(Submission submission) {
-        return runningSubmission.filter(holder -> holder == submission).isPresent();
+        return runningSubmission.filter(running -> running == submission).isPresent();
     }
 
     /**
-     * Returns whether a submission under the key may run although one was answered.
+     * Returns whether a new submission may run although an earlier one was answered.
      *
-     * <p>What did not run may; and work of an idempotent kind that failed or got lost does no harm by running once
-     * more, while its caller would read the same failure for as long as the answer is kept.
+     * <p>It may if the earlier one did not run. It also may if the kind is idempotent and the earlier one failed, since
+     * otherwise the caller would get the same failure for as long as the answer is kept.
      */
     boolean mayRunAgain() {
         return answered && (endedWithoutRun() || (idempotent && problem.isPresent()));
@@ -62,7 +62,7 @@
         claimRequested = true;
     }
 
-    /** Returns whether the claim was handed over to be written; kinds declared idempotent need none. */
+    /** Returns whether the claim was passed on for writing; idempotent kinds need no claim. */
     boolean isClaimRequested() {
         return claimRequested;
     }
@@ -75,9 +75,9 @@
         return questions;
     }
 
-    void recordAnswer(Optional<Problem> why) {
+    void recordAnswer(Optional<Problem> newProblem) {
         answered = true;
-        problem = why;
+        problem = newProblem;
         runningSubmission = Optional.empty();
     }
 
@@ -93,8 +93,9 @@
         return problem;
     }
 
-    /** Returns whether the submission ended without running, so that the key may be used again. */
+    /** Returns whether the submission ended without running, which frees the key. */
     boolean endedWithoutRun() {
-        return problem.filter(why -> why.code().outcome() == Outcome.NOT_RUN).isPresent();
+        return problem.filter(value -> value.code().outcome() == Outcome.NOT_RUN)
+                .isPresent();
     }
 }
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/claim/KeyProblems.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/claim/KeyProblems.java
@@ -7,13 +7,13 @@
 import org.tarragonarch.model.outcome.ProblemCode;
 import org.tarragonarch.model.outcome.Step;
 
-/** The problems that end a submission because of its idempotency key. */
+/** Creates the problems that end a submission because of its idempotency key. */
 final class KeyProblems {
     private static final String TABLE_SERVICE = "table service";
 
     private KeyProblems() {}
 
-    /** The claim could not be written or read in time. */
+    /** Returns the problem of a claim that could not be written or read in time. */
     static Problem claimUnavailable(Duration claimTimeout) {
         return Problem.of(
                         ProblemCode.CLAIM_UNAVAILABLE,
@@ -23,17 +23,17 @@
                 .withRetryAfter(ComeBack.within(claimTimeout));
     }
 
-    /** Another node, or an earlier run of this one, holds the key and gives no answer. */
+    /** Returns the problem of a key held by another node, or by an earlier incarnation, without an answer. */
     static Problem heldElsewhere(String detail) {
         return Problem.of(ProblemCode.HELD_ELSEWHERE, Step.CLAIM, TABLE_SERVICE, detail);
     }
 
-    /** The key was used for other content. */
+    /** Returns the problem of a key that was used with different content. */
     static Problem keyReused(ClaimKey key) {
         return Problem.of(
                 ProblemCode.KEY_REUSED,
                 Step.CLAIM,
                 "caller",
-                "the idempotency key " + key.key() + " came before with other content");
+                "the idempotency key " + key.key() + " was used before with different content");
     }
 }
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/claim/PeerQuestion.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/claim/PeerQuestion.java
@@ -10,10 +10,10 @@
  * A peer's question for the answer under a key.
  *
  * @param peer the asking node
- * @param question the peer's number for it
+ * @param question the number that the peer gave its question
  */
 record PeerQuestion(NodeId peer, long question) {
-    /** Gives the peer the answer of a key that has one. */
+    /** Sends the peer the answer of an answered key. */
     void sendAnswer(KeyEntry entry, ActionSink sink) {
         PeerAnswer answer = entry.isComplete() ? PeerAnswer.COMPLETE : PeerAnswer.PROBLEM;
         sink.emit(new GivePeerAnswer(
@@ -24,7 +24,7 @@
                 entry.problem()));
     }
 
-    /** Says that there is no answer. */
+    /** Tells the peer that this node has no answer under the key. */
     void sendNoAnswer(ActionSink sink) {
         sink.emit(new GivePeerAnswer(peer, question, PeerAnswer.NOT_TO_BE_HAD, Optional.empty(), Optional.empty()));
     }
