--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/configuration/ConfigurationReplica.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/configuration/ConfigurationReplica.java
@@ -32,16 +32,16 @@
 public final class ConfigurationReplica {
     private static final long LOAD_PATIENCE_NANOS = Duration.ofSeconds(2).toNanos();
 
-    private final RowWatch row;
+    private final RowTracker row;
     private final Source store = Source.store();
     private final PeerSources peers = new PeerSources();
     private Optional<ServiceCatalog> inForce = Optional.empty();
-    private Optional<Attempt> attempt = Optional.empty();
+    private Optional<LoadAttempt> attempt = Optional.empty();
     private long newsNanos = Long.MIN_VALUE;
     private long retryNanos = Long.MAX_VALUE;
 
     private ConfigurationReplica(NodePolicy policy) {
-        this.row = new RowWatch(policy.configurationInterval());
+        this.row = new RowTracker(policy.configurationInterval());
     }
 
     /** Returns a keeper that has no configuration. */
@@ -51,7 +51,7 @@
 
     /** Records a read of the row, which may be stale. */
     public void rowRead(Optional<ConfigurationRow> read, long nowNanos, ActionSink sink) {
-        row.read(read);
+        row.readSucceeded(read);
         ConfigurationVersion version = read.map(ConfigurationRow::version).orElse(ConfigurationVersion.NONE);
         if (version().newerThan(version)) {
             refuse(version, "store", sink);
@@ -61,27 +61,28 @@
 
     /** Records that the row could not be read. */
     public void rowFailed(long nowNanos, ActionSink sink) {
-        row.failed();
+        row.readFailed();
         pursue(nowNanos, sink);
     }
 
     /** Records that a peer has a version in force. */
-    public void peerHas(NodeId peer, ConfigurationVersion version, long nowNanos, ActionSink sink) {
+    public void peerVersionReported(NodeId peer, ConfigurationVersion version, long nowNanos, ActionSink sink) {
         if (!version.newerThan(version())) {
             peers.remove(peer);
             return;
         }
-        if (version.newerThan(peers.highest()) && version.newerThan(row.highestVersion())) {
+        if (version.newerThan(peers.highestVersion()) && version.newerThan(row.highestVersion())) {
             newsNanos = nowNanos;
         }
-        peers.has(peer, version);
+        peers.update(peer, version);
         pursue(nowNanos, sink);
     }
 
     /** Records a configuration that was loaded; returns whether it is now in force. */
     public boolean loaded(ConfigurationLoaded event, long nowNanos, ActionSink sink) {
         ServiceCatalog catalog = event.catalog();
-        Optional<Attempt> answered = attempt.filter(asked -> !asked.version().newerThan(catalog.version()));
+        Optional<LoadAttempt> answered =
+                attempt.filter(asked -> !asked.version().newerThan(catalog.version()));
         if (answered.isPresent()) {
             attempt = Optional.empty();
         }
@@ -90,7 +91,7 @@
             adopt(event, answered, sink);
         } else if (!sameAsInForce(catalog)) {
             refuse(catalog.version(), event.source(), sink);
-            answered.ifPresent(asked -> asked.source().failed(nowNanos));
+            answered.ifPresent(asked -> asked.source().recordFailure(nowNanos));
         }
         pursue(nowNanos, sink);
         return adopted;
@@ -98,9 +99,9 @@
 
     /** Records that a configuration could not be loaded. */
     public void loadFailed(ConfigurationLoadFailed event, long nowNanos, ActionSink sink) {
-        Optional<Attempt> failed = attempt.filter(asked -> asked.version().equals(event.version()));
+        Optional<LoadAttempt> failed = attempt.filter(asked -> asked.version().equals(event.version()));
         if (failed.isPresent()) {
-            failed.get().source().failed(nowNanos);
+            failed.get().source().recordFailure(nowNanos);
             attempt = Optional.empty();
         }
         pursue(nowNanos, sink);
@@ -131,23 +132,23 @@
         return inForce.map(ServiceCatalog::version).orElse(ConfigurationVersion.NONE);
     }
 
-    private void adopt(ConfigurationLoaded event, Optional<Attempt> answered, ActionSink sink) {
+    private void adopt(ConfigurationLoaded event, Optional<LoadAttempt> answered, ActionSink sink) {
         inForce = Optional.of(event.catalog());
-        answered.ifPresent(asked -> asked.source().worked());
-        peers.keepNewerThan(event.catalog().version());
+        answered.ifPresent(asked -> asked.source().recordSuccess());
+        peers.retainNewerThan(event.catalog().version());
         sink.emit(new ConfigurationInForce(event.catalog(), event.source()));
     }
 
     /** Does the next step towards a newer version, if one is known and no load is under way. */
     private void pursue(long nowNanos, ActionSink sink) {
         retryNanos = Long.MAX_VALUE;
-        if (attempt.isPresent() && nowNanos >= attempt.get().patienceEndsNanos()) {
-            attempt.get().source().failed(nowNanos);
+        if (attempt.isPresent() && nowNanos >= attempt.get().timeoutNanos()) {
+            attempt.get().source().recordFailure(nowNanos);
             attempt = Optional.empty();
         }
         if (attempt.isPresent()) {
-            retryNanos = attempt.get().patienceEndsNanos();
-        } else if (peers.highest().newerThan(row.highestVersion())) {
+            retryNanos = attempt.get().timeoutNanos();
+        } else if (peers.highestVersion().newerThan(row.highestVersion())) {
             pursuePeersVersion(nowNanos, sink);
         } else if (row.highestVersion().newerThan(version()) && !loadFromStore(nowNanos, sink)) {
             loadFromPeer(nowNanos, sink);
@@ -159,18 +160,18 @@
      * text comes from the store; asks the peer if the store fails, is slow, or gives a stale row.
      */
     private void pursuePeersVersion(long nowNanos, ActionSink sink) {
-        if (row.answers() && !row.askedSince(newsNanos)) {
+        if (row.isStoreResponding() && !row.readStartedSince(newsNanos)) {
             readRow(nowNanos, sink);
         }
-        if (row.worthWaiting(nowNanos)) {
-            retryNanos = row.patienceEndsNanos();
+        if (row.shouldAwaitRead(nowNanos)) {
+            retryNanos = row.readTimeoutNanos();
         } else if (!loadFromPeer(nowNanos, sink) && row.highestVersion().newerThan(version())) {
             loadFromStore(nowNanos, sink);
         }
     }
 
     private boolean loadFromStore(long nowNanos, ActionSink sink) {
-        if (!store.usable(nowNanos)) {
+        if (!store.isUsable(nowNanos)) {
             retryNanos = Math.min(retryNanos, store.usableFromNanos());
             return false;
         }
@@ -180,9 +181,9 @@
     }
 
     private boolean loadFromPeer(long nowNanos, ActionSink sink) {
-        Optional<PeerSources.Known> best = peers.best(nowNanos);
+        Optional<PeerSources.VersionedSource> best = peers.bestUsable(nowNanos);
         if (best.isEmpty()) {
-            retryNanos = Math.min(retryNanos, peers.usableFromNanos());
+            retryNanos = Math.min(retryNanos, peers.nextUsableNanos());
             return false;
         }
         ConfigurationVersion version = best.get().version();
@@ -196,13 +197,13 @@
             Optional<ContentDigest> digest,
             long nowNanos,
             ActionSink sink) {
-        attempt = Optional.of(new Attempt(source, version, nowNanos + LOAD_PATIENCE_NANOS));
+        attempt = Optional.of(new LoadAttempt(source, version, nowNanos + LOAD_PATIENCE_NANOS));
         retryNanos = nowNanos + LOAD_PATIENCE_NANOS;
         sink.emit(new LoadConfiguration(version, digest, source.peer()));
     }
 
     private void readRow(long nowNanos, ActionSink sink) {
-        row.asked(nowNanos);
+        row.readStarted(nowNanos);
         sink.emit(new ReadConfigurationRow());
     }
 
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/configuration/Attempt.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/configuration/LoadAttempt.java
@@ -7,6 +7,6 @@
  *
  * @param source where it was asked for
  * @param version the version asked for
- * @param patienceEndsNanos when it counts as failed; what comes later is still looked at
+ * @param timeoutNanos when it counts as failed; what comes later is still looked at
  */
-record Attempt(Source source, ConfigurationVersion version, long patienceEndsNanos) {}
+record LoadAttempt(Source source, ConfigurationVersion version, long timeoutNanos) {}
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/configuration/PeerSources.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/configuration/PeerSources.java
@@ -13,15 +13,15 @@
     /** More than enough to find one that answers. */
     private static final int MAX_PEERS = 64;
 
-    private final Map<NodeId, Known> known = new LinkedHashMap<>();
+    private final Map<NodeId, VersionedSource> known = new LinkedHashMap<>();
 
     /** Records that a peer has a version newer than the own. */
-    void has(NodeId peer, ConfigurationVersion version) {
-        Known before = known.get(peer);
+    void update(NodeId peer, ConfigurationVersion version) {
+        VersionedSource before = known.get(peer);
         if (before != null) {
-            known.put(peer, new Known(before.source(), version));
+            known.put(peer, new VersionedSource(before.source(), version));
         } else if (known.size() < MAX_PEERS) {
-            known.put(peer, new Known(Source.peer(peer), version));
+            known.put(peer, new VersionedSource(Source.peer(peer), version));
         }
     }
 
@@ -29,22 +29,25 @@
         known.remove(peer);
     }
 
-    void keepNewerThan(ConfigurationVersion version) {
+    void retainNewerThan(ConfigurationVersion version) {
         known.values().removeIf(peer -> !peer.version().newerThan(version));
     }
 
     /** Returns the most recent version that a peer has. */
-    ConfigurationVersion highest() {
-        return known.values().stream().map(Known::version).max(naturalOrder()).orElse(ConfigurationVersion.NONE);
+    ConfigurationVersion highestVersion() {
+        return known.values().stream()
+                .map(VersionedSource::version)
+                .max(naturalOrder())
+                .orElse(ConfigurationVersion.NONE);
     }
 
     /** Returns the peer to ask now, if there is one. */
-    Optional<Known> best(long nowNanos) {
-        Optional<Known> best = Optional.empty();
-        for (Known peer : known.values()) {
+    Optional<VersionedSource> bestUsable(long nowNanos) {
+        Optional<VersionedSource> best = Optional.empty();
+        for (VersionedSource peer : known.values()) {
             boolean better =
                     best.isEmpty() || peer.version().newerThan(best.get().version());
-            if (better && peer.source().usable(nowNanos)) {
+            if (better && peer.source().isUsable(nowNanos)) {
                 best = Optional.of(peer);
             }
         }
@@ -52,7 +55,7 @@
     }
 
     /** Returns when a peer may next be asked. */
-    long usableFromNanos() {
+    long nextUsableNanos() {
         return known.values().stream()
                 .mapToLong(peer -> peer.source().usableFromNanos())
                 .min()
@@ -60,5 +63,5 @@
     }
 
     /** A peer with the version it has. */
-    record Known(Source source, ConfigurationVersion version) {}
+    record VersionedSource(Source source, ConfigurationVersion version) {}
 }
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/configuration/RowWatch.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/configuration/RowTracker.java
@@ -6,7 +6,7 @@
 import org.tarragonarch.model.platform.ConfigurationRow;
 
 /** The reads of the configuration row: when the next is due, and the highest row ever seen. */
-final class RowWatch {
+final class RowTracker {
     /** How long a read may take before the node stops waiting for it and asks a peer. */
     private static final long PATIENCE_NANOS = Duration.ofMillis(500).toNanos();
 
@@ -17,7 +17,7 @@
     private boolean pending;
     private boolean failing;
 
-    RowWatch(Duration interval) {
+    RowTracker(Duration interval) {
         this.intervalNanos = interval.toNanos();
     }
 
@@ -34,13 +34,13 @@
         return nextReadNanos;
     }
 
-    void asked(long nowNanos) {
+    void readStarted(long nowNanos) {
         askedNanos = nowNanos;
         pending = true;
         nextReadNanos = nowNanos + intervalNanos;
     }
 
-    void read(Optional<ConfigurationRow> row) {
+    void readSucceeded(Optional<ConfigurationRow> row) {
         pending = false;
         failing = false;
         if (row.isPresent() && row.get().version().newerThan(highestVersion())) {
@@ -48,27 +48,27 @@
         }
     }
 
-    void failed() {
+    void readFailed() {
         pending = false;
         failing = true;
     }
 
     /** Returns whether a read was asked for since then, answered or not. */
-    boolean askedSince(long nanos) {
+    boolean readStartedSince(long nanos) {
         return askedNanos >= nanos;
     }
 
     /** Returns whether the store answered last time it was asked. */
-    boolean answers() {
+    boolean isStoreResponding() {
         return !failing;
     }
 
     /** Returns whether a read is under way that is worth waiting for. */
-    boolean worthWaiting(long nowNanos) {
-        return pending && !failing && nowNanos < patienceEndsNanos();
+    boolean shouldAwaitRead(long nowNanos) {
+        return pending && !failing && nowNanos < readTimeoutNanos();
     }
 
-    long patienceEndsNanos() {
+    long readTimeoutNanos() {
         return askedNanos + PATIENCE_NANOS;
     }
 }
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/configuration/Source.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/configuration/Source.java
@@ -30,7 +30,7 @@
         return peer;
     }
 
-    boolean usable(long nowNanos) {
+    boolean isUsable(long nowNanos) {
         return nowNanos >= usableFromNanos;
     }
 
@@ -38,13 +38,13 @@
         return usableFromNanos;
     }
 
-    void failed(long nowNanos) {
+    void recordFailure(long nowNanos) {
         usableFromNanos = nowNanos + backoff.toNanos();
         Duration doubled = backoff.multipliedBy(2);
         backoff = doubled.compareTo(MAX_BACKOFF) < 0 ? doubled : MAX_BACKOFF;
     }
 
-    void worked() {
+    void recordSuccess() {
         backoff = FIRST_BACKOFF;
         usableFromNanos = Long.MIN_VALUE;
     }
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/node/MembershipHandler.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/node/MembershipHandler.java
@@ -55,7 +55,7 @@
             return;
         }
         parts.endpoints.peerReported(report, nowNanos, sink);
-        parts.configuration.peerHas(report.from(), report.configuration(), nowNanos, sink);
+        parts.configuration.peerVersionReported(report.from(), report.configuration(), nowNanos, sink);
         membershipChanged(nowNanos, sink);
         parts.dispatcher.everythingChanged();
     }
--- a/tarragonarch-core/src/test/java/org/tarragonarch/core/configuration/ConfigurationReplicaTest.java
+++ b/tarragonarch-core/src/test/java/org/tarragonarch/core/configuration/ConfigurationReplicaTest.java
@@ -52,7 +52,7 @@
     }
 
     @Test
-    public void testRowRead_newerVersionIsLoadedFromStoreWithItsDigest() {
+    public void testRowRead_newerVersionIsLoadedFromStore() {
         rowRead(0, 3);
         assertEquals(take(LoadConfiguration.class), ImmutableList.of(fromStore(3)));
         assertTrue(loaded(10, 3, "store"));
@@ -86,7 +86,7 @@
 
     /** A peer holds a text under a version whose row has another digest: the row decides, another source is asked. */
     @Test
-    public void testLoaded_textThatContradictsTheRowIsRefused() {
+    public void testLoaded_digestDiffersFromRow() {
         rowRead(0, 4);
         take(LoadConfiguration.class);
         peerHas(10, PEER, 4);
@@ -101,7 +101,7 @@
 
     /** A change is in force on one node of the domain; the others must not wait for their next read. */
     @Test
-    public void testPeerHas_newerVersionMakesTheRowBeReadAtOnce() {
+    public void testPeerVersionReported_newerVersionTriggersRowRead() {
         adopt(3);
         rowRead(100, 3);
         take(Action.class);
@@ -115,7 +115,7 @@
 
     /** The store is out for an hour; a domain that can still reach it tells of a newer version. */
     @Test
-    public void testPeerHas_peerIsAskedAtOnceWhileTheStoreIsOut() {
+    public void testPeerVersionReported_peerIsAskedWhileStoreFails() {
         adopt(3);
         keeper.rowFailed(millis(100), actions::add);
         peerHas(200, PEER, 4);
@@ -124,7 +124,7 @@
     }
 
     @Test
-    public void testPeerHas_peerIsAskedWhenTheRowIsStale() {
+    public void testPeerVersionReported_peerIsAskedWhenRowIsStale() {
         adopt(3);
         peerHas(200, PEER, 4);
         rowRead(210, 3);
@@ -133,7 +133,7 @@
 
     /** The store does not refuse but hangs: half a second is waited, not the client's whole time-out. */
     @Test
-    public void testPeerHas_peerIsAskedWhenTheRowTakesTooLong() {
+    public void testPeerVersionReported_peerIsAskedWhenRowReadTimesOut() {
         adopt(3);
         peerHas(200, PEER, 4);
         run(200, 690);
@@ -143,7 +143,7 @@
     }
 
     @Test
-    public void testLoadFailed_goesOnToTheNextSourceAndComesBackLater() {
+    public void testLoadFailed_nextSourceIsTriedAndStoreRetriedLater() {
         rowRead(0, 4);
         peerHas(0, PEER, 4);
         peerHas(0, OTHER_PEER, 4);
@@ -162,7 +162,7 @@
 
     /** Store and peers answer nothing at all for ten minutes: what is asked of them must not grow to a storm. */
     @Test
-    public void testTimePassed_outageCostsFewMessages() {
+    public void testTimePassed_outageCausesFewMessages() {
         adopt(3);
         rowRead(0, 4);
         peerHas(0, PEER, 4);
@@ -178,7 +178,7 @@
     }
 
     @Test
-    public void testLoad_withoutAnyAnswerIsGivenUpForTheNextSource() {
+    public void testTimePassed_loadTimesOut() {
         rowRead(0, 4);
         peerHas(0, PEER, 4);
         take(LoadConfiguration.class);
@@ -190,7 +190,7 @@
 
     /** A node starts while the store is out and no peer is to be heard: it has nothing, and must not invent it. */
     @Test
-    public void testInForce_nodeWithNeitherStoreNorPeersHasNone() {
+    public void testInForce_emptyWithoutStoreAndPeers() {
         for (int poll = 0; poll < 30; poll++) {
             run(poll * 2_000, poll * 2_000 + 1_990);
             keeper.rowFailed(millis(poll * 2_000 + 1_995), actions::add);
@@ -201,7 +201,7 @@
     }
 
     @Test
-    public void testInForce_isKeptWhileBothAreOut() {
+    public void testInForce_keptWithoutStoreAndPeers() {
         adopt(7);
         for (int poll = 1; poll < 30; poll++) {
             run(poll * 2_000, poll * 2_000 + 1_990);
@@ -212,7 +212,7 @@
 
     /** Two changes follow each other while the first is still being loaded: the second is loaded next, unasked. */
     @Test
-    public void testRowRead_versionSeenDuringALoadIsLoadedNext() {
+    public void testRowRead_versionSeenDuringLoadIsLoadedNext() {
         rowRead(0, 4);
         rowRead(5, 5);
         assertTrue(loaded(10, 4, "store"));
@@ -243,7 +243,7 @@
     }
 
     private void peerHas(long millis, NodeId peer, long number) {
-        keeper.peerHas(peer, version(number), millis(millis), actions::add);
+        keeper.peerVersionReported(peer, version(number), millis(millis), actions::add);
     }
 
     private boolean loaded(long millis, long number, String source) {
