--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/configuration/ConfigurationReplica.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/configuration/ConfigurationReplica.java
@@ -20,104 +20,105 @@
 import org.tarragonarch.model.service.ServiceCatalog;
 
 /**
- * Keeps the configuration in force and adopts only newer ones.
+ * Holds the configuration in force and replaces it only by newer ones.
  *
- * <p>The row of the table service is read at a fixed interval, and at once when a peer says that it has a newer one.
- * The text comes from the object store while the store answers, since the row's digest vouches for it, and from peers
- * otherwise. One load is under way at a time. A source that fails is left alone for a growing while, and the next one
- * is tried at once.
+ * <p>The configuration row of the table service is read at a fixed interval, and at once when a peer reports a newer
+ * version. The configuration itself is loaded from the object store while that responds, since it can be checked
+ * against the digest in the row, and from peers otherwise. Only one load is in progress at a time. After a failure the
+ * next source is tried at once, and the failed one is retried with exponential backoff.
  *
- * <p>Not safe for use by several threads.
+ * <p>Not thread-safe.
  */
 public final class ConfigurationReplica {
-    private static final long LOAD_PATIENCE_NANOS = Duration.ofSeconds(2).toNanos();
+    private static final long LOAD_TIMEOUT_NANOS = Duration.ofSeconds(2).toNanos();
 
     private final RowTracker row;
     private final Source store = Source.store();
     private final PeerSources peers = new PeerSources();
     private Optional<ServiceCatalog> inForce = Optional.empty();
     private Optional<LoadAttempt> attempt = Optional.empty();
-    private long newsNanos = Long.MIN_VALUE;
+    private long newVersionNanos = Long.MIN_VALUE;
     private long retryNanos = Long.MAX_VALUE;
 
     private ConfigurationReplica(NodePolicy policy) {
         this.row = new RowTracker(policy.configurationInterval());
     }
 
-    /** Returns a keeper that has no configuration. */
+    /** Returns a replica without a configuration. */
     public static ConfigurationReplica create(NodePolicy policy) {
         return new ConfigurationReplica(policy);
     }
 
-    /** Records a read of the row, which may be stale. */
+    /** Processes a row that was read, which may be stale. */
     public void rowRead(Optional<ConfigurationRow> read, long nowNanos, ActionSink sink) {
         row.readSucceeded(read);
         ConfigurationVersion version = read.map(ConfigurationRow::version).orElse(ConfigurationVersion.NONE);
         if (version().newerThan(version)) {
             refuse(version, "store", sink);
         }
-        pursue(nowNanos, sink);
+        advance(nowNanos, sink);
     }
 
-    /** Records that the row could not be read. */
+    /** Records that a read of the row failed. */
     public void rowFailed(long nowNanos, ActionSink sink) {
         row.readFailed();
-        pursue(nowNanos, sink);
+        advance(nowNanos, sink);
     }
 
-    /** Records that a peer has a version in force. */
+    /** Processes the version that a peer has in force. */
     public void peerVersionReported(NodeId peer, ConfigurationVersion version, long nowNanos, ActionSink sink) {
         if (!version.newerThan(version())) {
             peers.remove(peer);
             return;
         }
         if (version.newerThan(peers.highestVersion()) && version.newerThan(row.highestVersion())) {
-            newsNanos = nowNanos;
+            newVersionNanos = nowNanos;
         }
         peers.update(peer, version);
-        pursue(nowNanos, sink);
+        advance(nowNanos, sink);
     }
 
-    /** Records a configuration that was loaded; returns whether it is now in force. */
+    /** Processes a loaded configuration; returns whether it is now in force. */
     public boolean loaded(ConfigurationLoaded event, long nowNanos, ActionSink sink) {
         ServiceCatalog catalog = event.catalog();
-        Optional<LoadAttempt> answered =
-                attempt.filter(asked -> !asked.version().newerThan(catalog.version()));
-        if (answered.isPresent()) {
+        Optional<LoadAttempt> completed =
+                attempt.filter(current -> !current.version().newerThan(catalog.version()));
+        if (completed.isPresent()) {
             attempt = Optional.empty();
         }
         boolean adopted = catalog.version().newerThan(version()) && !contradictsRow(catalog);
         if (adopted) {
-            adopt(event, answered, sink);
-        } else if (!sameAsInForce(catalog)) {
+            adopt(event, completed, sink);
+        } else if (!isSameAsInForce(catalog)) {
             refuse(catalog.version(), event.source(), sink);
-            answered.ifPresent(asked -> asked.source().recordFailure(nowNanos));
+            completed.ifPresent(current -> current.source().recordFailure(nowNanos));
         }
-        pursue(nowNanos, sink);
+        advance(nowNanos, sink);
         return adopted;
     }
 
-    /** Records that a configuration could not be loaded. */
+    /** Processes a failed load of a configuration. */
     public void loadFailed(ConfigurationLoadFailed event, long nowNanos, ActionSink sink) {
-        Optional<LoadAttempt> failed = attempt.filter(asked -> asked.version().equals(event.version()));
+        Optional<LoadAttempt> failed =
+                attempt.filter(current -> current.version().equals(event.version()));
         if (failed.isPresent()) {
             failed.get().source().recordFailure(nowNanos);
             attempt = Optional.empty();
         }
-        pursue(nowNanos, sink);
+        advance(nowNanos, sink);
     }
 
-    /** Reads the row when that is due, and tries the next source when one failed. */
+    /** Reads the row and tries the next source when either is due. */
     public void timePassed(long nowNanos, ActionSink sink) {
         if (nowNanos >= row.nextReadNanos()) {
             readRow(nowNanos, sink);
         }
         if (nowNanos >= retryNanos) {
-            pursue(nowNanos, sink);
+            advance(nowNanos, sink);
         }
     }
 
-    /** Returns when {@link #timePassed} is next due. */
+    /** Returns when {@link #timePassed} must next be called. */
     public long nextWakeNanos() {
         return Math.min(row.nextReadNanos(), retryNanos);
     }
@@ -127,20 +128,20 @@
         return inForce;
     }
 
-    /** Returns the version in force. */
+    /** Returns the version in force; {@link ConfigurationVersion#NONE} if there is none. */
     public ConfigurationVersion version() {
         return inForce.map(ServiceCatalog::version).orElse(ConfigurationVersion.NONE);
     }
 
-    private void adopt(ConfigurationLoaded event, Optional<LoadAttempt> answered, ActionSink sink) {
+    private void adopt(ConfigurationLoaded event, Optional<LoadAttempt> completed, ActionSink sink) {
         inForce = Optional.of(event.catalog());
-        answered.ifPresent(asked -> asked.source().recordSuccess());
+        completed.ifPresent(current -> current.source().recordSuccess());
         peers.retainNewerThan(event.catalog().version());
         sink.emit(new ConfigurationInForce(event.catalog(), event.source()));
     }
 
-    /** Does the next step towards a newer version, if one is known and no load is under way. */
-    private void pursue(long nowNanos, ActionSink sink) {
+    /** Starts the next read or load for a newer version, if one is known and no load is in progress. */
+    private void advance(long nowNanos, ActionSink sink) {
         retryNanos = Long.MAX_VALUE;
         if (attempt.isPresent() && nowNanos >= attempt.get().timeoutNanos()) {
             attempt.get().source().recordFailure(nowNanos);
@@ -149,18 +150,18 @@
         if (attempt.isPresent()) {
             retryNanos = attempt.get().timeoutNanos();
         } else if (peers.highestVersion().newerThan(row.highestVersion())) {
-            pursuePeersVersion(nowNanos, sink);
+            advanceToPeerVersion(nowNanos, sink);
         } else if (row.highestVersion().newerThan(version()) && !loadFromStore(nowNanos, sink)) {
             loadFromPeer(nowNanos, sink);
         }
     }
 
     /**
-     * Reads the row before a peer is asked for a version that the row did not show, so that the digest is known and the
-     * text comes from the store; asks the peer if the store fails, is slow, or gives a stale row.
+     * Advances to a version that a peer reported and the row did not show. Reads the row first, so that the digest is known
+     * and the store can be used. Asks the peer if the table service fails or is slow, or if the row is stale.
      */
-    private void pursuePeersVersion(long nowNanos, ActionSink sink) {
-        if (row.isStoreResponding() && !row.readStartedSince(newsNanos)) {
+    private void advanceToPeerVersion(long nowNanos, ActionSink sink) {
+        if (row.isStoreResponding() && !row.readStartedSince(newVersionNanos)) {
             readRow(nowNanos, sink);
         }
         if (row.shouldAwaitRead(nowNanos)) {
@@ -197,8 +198,8 @@
             Optional<ContentDigest> digest,
             long nowNanos,
             ActionSink sink) {
-        attempt = Optional.of(new LoadAttempt(source, version, nowNanos + LOAD_PATIENCE_NANOS));
-        retryNanos = nowNanos + LOAD_PATIENCE_NANOS;
+        attempt = Optional.of(new LoadAttempt(source, version, nowNanos + LOAD_TIMEOUT_NANOS));
+        retryNanos = nowNanos + LOAD_TIMEOUT_NANOS;
         sink.emit(new LoadConfiguration(version, digest, source.peer()));
     }
 
@@ -217,7 +218,7 @@
                 .isPresent();
     }
 
-    private boolean sameAsInForce(ServiceCatalog catalog) {
+    private boolean isSameAsInForce(ServiceCatalog catalog) {
         return catalog.version().equals(version())
                 && inForce.filter(known -> known.digest().equals(catalog.digest()))
                         .isPresent();
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/configuration/LoadAttempt.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/configuration/LoadAttempt.java
@@ -3,10 +3,10 @@
 import org.tarragonarch.model.id.ConfigurationVersion;
 
 /**
- * A load that is under way.
+ * A load of a configuration in progress.
  *
- * @param source where it was asked for
- * @param version the version asked for
- * @param timeoutNanos when it counts as failed; what comes later is still looked at
+ * @param source the source that was asked
+ * @param version the requested version
+ * @param timeoutNanos when the attempt counts as failed; a configuration that arrives later is still considered
  */
 record LoadAttempt(Source source, ConfigurationVersion version, long timeoutNanos) {}
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/configuration/PeerSources.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/configuration/PeerSources.java
@@ -8,14 +8,14 @@
 import org.tarragonarch.model.id.ConfigurationVersion;
 import org.tarragonarch.model.id.NodeId;
 
-/** The peers that have a newer configuration than this node; the most recent version is asked for first. */
+/** The peers that have a newer configuration than this node; those with the highest version are asked first. */
 final class PeerSources {
-    /** More than enough to find one that answers. */
+    /** The maximum number of peers to track, which is ample to find one that responds. */
     private static final int MAX_PEERS = 64;
 
     private final Map<NodeId, VersionedSource> known = new LinkedHashMap<>();
 
-    /** Records that a peer has a version newer than the own. */
+    /** Records that a peer has a version newer than the one in force at this node. */
     void update(NodeId peer, ConfigurationVersion version) {
         VersionedSource before = known.get(peer);
         if (before != null) {
@@ -33,7 +33,7 @@
         known.values().removeIf(peer -> !peer.version().newerThan(version));
     }
 
-    /** Returns the most recent version that a peer has. */
+    /** Returns the highest version of all peers; {@link ConfigurationVersion#NONE} if there is no peer. */
     ConfigurationVersion highestVersion() {
         return known.values().stream()
                 .map(VersionedSource::version)
@@ -41,7 +41,7 @@
                 .orElse(ConfigurationVersion.NONE);
     }
 
-    /** Returns the peer to ask now, if there is one. */
+    /** Returns the usable peer with the highest version, if there is one. */
     Optional<VersionedSource> bestUsable(long nowNanos) {
         Optional<VersionedSource> best = Optional.empty();
         for (VersionedSource peer : known.values()) {
@@ -54,7 +54,7 @@
         return best;
     }
 
-    /** Returns when a peer may next be asked. */
+    /** Returns when a peer may next be asked; {@code Long.MAX_VALUE} if there is no peer. */
     long nextUsableNanos() {
         return known.values().stream()
                 .mapToLong(peer -> peer.source().usableFromNanos())
@@ -62,6 +62,6 @@
                 .orElse(Long.MAX_VALUE);
     }
 
-    /** A peer with the version it has. */
+    /** A peer and its version. */
     record VersionedSource(Source source, ConfigurationVersion version) {}
 }
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/configuration/RowTracker.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/configuration/RowTracker.java
@@ -5,15 +5,15 @@
 import org.tarragonarch.model.id.ConfigurationVersion;
 import org.tarragonarch.model.platform.ConfigurationRow;
 
-/** The reads of the configuration row: when the next is due, and the highest row ever seen. */
+/** Tracks the reads of the configuration row: when the next one is due, and the highest row read so far. */
 final class RowTracker {
-    /** How long a read may take before the node stops waiting for it and asks a peer. */
-    private static final long PATIENCE_NANOS = Duration.ofMillis(500).toNanos();
+    /** How long to wait for a read before a peer is asked instead. */
+    private static final long READ_TIMEOUT_NANOS = Duration.ofMillis(500).toNanos();
 
     private final long intervalNanos;
     private Optional<ConfigurationRow> highest = Optional.empty();
     private long nextReadNanos;
-    private long askedNanos = Long.MIN_VALUE;
+    private long readStartedNanos = Long.MIN_VALUE;
     private boolean pending;
     private boolean failing;
 
@@ -21,7 +21,7 @@
         this.intervalNanos = interval.toNanos();
     }
 
-    /** Returns the highest row seen; a lower one that is read later is stale. */
+    /** Returns the row with the highest version read so far; a lower one read later is stale. */
     Optional<ConfigurationRow> highest() {
         return highest;
     }
@@ -35,7 +35,7 @@
     }
 
     void readStarted(long nowNanos) {
-        askedNanos = nowNanos;
+        readStartedNanos = nowNanos;
         pending = true;
         nextReadNanos = nowNanos + intervalNanos;
     }
@@ -53,22 +53,22 @@
         failing = true;
     }
 
-    /** Returns whether a read was asked for since then, answered or not. */
+    /** Returns whether a read was started at or after the given time, whether or not it has ended. */
     boolean readStartedSince(long nanos) {
-        return askedNanos >= nanos;
+        return readStartedNanos >= nanos;
     }
 
-    /** Returns whether the store answered last time it was asked. */
+    /** Returns whether the last completed read succeeded; true if there was none. */
     boolean isStoreResponding() {
         return !failing;
     }
 
-    /** Returns whether a read is under way that is worth waiting for. */
+    /** Returns whether a read is in progress that has not timed out and the last one did not fail. */
     boolean shouldAwaitRead(long nowNanos) {
         return pending && !failing && nowNanos < readTimeoutNanos();
     }
 
     long readTimeoutNanos() {
-        return askedNanos + PATIENCE_NANOS;
+        return readStartedNanos + READ_TIMEOUT_NANOS;
     }
 }
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/configuration/Source.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/configuration/Source.java
@@ -4,13 +4,13 @@
 import java.util.Optional;
 import org.tarragonarch.model.id.NodeId;
 
-/** One place that a configuration can be had from, and when it may be asked next. */
+/** A source of configurations, the object store or a peer, with the time from which it may be used again. */
 final class Source {
-    private static final Duration FIRST_BACKOFF = Duration.ofMillis(250);
+    private static final Duration INITIAL_BACKOFF = Duration.ofMillis(250);
     private static final Duration MAX_BACKOFF = Duration.ofSeconds(4);
 
     private final Optional<NodeId> peer;
-    private Duration backoff = FIRST_BACKOFF;
+    private Duration backoff = INITIAL_BACKOFF;
     private long usableFromNanos = Long.MIN_VALUE;
 
     private Source(Optional<NodeId> peer) {
@@ -45,7 +45,7 @@
     }
 
     void recordSuccess() {
-        backoff = FIRST_BACKOFF;
+        backoff = INITIAL_BACKOFF;
         usableFromNanos = Long.MIN_VALUE;
     }
 }
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/configuration/package-info.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/configuration/package-info.java
@@ -1,2 +1,2 @@
-/** Which configuration is in force and how a newer one is adopted. */
+/** The configuration in force at a node, and the adoption of newer ones. */
 package org.tarragonarch.core.configuration;
--- a/tarragonarch-core/src/test/java/org/tarragonarch/core/configuration/ConfigurationReplicaTest.java
+++ b/tarragonarch-core/src/test/java/org/tarragonarch/core/configuration/ConfigurationReplicaTest.java
@@ -36,12 +36,12 @@
     private static final NodeId PEER = NodeId.of("hobart-2");
     private static final NodeId OTHER_PEER = NodeId.of("hobart-3");
 
-    private ConfigurationReplica keeper;
+    private ConfigurationReplica replica;
     private List<Action> actions;
 
     @BeforeMethod
-    public void createKeeper() {
-        keeper = ConfigurationReplica.create(NodePolicy.DEFAULT);
+    public void createReplica() {
+        replica = ConfigurationReplica.create(NodePolicy.DEFAULT);
         actions = new ArrayList<>();
     }
 
@@ -56,50 +56,50 @@
         rowRead(0, 3);
         assertEquals(take(LoadConfiguration.class), ImmutableList.of(fromStore(3)));
         assertTrue(loaded(10, 3, "store"));
-        assertEquals(keeper.version(), version(3));
+        assertEquals(replica.version(), version(3));
         assertEquals(take(ConfigurationInForce.class).size(), 1);
     }
 
-    /** Guards against a lagging copy of the table service that takes an operator's change back. */
+    /** Guards against a stale read of the table service that reverts an operator's change. */
     @Test
     public void testRowRead_staleRowIsRefusedAndNoted() {
         adopt(5);
         rowRead(2_000, 4);
-        keeper.rowRead(Optional.empty(), millis(4_000), actions::add);
+        replica.rowRead(Optional.empty(), millis(4_000), actions::add);
         assertEquals(take(LoadConfiguration.class), ImmutableList.of());
         assertEquals(notes(NoteEvent.OLD_CONFIGURATION_REFUSED), 2);
-        assertEquals(keeper.version(), version(5));
+        assertEquals(replica.version(), version(5));
     }
 
-    /** A load of an old version takes seconds; meanwhile a newer one came from a peer. The late one must not win. */
+    /** Guards against a slow load of an old version that replaces a newer one loaded from a peer meanwhile. */
     @Test
     public void testLoaded_lateOldVersionIsRefused() {
         rowRead(0, 4);
         run(0, 2_100);
-        keeper.rowFailed(millis(2_110), actions::add);
+        replica.rowFailed(millis(2_110), actions::add);
         peerHas(2_200, PEER, 5);
         assertTrue(loaded(2_300, 5, "hobart-2"));
         assertFalse(loaded(2_400, 4, "store"));
-        assertEquals(keeper.version(), version(5));
+        assertEquals(replica.version(), version(5));
         assertEquals(notes(NoteEvent.OLD_CONFIGURATION_REFUSED), 1);
     }
 
-    /** A peer holds a text under a version whose row has another digest: the row decides, another source is asked. */
+    /** Guards against a peer whose configuration has another digest than the row of its version. */
     @Test
     public void testLoaded_digestDiffersFromRow() {
         rowRead(0, 4);
         take(LoadConfiguration.class);
         peerHas(10, PEER, 4);
-        keeper.loadFailed(new ConfigurationLoadFailed(version(4), "store", "out"), millis(20), actions::add);
+        replica.loadFailed(new ConfigurationLoadFailed(version(4), "store", "out"), millis(20), actions::add);
         assertEquals(take(LoadConfiguration.class), ImmutableList.of(fromPeer(PEER, 4, Optional.of(digest(4)))));
         ServiceCatalog wrong = catalog(4, digest(99));
-        assertFalse(keeper.loaded(new ConfigurationLoaded(wrong, "hobart-2"), millis(30), actions::add));
-        assertEquals(keeper.version(), ConfigurationVersion.NONE);
+        assertFalse(replica.loaded(new ConfigurationLoaded(wrong, "hobart-2"), millis(30), actions::add));
+        assertEquals(replica.version(), ConfigurationVersion.NONE);
         run(40, 300);
         assertEquals(take(LoadConfiguration.class), ImmutableList.of(fromStore(4)));
     }
 
-    /** A change is in force on one node of the domain; the others must not wait for their next read. */
+    /** Guards against nodes that wait for their next row read although a peer already has a newer version. */
     @Test
     public void testPeerVersionReported_newerVersionTriggersRowRead() {
         adopt(3);
@@ -113,11 +113,11 @@
         assertEquals(take(LoadConfiguration.class), ImmutableList.of(fromStore(4)));
     }
 
-    /** The store is out for an hour; a domain that can still reach it tells of a newer version. */
+    /** Guards against a node that misses changes in an outage of the store which other domains do not have. */
     @Test
     public void testPeerVersionReported_peerIsAskedWhileStoreFails() {
         adopt(3);
-        keeper.rowFailed(millis(100), actions::add);
+        replica.rowFailed(millis(100), actions::add);
         peerHas(200, PEER, 4);
         assertEquals(take(LoadConfiguration.class), ImmutableList.of(fromPeer(PEER, 4, Optional.empty())));
         assertTrue(loaded(210, 4, "hobart-2"));
@@ -131,7 +131,7 @@
         assertEquals(take(LoadConfiguration.class), ImmutableList.of(fromPeer(PEER, 4, Optional.empty())));
     }
 
-    /** The store does not refuse but hangs: half a second is waited, not the client's whole time-out. */
+    /** Guards against a hanging store: the wait ends after 500 ms, not after the timeout of the store client. */
     @Test
     public void testPeerVersionReported_peerIsAskedWhenRowReadTimesOut() {
         adopt(3);
@@ -160,7 +160,7 @@
         assertEquals(take(LoadConfiguration.class), ImmutableList.of(fromStore(4)));
     }
 
-    /** Store and peers answer nothing at all for ten minutes: what is asked of them must not grow to a storm. */
+    /** Guards against a flood of requests while store and peers fail for ten minutes. */
     @Test
     public void testTimePassed_outageCausesFewMessages() {
         adopt(3);
@@ -168,13 +168,13 @@
         peerHas(0, PEER, 4);
         for (int second = 0; second < 600; second++) {
             run(second * 1_000, second * 1_000 + 990);
-            keeper.loadFailed(
+            replica.loadFailed(
                     new ConfigurationLoadFailed(version(4), "any", "out"), millis(second * 1_000 + 995), actions::add);
         }
         int loads = take(LoadConfiguration.class).size();
         assertTrue(loads < 400, loads + " loads in ten minutes");
-        assertTrue(loads > 200, loads + " loads in ten minutes: it gave up");
-        assertEquals(keeper.version(), version(3));
+        assertTrue(loads > 200, loads + " loads in ten minutes: retries stopped");
+        assertEquals(replica.version(), version(3));
     }
 
     @Test
@@ -188,15 +188,15 @@
         assertEquals(take(LoadConfiguration.class), ImmutableList.of(fromPeer(PEER, 4, Optional.of(digest(4)))));
     }
 
-    /** A node starts while the store is out and no peer is to be heard: it has nothing, and must not invent it. */
+    /** Guards against a made-up configuration at a node that starts without store and peers. */
     @Test
     public void testInForce_emptyWithoutStoreAndPeers() {
         for (int poll = 0; poll < 30; poll++) {
             run(poll * 2_000, poll * 2_000 + 1_990);
-            keeper.rowFailed(millis(poll * 2_000 + 1_995), actions::add);
+            replica.rowFailed(millis(poll * 2_000 + 1_995), actions::add);
         }
-        assertEquals(keeper.inForce(), Optional.empty());
-        assertEquals(keeper.version(), ConfigurationVersion.NONE);
+        assertEquals(replica.inForce(), Optional.empty());
+        assertEquals(replica.version(), ConfigurationVersion.NONE);
         assertEquals(take(LoadConfiguration.class), ImmutableList.of());
     }
 
@@ -205,12 +205,12 @@
         adopt(7);
         for (int poll = 1; poll < 30; poll++) {
             run(poll * 2_000, poll * 2_000 + 1_990);
-            keeper.rowFailed(millis(poll * 2_000 + 1_995), actions::add);
+            replica.rowFailed(millis(poll * 2_000 + 1_995), actions::add);
         }
-        assertEquals(keeper.version(), version(7));
+        assertEquals(replica.version(), version(7));
     }
 
-    /** Two changes follow each other while the first is still being loaded: the second is loaded next, unasked. */
+    /** Guards against a version that is ignored because it was read while an earlier one was being loaded. */
     @Test
     public void testRowRead_versionSeenDuringLoadIsLoadedNext() {
         rowRead(0, 4);
@@ -228,7 +228,7 @@
 
     private void failAll(long millis, int times) {
         for (int i = 0; i < times; i++) {
-            keeper.loadFailed(new ConfigurationLoadFailed(version(4), "any", "out"), millis(millis), actions::add);
+            replica.loadFailed(new ConfigurationLoadFailed(version(4), "any", "out"), millis(millis), actions::add);
         }
     }
 
@@ -239,22 +239,22 @@
                 new ChangeId("change-" + number),
                 OperatorName.of("ann"),
                 Instant.ofEpochSecond(number));
-        keeper.rowRead(Optional.of(row), millis(millis), actions::add);
+        replica.rowRead(Optional.of(row), millis(millis), actions::add);
     }
 
     private void peerHas(long millis, NodeId peer, long number) {
-        keeper.peerVersionReported(peer, version(number), millis(millis), actions::add);
+        replica.peerVersionReported(peer, version(number), millis(millis), actions::add);
     }
 
     private boolean loaded(long millis, long number, String source) {
         ConfigurationLoaded event = new ConfigurationLoaded(catalog(number, digest(number)), source);
-        return keeper.loaded(event, millis(millis), actions::add);
+        return replica.loaded(event, millis(millis), actions::add);
     }
 
     private void run(long fromMillis, long toMillis) {
         for (long now = fromMillis; now <= toMillis; now += 10) {
-            if (millis(now) >= keeper.nextWakeNanos()) {
-                keeper.timePassed(millis(now), actions::add);
+            if (millis(now) >= replica.nextWakeNanos()) {
+                replica.timePassed(millis(now), actions::add);
             }
         }
     }
