--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/claim/IdempotencyKeys.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/claim/IdempotencyKeys.java
@@ -86,7 +86,7 @@
             submission.stage(Stage.JOINED);
             entry.joined().add(submission);
         } else {
-            answerLike(entry, submission, nowNanos, sink);
+            answerFrom(entry, submission, nowNanos, sink);
         }
     }
 
@@ -111,7 +111,7 @@
             released.release(entry.claim(), sink);
         }
         keptAnswers.add(entry, nowNanos);
-        ImmutableList.copyOf(entry.joined()).forEach(joined -> answerLike(entry, joined, nowNanos, sink));
+        ImmutableList.copyOf(entry.joined()).forEach(joined -> answerFrom(entry, joined, nowNanos, sink));
         entry.questions().forEach(question -> question.sendAnswer(entry, sink));
         entry.joined().clear();
         entry.questions().clear();
@@ -127,7 +127,7 @@
     /** Records that a write or read of a batch of claims received no reply. */
     public void claimsUncertain(long batch, boolean mayHaveApplied, long nowNanos, ActionSink sink) {
         for (Claim unwritten : batcher.recordNoReply(batch, mayHaveApplied, nowNanos, sink)) {
-            claimant(unwritten).ifPresent(submission -> unavailable(submission, nowNanos, sink));
+            claimant(unwritten).ifPresent(submission -> endUnavailable(submission, nowNanos, sink));
         }
     }
 
@@ -153,7 +153,8 @@
             case COMPLETE -> dispatcher.endFromPeer(waiting, nowNanos, sink);
             case PROBLEM -> dispatcher.end(waiting, arrived.problem(), nowNanos, sink);
             case NOT_TO_BE_HAD ->
-                heldElsewhere(waiting, "the node that holds the key has no answer or is unreachable", nowNanos, sink);
+                endHeldElsewhere(
+                        waiting, "the node that holds the key has no answer or is unreachable", nowNanos, sink);
             default -> throw new AssertionError(arrived.outcome());
         }
     }
@@ -165,7 +166,7 @@
      */
     public void holderSilent(NodeId holder, long nowNanos, ActionSink sink) {
         for (Submission submission : holderQuestions.waitingFor(holder)) {
-            heldElsewhere(submission, "the node that holds the key stopped reporting", nowNanos, sink);
+            endHeldElsewhere(submission, "the node that holds the key stopped reporting", nowNanos, sink);
         }
     }
 
@@ -174,7 +175,7 @@
         while (!claiming.isEmpty() && isClaimOver(claiming.peek(), nowNanos)) {
             Submission oldest = claiming.remove();
             if (oldest.stage() == Stage.CLAIMING) {
-                unavailable(oldest, nowNanos, sink);
+                endUnavailable(oldest, nowNanos, sink);
             }
         }
         batcher.timePassed(nowNanos, sink);
@@ -212,7 +213,7 @@
         }
         submission.stage(Stage.CLAIMING);
         if (batcher.isStoreUnavailable()) {
-            unavailable(submission, nowNanos, sink);
+            endUnavailable(submission, nowNanos, sink);
             return;
         }
         claiming.add(submission);
@@ -234,7 +235,7 @@
         if (result.won()) {
             dispatcher.dispatch(submission);
         } else if (result.standing().isEmpty()) {
-            unavailable(submission, nowNanos, sink);
+            endUnavailable(submission, nowNanos, sink);
         } else {
             claimLost(submission, result.wanted(), result.standing().get(), nowNanos, sink);
         }
@@ -251,7 +252,8 @@
         if (!standing.content().equals(wanted.content())) {
             dispatcher.end(submission, Optional.of(KeyProblems.keyReused(wanted.key())), nowNanos, sink);
         } else if (standing.node().equals(self.node())) {
-            heldElsewhere(submission, "this node claimed the key before and no longer has the answer", nowNanos, sink);
+            endHeldElsewhere(
+                    submission, "this node claimed the key before and no longer has the answer", nowNanos, sink);
         } else {
             askHolder(submission, wanted.key(), standing.node(), sink);
         }
@@ -269,10 +271,10 @@
         return Optional.ofNullable(entries.get(claim.key()))
                 .filter(entry -> entry.claim().token().equals(claim.token()))
                 .flatMap(KeyEntry::runningSubmission)
-                .filter(holder -> holder.stage() == Stage.CLAIMING);
+                .filter(running -> running.stage() == Stage.CLAIMING);
     }
 
-    private void answerLike(KeyEntry entry, Submission submission, long nowNanos, ActionSink sink) {
+    private void answerFrom(KeyEntry entry, Submission submission, long nowNanos, ActionSink sink) {
         if (entry.isComplete()) {
             dispatcher.endSameAs(submission, entry.submissionId(), nowNanos, sink);
         } else {
@@ -287,11 +289,11 @@
         }
     }
 
-    private void unavailable(Submission submission, long nowNanos, ActionSink sink) {
+    private void endUnavailable(Submission submission, long nowNanos, ActionSink sink) {
         dispatcher.end(submission, Optional.of(KeyProblems.claimUnavailable(claimTimeout)), nowNanos, sink);
     }
 
-    private void heldElsewhere(Submission submission, String detail, long nowNanos, ActionSink sink) {
+    private void endHeldElsewhere(Submission submission, String detail, long nowNanos, ActionSink sink) {
         dispatcher.end(submission, Optional.of(KeyProblems.heldElsewhere(detail)), nowNanos, sink);
     }
 }
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/claim/KeyEntry.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/claim/KeyEntry.java
@@ -47,8 +47,8 @@
     /**
      * Returns whether a new submission may run although an earlier one was answered.
      *
-     * <p>It may if the earlier one did not run. It also may if the kind is idempotent and the earlier one failed, since
-     * otherwise the caller would get the same failure for as long as the answer is kept.
+     * <p>It may if the earlier one did not run. It also may if the kind is idempotent and the earlier one failed or
+     * was lost, since otherwise the caller would get the same failure for as long as the answer is kept.
      */
     boolean mayRunAgain() {
         return answered && (endedWithoutRun() || (idempotent && problem.isPresent()));
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/configuration/ConfigurationReplica.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/configuration/ConfigurationReplica.java
@@ -157,8 +157,10 @@
     }
 
     /**
-     * Advances to a version that a peer reported and the row did not show. Reads the row first, so that the digest is known
-     * and the store can be used. Asks the peer if the table service fails or is slow, or if the row is stale.
+     * Starts the next read or load for a version that a peer reported and the row did not show.
+     *
+     * <p>Reads the row first, so that the digest is known and the store can be used. Asks the peer if the table service
+     * fails or is slow, or if the row is stale.
      */
     private void advanceToPeerVersion(long nowNanos, ActionSink sink) {
         if (row.isStoreResponding() && !row.readStartedSince(newVersionNanos)) {
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/endpoint/EndpointRecord.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/endpoint/EndpointRecord.java
@@ -279,7 +279,7 @@
         return trialsLeft > 0 || failureScore >= HealthPolicy.SUSPICION_THRESHOLD ? Condition.ON_TRIAL : Condition.LIVE;
     }
 
-    /** Returns whether to keep it when a doubtful VM list does not contain it. */
+    /** Returns whether a doubtful VM list does not remove it: it is neither leaving nor long unreachable. */
     boolean isKeptWhenMissing(long nowNanos) {
         boolean longUnreachable =
                 unreachable && nowNanos - unreachableSinceNanos > HealthPolicy.MAX_UNREACHABLE_KEPT_NANOS;
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/endpoint/FailureScorer.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/endpoint/FailureScorer.java
@@ -11,8 +11,8 @@
  * <p>An endpoint that fails every task at once always looks idle and so attracts all work. To find it, each result adds
  * a log likelihood ratio to the score of its endpoint: how much likelier the result is at a broken endpoint than at a
  * healthy one, which fails a kind as often as all other endpoints do. Three failures lead to quarantine if the kind
- * does not fail elsewhere. Failures have little weight if the kind fails everywhere, since then the kind is at fault.
- * The score never falls below 0, so that a long series of successes does not hide an endpoint that breaks now.
+ * does not fail elsewhere. No failure does if the kind fails everywhere, since then the kind is at fault. The score
+ * never falls below 0, so that a long series of successes does not hide an endpoint that breaks now.
  */
 final class FailureScorer {
     private final Map<KindKey, KindTally> totals = new HashMap<>();
--- a/tarragonarch-core/src/test/java/org/tarragonarch/core/configuration/ConfigurationReplicaTest.java
+++ b/tarragonarch-core/src/test/java/org/tarragonarch/core/configuration/ConfigurationReplicaTest.java
@@ -77,7 +77,7 @@
         rowRead(0, 4);
         run(0, 2_100);
         replica.rowFailed(millis(2_110), actions::add);
-        peerHas(2_200, PEER, 5);
+        reportPeerVersion(2_200, PEER, 5);
         assertTrue(loaded(2_300, 5, "hobart-2"));
         assertFalse(loaded(2_400, 4, "store"));
         assertEquals(replica.version(), version(5));
@@ -89,7 +89,7 @@
     public void testLoaded_digestDiffersFromRow() {
         rowRead(0, 4);
         take(LoadConfiguration.class);
-        peerHas(10, PEER, 4);
+        reportPeerVersion(10, PEER, 4);
         replica.loadFailed(new ConfigurationLoadFailed(version(4), "store", "out"), millis(20), actions::add);
         assertEquals(take(LoadConfiguration.class), ImmutableList.of(fromPeer(PEER, 4, Optional.of(digest(4)))));
         ServiceCatalog wrong = catalog(4, digest(99));
@@ -105,9 +105,9 @@
         adopt(3);
         rowRead(100, 3);
         take(Action.class);
-        peerHas(200, PEER, 4);
+        reportPeerVersion(200, PEER, 4);
         assertEquals(take(ReadConfigurationRow.class).size(), 1);
-        peerHas(210, OTHER_PEER, 4);
+        reportPeerVersion(210, OTHER_PEER, 4);
         assertEquals(take(ReadConfigurationRow.class).size(), 0);
         rowRead(220, 4);
         assertEquals(take(LoadConfiguration.class), ImmutableList.of(fromStore(4)));
@@ -118,7 +118,7 @@
     public void testPeerVersionReported_peerIsAskedWhileStoreFails() {
         adopt(3);
         replica.rowFailed(millis(100), actions::add);
-        peerHas(200, PEER, 4);
+        reportPeerVersion(200, PEER, 4);
         assertEquals(take(LoadConfiguration.class), ImmutableList.of(fromPeer(PEER, 4, Optional.empty())));
         assertTrue(loaded(210, 4, "hobart-2"));
     }
@@ -126,7 +126,7 @@
     @Test
     public void testPeerVersionReported_peerIsAskedWhenRowIsStale() {
         adopt(3);
-        peerHas(200, PEER, 4);
+        reportPeerVersion(200, PEER, 4);
         rowRead(210, 3);
         assertEquals(take(LoadConfiguration.class), ImmutableList.of(fromPeer(PEER, 4, Optional.empty())));
     }
@@ -135,7 +135,7 @@
     @Test
     public void testPeerVersionReported_peerIsAskedWhenRowReadTimesOut() {
         adopt(3);
-        peerHas(200, PEER, 4);
+        reportPeerVersion(200, PEER, 4);
         run(200, 690);
         assertEquals(take(LoadConfiguration.class), ImmutableList.of());
         run(700, 700);
@@ -145,8 +145,8 @@
     @Test
     public void testLoadFailed_nextSourceIsTriedAndStoreRetriedLater() {
         rowRead(0, 4);
-        peerHas(0, PEER, 4);
-        peerHas(0, OTHER_PEER, 4);
+        reportPeerVersion(0, PEER, 4);
+        reportPeerVersion(0, OTHER_PEER, 4);
         failAll(0, 3);
         assertEquals(
                 take(LoadConfiguration.class),
@@ -165,7 +165,7 @@
     public void testTimePassed_outageCausesFewMessages() {
         adopt(3);
         rowRead(0, 4);
-        peerHas(0, PEER, 4);
+        reportPeerVersion(0, PEER, 4);
         for (int second = 0; second < 600; second++) {
             run(second * 1_000, second * 1_000 + 990);
             replica.loadFailed(
@@ -180,7 +180,7 @@
     @Test
     public void testTimePassed_loadTimesOut() {
         rowRead(0, 4);
-        peerHas(0, PEER, 4);
+        reportPeerVersion(0, PEER, 4);
         take(LoadConfiguration.class);
         run(10, 1_990);
         assertEquals(take(LoadConfiguration.class), ImmutableList.of());
@@ -242,7 +242,7 @@
         replica.rowRead(Optional.of(row), millis(millis), actions::add);
     }
 
-    private void peerHas(long millis, NodeId peer, long number) {
+    private void reportPeerVersion(long millis, NodeId peer, long number) {
         replica.peerVersionReported(peer, version(number), millis(millis), actions::add);
     }
 
