--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/endpoint/EndpointDirectory.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/endpoint/EndpointDirectory.java
@@ -204,7 +204,7 @@
         }
         endpoint.nextProbeNanos(EndpointRecord.NEVER);
         if (ended.leaving()) {
-            probes.markLeaving(endpoint, "probe response", nowNanos, sink);
+            probes.markLeaving(endpoint, "its answer to a probe", nowNanos, sink);
         } else if (ended.healthy()) {
             probes.probeSucceeded(endpoint, nowNanos, sink);
         } else {
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/endpoint/EndpointRecord.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/endpoint/EndpointRecord.java
@@ -85,7 +85,7 @@
 
     void markUnlisted() {
         listed = false;
-        reason = "missing from the VM list";
+        reason = "missing from the list";
     }
 
     boolean isListed() {
@@ -200,7 +200,7 @@
     void setQuarantinedForPeers(boolean value) {
         quarantinedForPeers = value;
         if (value) {
-            reason = "quarantined by a peer";
+            reason = "a peer's quarantine";
         } else {
             trialsLeft = Math.max(trialsLeft, 1);
         }
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/endpoint/TaskResults.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/endpoint/TaskResults.java
@@ -29,7 +29,7 @@
         endpoint.slots().givenBack();
         pools.recordResult(service, endpoint, ended.result(), nowNanos);
         if (ended.endpointLeaving() || ended.result() == SendResult.REFUSED_DRAINING) {
-            probes.markLeaving(endpoint, "task response", nowNanos, sink);
+            probes.markLeaving(endpoint, "its own answer", nowNanos, sink);
         }
         if (ended.result().endpointAnswered()) {
             pools.reachability(endpoint).recordAnswer();
@@ -48,7 +48,7 @@
     void stoppedTaskEnded(EndpointRecord endpoint, TaskEnded ended, long nowNanos, ActionSink sink) {
         endpoint.slots().givenBack();
         if (ended.endpointLeaving()) {
-            probes.markLeaving(endpoint, "task response", nowNanos, sink);
+            probes.markLeaving(endpoint, "its own answer", nowNanos, sink);
         }
     }
 
@@ -67,7 +67,7 @@
         boolean elsewhere = !pools.isInOwnDomain(endpoint);
         boolean mayQuarantine = endpoint.countsAsQuarantined() || pools.canQuarantine(endpoint);
         if (failed && endpoint.shouldQuarantine(elsewhere) && mayQuarantine) {
-            endpoint.quarantine(elsewhere, nowNanos, "fails tasks that succeed elsewhere");
+            endpoint.quarantine(elsewhere, nowNanos, "fails what others do not fail");
             EndpointNotes.emit(NoteEvent.ENDPOINT_QUARANTINED, endpoint.id(), endpoint.reason(), sink);
             probes.scheduleProbe(endpoint, endpoint.quarantinedUntilNanos());
         }
