--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/endpoint/EndpointRecord.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/endpoint/EndpointRecord.java
@@ -7,38 +7,38 @@
 import org.tarragonarch.model.platform.VmRecord;
 import org.tarragonarch.model.platform.VmState;
 
-/** What a node knows of one endpoint. */
+/** The state of one endpoint as this node knows it. */
 final class EndpointRecord {
     static final long NEVER = Long.MAX_VALUE;
 
     private final EndpointId id;
     private final EndpointSlots slots;
-    private final Backoff busyWait = new Backoff(HealthPolicy.INITIAL_BUSY_NANOS, 2, HealthPolicy.MAX_BUSY_NANOS);
-    private final Backoff unreachableWait = new Backoff(
+    private final Backoff busyBackoff = new Backoff(HealthPolicy.INITIAL_BUSY_NANOS, 2, HealthPolicy.MAX_BUSY_NANOS);
+    private final Backoff unreachableBackoff = new Backoff(
             HealthPolicy.INITIAL_UNREACHABLE_NANOS,
             HealthPolicy.UNREACHABLE_GROWTH,
             HealthPolicy.MAX_UNREACHABLE_NANOS);
-    private final Backoff quarantineWait = new Backoff(
+    private final Backoff quarantineBackoff = new Backoff(
             HealthPolicy.INITIAL_QUARANTINE_NANOS, HealthPolicy.QUARANTINE_GROWTH, HealthPolicy.MAX_QUARANTINE_NANOS);
     private final Map<FailureScorer.KindKey, KindTally> tallies = new HashMap<>();
 
     private VmRecord vm;
-    private boolean markListed = true;
-    private boolean setDrained;
-    private boolean setLeaving;
-    private boolean markUnreachable;
-    private boolean convicted;
-    private boolean onTrialAfterConviction;
+    private boolean listed = true;
+    private boolean drained;
+    private boolean leaving;
+    private boolean unreachable;
+    private boolean quarantined;
+    private boolean onTrialAfterQuarantine;
     private long quarantinedUntilNanos;
-    private int adjustPeerQuarantines;
-    private boolean setQuarantinedForPeers;
+    private int quarantiningPeers;
+    private boolean quarantinedForPeers;
     private int trialsLeft;
     private double failureScore;
     private long trustedSinceNanos;
     private long unreachableSinceNanos;
-    private boolean fadedSinceRefusal = true;
+    private boolean decayedSinceRefusal = true;
     private long nextDecayNanos;
-    private long fadeWaitNanos;
+    private long decayWaitNanos;
     private long nextProbeNanos = NEVER;
     private String reason = "list";
 
@@ -64,112 +64,112 @@
         return tallies.computeIfAbsent(kind, key -> new KindTally());
     }
 
-    /** Records the list's line; another address means another machine, of which nothing is known yet. */
-    void markListed(VmRecord line) {
-        boolean another = !line.address().equals(vm.address());
-        vm = line;
-        markListed = true;
-        if (another) {
-            setLeaving = false;
-            markUnreachable = false;
-            convicted = false;
-            onTrialAfterConviction = false;
+    /** Records the VM list entry. A new address means a new machine, so the earlier health state is discarded. */
+    void markListed(VmRecord entry) {
+        boolean addressChanged = !entry.address().equals(vm.address());
+        vm = entry;
+        listed = true;
+        if (addressChanged) {
+            leaving = false;
+            unreachable = false;
+            quarantined = false;
+            onTrialAfterQuarantine = false;
             trialsLeft = 0;
             failureScore = 0;
             tallies.clear();
-            unreachableWait.reset();
-            quarantineWait.reset();
+            unreachableBackoff.reset();
+            quarantineBackoff.reset();
             reason = "list";
         }
     }
 
     void markUnlisted() {
-        markListed = false;
+        listed = false;
         reason = "missing from the list";
     }
 
     boolean isListed() {
-        return markListed;
+        return listed;
     }
 
     boolean isDrained() {
-        return setDrained;
+        return drained;
     }
 
-    void setDrained(boolean out) {
-        setDrained = out;
+    void setDrained(boolean value) {
+        drained = value;
     }
 
-    void setLeaving(boolean now, String reason) {
-        setLeaving = now;
-        reason = reason;
+    void setLeaving(boolean value, String reason) {
+        leaving = value;
+        this.reason = reason;
     }
 
     boolean isLeaving() {
-        return setLeaving;
+        return leaving;
     }
 
-    /** Notes that no connection to it came about; returns how long to wait before it is probed. */
+    /** Records that a connection failed; returns how long to wait before the next probe, in nanoseconds. */
     long markUnreachable(long nowNanos) {
-        unreachableSinceNanos = markUnreachable ? unreachableSinceNanos : nowNanos;
-        markUnreachable = true;
+        unreachableSinceNanos = unreachable ? unreachableSinceNanos : nowNanos;
+        unreachable = true;
         reason = "unreachable";
-        return unreachableWait.next();
+        return unreachableBackoff.next();
     }
 
     boolean isUnreachable() {
-        return markUnreachable;
+        return unreachable;
     }
 
-    /** Ends that it is unreachable; one task must succeed before it gets more than one at a time. */
+    /** Marks it as reachable; one task must succeed before it gets more than one at a time. */
     void markReachable() {
-        markUnreachable = false;
+        unreachable = false;
         trialsLeft = Math.max(trialsLeft, 1);
     }
 
-    /** Puts it in quarantine, for longer each time. */
+    /** Quarantines it, each time for longer. */
     void quarantine(boolean elsewhere, long nowNanos, String reason) {
         if (trialsLeft == 0 && nowNanos - trustedSinceNanos > HealthPolicy.QUARANTINE_RESET_NANOS) {
-            quarantineWait.reset();
+            quarantineBackoff.reset();
         }
-        convicted = true;
-        onTrialAfterConviction = false;
+        quarantined = true;
+        onTrialAfterQuarantine = false;
         long factor = elsewhere ? HealthPolicy.QUARANTINE_FACTOR_ELSEWHERE : 1;
-        quarantinedUntilNanos = nowNanos + factor * quarantineWait.next();
-        reason = reason;
+        quarantinedUntilNanos = nowNanos + factor * quarantineBackoff.next();
+        this.reason = reason;
     }
 
     boolean isQuarantined() {
-        return convicted;
+        return quarantined;
     }
 
     long quarantinedUntilNanos() {
         return quarantinedUntilNanos;
     }
 
-    /** Returns whether this node's own judgement keeps it from full work, which its peers should know. */
+    /** Returns whether this node itself holds it in quarantine or on trial, which is reported to peers. */
     boolean isQuarantinedOrOnTrial() {
-        return convicted || onTrialAfterConviction;
+        return quarantined || onTrialAfterQuarantine;
     }
 
     void startTrial() {
-        convicted = false;
-        onTrialAfterConviction = true;
+        quarantined = false;
+        onTrialAfterQuarantine = true;
         failureScore = 0;
         trialsLeft = HealthPolicy.TRIAL_TASKS;
         reason = "on trial";
     }
 
-    /** Returns whether what is known is enough for quarantine; on trial one failure that is its own fault is. */
+    /** Returns whether its failure score calls for quarantine; on trial, one failure that is its own is enough. */
     boolean shouldQuarantine(boolean elsewhere) {
-        double needed = elsewhere ? HealthPolicy.QUARANTINE_THRESHOLD_ELSEWHERE : HealthPolicy.QUARANTINE_THRESHOLD;
-        return !convicted
-                && failureScore >= (onTrialAfterConviction ? HealthPolicy.QUARANTINE_THRESHOLD_ON_TRIAL : needed);
+        double threshold = elsewhere ? HealthPolicy.QUARANTINE_THRESHOLD_ELSEWHERE : HealthPolicy.QUARANTINE_THRESHOLD;
+        return !quarantined
+                && failureScore >= (onTrialAfterQuarantine ? HealthPolicy.QUARANTINE_THRESHOLD_ON_TRIAL : threshold);
     }
 
-    /** Records a success; returns whether it ended the trial. */
+    /** Records a successful task; returns whether it completed the trial. */
     boolean recordSuccess(long nowNanos) {
-        unreachableWait.reset();
+        unreachableBackoff.reset();
         if (trialsLeft == 0) {
             return false;
         }
@@ -178,27 +178,28 @@
             return false;
         }
         trustedSinceNanos = nowNanos;
-        onTrialAfterConviction = false;
+        onTrialAfterQuarantine = false;
         reason = "trial passed";
         return true;
     }
 
     void adjustPeerQuarantines(int delta) {
-        adjustPeerQuarantines += delta;
+        quarantiningPeers += delta;
     }
 
     boolean isQuarantinedAtPeers() {
-        return adjustPeerQuarantines > 0;
+        return quarantiningPeers > 0;
     }
 
-    /** Lets it have one task at a time until some succeed. */
+    /** Limits it to one task at a time until some tasks have succeeded. */
     void markSuspected() {
         failureScore = Math.max(failureScore, HealthPolicy.SUSPICION_THRESHOLD);
     }
 
-    void setQuarantinedForPeers(boolean out) {
-        setQuarantinedForPeers = out;
-        if (out) {
+    /** Sets whether it is out of use because peers hold it in quarantine. */
+    void setQuarantinedForPeers(boolean value) {
+        quarantinedForPeers = value;
+        if (value) {
             reason = "a peer's quarantine";
         } else {
             trialsLeft = Math.max(trialsLeft, 1);
@@ -206,12 +207,12 @@
     }
 
     boolean isQuarantinedForPeers() {
-        return setQuarantinedForPeers;
+        return quarantinedForPeers;
     }
 
-    /** Returns whether it is out or on trial for failing tasks, so that a trial's end cannot break the bound. */
+    /** Returns whether it counts towards the limit of quarantined endpoints, as it does until its trial has ended. */
     boolean countsAsQuarantined() {
-        return isQuarantinedOrOnTrial() || setQuarantinedForPeers;
+        return isQuarantinedOrOnTrial() || quarantinedForPeers;
     }
 
     void addFailureScore(double added) {
@@ -222,27 +223,27 @@
         return failureScore;
     }
 
-    /** Records that it refused a task as full; refusals of tasks that were sent together count as one. */
+    /** Records that it refused a task because it was full; refusals of tasks sent together count once. */
     void recordBusyRefusal(long nowNanos) {
         slots.markFull();
-        if (fadedSinceRefusal) {
-            fadedSinceRefusal = false;
-            fadeWaitNanos = busyWait.next();
-            nextDecayNanos = nowNanos + fadeWaitNanos;
+        if (decayedSinceRefusal) {
+            decayedSinceRefusal = false;
+            decayWaitNanos = busyBackoff.next();
+            nextDecayNanos = nowNanos + decayWaitNanos;
         }
     }
 
-    /** Lets the last refusal fade by one slot. */
+    /** Counts one more slot as free, as the last refusal becomes old. */
     void decayRefusal(long nowNanos) {
         slots.decayRefusal();
-        fadedSinceRefusal = true;
-        nextDecayNanos = nowNanos + fadeWaitNanos;
+        decayedSinceRefusal = true;
+        nextDecayNanos = nowNanos + decayWaitNanos;
         if (!slots.hasRecentRefusal()) {
-            busyWait.reset();
+            busyBackoff.reset();
         }
     }
 
-    /** Returns when a refusal is next to fade; {@link #NEVER} if none counts. */
+    /** Returns when the last refusal next decays by one slot; {@link #NEVER} if it no longer has any effect. */
     long nextDecayNanos() {
         return slots.hasRecentRefusal() ? nextDecayNanos : NEVER;
     }
@@ -256,42 +257,42 @@
     }
 
     String reason() {
-        return setDrained ? "operator" : reason;
+        return drained ? "operator" : reason;
     }
 
     Condition condition() {
-        if (setDrained) {
+        if (drained) {
             return Condition.DRAINED;
         }
-        if (!markListed) {
+        if (!listed) {
             return Condition.UNLISTED;
         }
-        if (setLeaving) {
+        if (leaving) {
             return Condition.LEAVING;
         }
-        if (markUnreachable) {
+        if (unreachable) {
             return Condition.UNREACHABLE;
         }
-        if (convicted || setQuarantinedForPeers) {
+        if (quarantined || quarantinedForPeers) {
             return Condition.QUARANTINED;
         }
         return trialsLeft > 0 || failureScore >= HealthPolicy.SUSPICION_THRESHOLD ? Condition.ON_TRIAL : Condition.LIVE;
     }
 
-    /** Returns whether to keep it although a doubted list misses it: it works, or may be cut off for a while. */
+    /** Returns whether a doubtful VM list does not remove it: it is neither leaving nor long unreachable. */
     boolean isKeptWhenMissing(long nowNanos) {
         boolean longUnreachable =
-                markUnreachable && nowNanos - unreachableSinceNanos > HealthPolicy.MAX_UNREACHABLE_KEPT_NANOS;
-        return !setLeaving && !longUnreachable;
+                unreachable && nowNanos - unreachableSinceNanos > HealthPolicy.MAX_UNREACHABLE_KEPT_NANOS;
+        return !leaving && !longUnreachable;
     }
 
-    /** Returns whether only an answer to a probe can bring it back. */
+    /** Returns whether only a successful probe can bring it back into use. */
     boolean needsProbe() {
-        boolean listedAsLive = markListed && !setDrained && vm.state() == VmState.LIVE;
-        return listedAsLive && (setLeaving || markUnreachable || convicted);
+        boolean listedAsLive = listed && !drained && vm.state() == VmState.LIVE;
+        return listedAsLive && (leaving || unreachable || quarantined);
     }
 
-    /** Returns whether one more task may go there now, as far as its condition says. */
+    /** Returns whether its condition permits one more task now. */
     boolean canReceiveTask() {
         Condition condition = condition();
         return condition == Condition.LIVE || condition == Condition.ON_TRIAL && slots.ownInFlight() == 0;
