--- a/tarragonarch-model/src/main/java/org/tarragonarch/model/collect/BoundedMaps.java
+++ b/tarragonarch-model/src/main/java/org/tarragonarch/model/collect/BoundedMaps.java
@@ -5,7 +5,7 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 
-/** Maps that drop an entry when another one would exceed their bound. */
+/** Factories of maps that evict an entry when an insertion would exceed their bound. */
 public final class BoundedMaps {
     private static final int INITIAL_CAPACITY = 16;
     private static final float LOAD_FACTOR = 0.75f;
@@ -13,18 +13,18 @@
     private BoundedMaps() {}
 
     /**
-     * Returns a map that drops the entry whose key was inserted first.
+     * Returns a map that evicts the entry whose key was inserted first.
      *
-     * @param maxEntries the bound, over 0
+     * @param maxEntries the maximum number of entries, above 0
      */
     public static <K, V> Map<K, V> evictingEldest(int maxEntries) {
         return create(maxEntries, false);
     }
 
     /**
-     * Returns a map that drops the least recently accessed entry.
+     * Returns a map that evicts the least recently accessed entry.
      *
-     * @param maxEntries the bound, over 0
+     * @param maxEntries the maximum number of entries, above 0
      */
     public static <K, V> Map<K, V> evictingLeastRecentlyAccessed(int maxEntries) {
         return create(maxEntries, true);
--- a/tarragonarch-model/src/main/java/org/tarragonarch/model/id/Address.java
+++ b/tarragonarch-model/src/main/java/org/tarragonarch/model/id/Address.java
@@ -7,15 +7,15 @@
 import com.google.common.net.InetAddresses;
 
 /**
- * Where a process listens: an IP number and a port, never a host name.
+ * The address at which a process listens: an IP address and a port, never a host name.
  *
- * @param ip the IP number as text
+ * @param ip the IP address as text
  * @param port the port, 1 to 65535
  */
 public record Address(String ip, int port) {
     private static final int MAX_PORT = 65_535;
 
-    /** Checks that the host is an IP number and the port in range. */
+    /** Checks that the IP address is valid and the port in range. */
     public Address {
         checkNotNull(ip, "ip");
         checkArgument(InetAddresses.isInetAddress(ip), "'%s' is not an IP number", ip);
@@ -23,9 +23,9 @@
     }
 
     /**
-     * Reads {@code ip:port}.
+     * Parses {@code ip:port}.
      *
-     * @throws IllegalArgumentException if the text is not an IP number and a port
+     * @throws IllegalArgumentException if the text is not an IP address and a port
      */
     public static Address parse(String text) {
         HostAndPort parsed = HostAndPort.fromString(text);
--- a/tarragonarch-model/src/main/java/org/tarragonarch/model/id/CallerName.java
+++ b/tarragonarch-model/src/main/java/org/tarragonarch/model/id/CallerName.java
@@ -6,13 +6,13 @@
  * @param value the name; see {@link Names} for what it may hold
  */
 public record CallerName(String value) implements Comparable<CallerName> {
-    /** Checks the name. */
+    /** Checks that the name is well formed. */
     public CallerName {
         Names.check("CallerName", value);
     }
 
     /**
-     * Returns the value type of a name.
+     * Returns the {@code CallerName} of a name.
      *
      * @throws IllegalArgumentException if the name is malformed
      */
--- a/tarragonarch-model/src/main/java/org/tarragonarch/model/id/ClaimKey.java
+++ b/tarragonarch-model/src/main/java/org/tarragonarch/model/id/ClaimKey.java
@@ -10,14 +10,14 @@
  * @param key the caller's key
  */
 public record ClaimKey(ServiceName service, CallerName caller, IdempotencyKey key) {
-    /** Checks the parts. */
+    /** Checks that no component is null. */
     public ClaimKey {
         checkNotNull(service, "service");
         checkNotNull(caller, "caller");
         checkNotNull(key, "key");
     }
 
-    /** Returns the row key under which the claim stands in the table service. */
+    /** Returns the key of the claim's row in the table service. */
     @Override
     public String toString() {
         return service + "/" + caller + "/" + key;
--- a/tarragonarch-model/src/main/java/org/tarragonarch/model/id/ClaimToken.java
+++ b/tarragonarch-model/src/main/java/org/tarragonarch/model/id/ClaimToken.java
@@ -3,14 +3,14 @@
 import static com.google.common.base.Preconditions.checkNotNull;
 
 /**
- * The unique mark of one attempt to claim a key.
+ * The unique token of one attempt to claim a key.
  *
- * <p>A write whose reply was lost is settled by reading the row back and comparing this token.
+ * <p>If the reply to a write was lost, comparing this token with the row read back shows whether the write succeeded.
  *
  * @param value unique text; a submission id in practice
  */
 public record ClaimToken(String value) {
-    /** Checks that there is a value. */
+    /** Checks that the value is not null. */
     public ClaimToken {
         checkNotNull(value, "value");
     }
--- a/tarragonarch-model/src/main/java/org/tarragonarch/model/id/ConfigurationVersion.java
+++ b/tarragonarch-model/src/main/java/org/tarragonarch/model/id/ConfigurationVersion.java
@@ -3,15 +3,15 @@
 import static com.google.common.base.Preconditions.checkArgument;
 
 /**
- * Numbers the configurations that were accepted, upwards without gaps.
+ * The version number of an accepted configuration; numbers increase without gaps.
  *
- * @param value the number; 0 means that no configuration was accepted yet
+ * @param value the number; 0 if no configuration was accepted yet
  */
 public record ConfigurationVersion(long value) implements Comparable<ConfigurationVersion> {
-    /** Stands for no accepted configuration. */
+    /** The version before any configuration was accepted. */
     public static final ConfigurationVersion NONE = new ConfigurationVersion(0);
 
-    /** Checks the number. */
+    /** Checks that the number is not negative. */
     public ConfigurationVersion {
         checkArgument(value >= 0, "version %s is negative", value);
     }
@@ -26,7 +26,7 @@
         return value > other.value;
     }
 
-    /** Returns the version that follows. */
+    /** Returns the next version. */
     public ConfigurationVersion next() {
         return new ConfigurationVersion(value + 1);
     }
--- a/tarragonarch-model/src/main/java/org/tarragonarch/model/id/ContentDigest.java
+++ b/tarragonarch-model/src/main/java/org/tarragonarch/model/id/ContentDigest.java
@@ -7,14 +7,14 @@
 import java.util.regex.Pattern;
 
 /**
- * The SHA-256 digest of some bytes.
+ * A SHA-256 digest.
  *
  * @param hex 64 lower-case hexadecimal digits
  */
 public record ContentDigest(String hex) {
     private static final Pattern HEX = Pattern.compile("[0-9a-f]{64}");
 
-    /** Checks the form. */
+    /** Checks that the text is 64 lower-case hexadecimal digits. */
     public ContentDigest {
         checkNotNull(hex, "hex");
         checkArgument(HEX.matcher(hex).matches(), "'%s' is not a SHA-256 digest", hex);
--- a/tarragonarch-model/src/main/java/org/tarragonarch/model/id/EndpointId.java
+++ b/tarragonarch-model/src/main/java/org/tarragonarch/model/id/EndpointId.java
@@ -6,13 +6,13 @@
  * @param value the name; see {@link Names} for what it may hold
  */
 public record EndpointId(String value) implements Comparable<EndpointId> {
-    /** Checks the name. */
+    /** Checks that the name is well formed. */
     public EndpointId {
         Names.check("EndpointId", value);
     }
 
     /**
-     * Returns the value type of a name.
+     * Returns the {@code EndpointId} of a name.
      *
      * @throws IllegalArgumentException if the name is malformed
      */
--- a/tarragonarch-model/src/main/java/org/tarragonarch/model/id/FailureDomain.java
+++ b/tarragonarch-model/src/main/java/org/tarragonarch/model/id/FailureDomain.java
@@ -6,13 +6,13 @@
  * @param value the name; see {@link Names} for what it may hold
  */
 public record FailureDomain(String value) implements Comparable<FailureDomain> {
-    /** Checks the name. */
+    /** Checks that the name is well formed. */
     public FailureDomain {
         Names.check("FailureDomain", value);
     }
 
     /**
-     * Returns the value type of a name.
+     * Returns the {@code FailureDomain} of a name.
      *
      * @throws IllegalArgumentException if the name is malformed
      */
--- a/tarragonarch-model/src/main/java/org/tarragonarch/model/id/IdempotencyKey.java
+++ b/tarragonarch-model/src/main/java/org/tarragonarch/model/id/IdempotencyKey.java
@@ -6,7 +6,7 @@
 import com.google.common.base.CharMatcher;
 
 /**
- * The key by which a caller marks two submissions as the same.
+ * The key with which a caller marks repeated submissions as the same one.
  *
  * @param value 1 to 128 visible ASCII characters
  */
@@ -14,7 +14,7 @@
     private static final int MAX_LENGTH = 128;
     private static final CharMatcher VISIBLE = CharMatcher.inRange('!', '~');
 
-    /** Checks the text. */
+    /** Checks the length and the characters. */
     public IdempotencyKey {
         checkNotNull(value, "value");
         checkArgument(
--- a/tarragonarch-model/src/main/java/org/tarragonarch/model/id/Incarnation.java
+++ b/tarragonarch-model/src/main/java/org/tarragonarch/model/id/Incarnation.java
@@ -3,9 +3,9 @@
 import static com.google.common.base.Preconditions.checkArgument;
 
 /**
- * Distinguishes one run of a node's process from every other run under the same name.
+ * Identifies one lifetime of a node's process among all those under the same node name.
  *
- * @param value a number that is higher in each later run of the same node
+ * @param value a number that is higher for each later incarnation of the same node
  */
 public record Incarnation(long value) implements Comparable<Incarnation> {
     /** Checks that the number is positive. */
--- a/tarragonarch-model/src/main/java/org/tarragonarch/model/id/KindName.java
+++ b/tarragonarch-model/src/main/java/org/tarragonarch/model/id/KindName.java
@@ -6,13 +6,13 @@
  * @param value the name; see {@link Names} for what it may hold
  */
 public record KindName(String value) implements Comparable<KindName> {
-    /** Checks the name. */
+    /** Checks that the name is well formed. */
     public KindName {
         Names.check("KindName", value);
     }
 
     /**
-     * Returns the value type of a name.
+     * Returns the {@code KindName} of a name.
      *
      * @throws IllegalArgumentException if the name is malformed
      */
--- a/tarragonarch-model/src/main/java/org/tarragonarch/model/id/Names.java
+++ b/tarragonarch-model/src/main/java/org/tarragonarch/model/id/Names.java
@@ -5,13 +5,13 @@
 
 import java.util.regex.Pattern;
 
-/** The rule that all names follow: 1 to 64 of lower-case letters, digits, dots and dashes, a letter or digit first. */
+/** The format of names: 1 to 64 lower-case letters, digits, dots and dashes, starting with a letter or digit. */
 public final class Names {
     private static final Pattern NAME = Pattern.compile("[a-z0-9][a-z0-9.-]{0,63}");
 
     private Names() {}
 
-    /** Returns whether the text may serve as a name. */
+    /** Returns whether the text is a valid name. */
     public static boolean isWellFormed(String value) {
         return NAME.matcher(value).matches();
     }
--- a/tarragonarch-model/src/main/java/org/tarragonarch/model/id/NodeId.java
+++ b/tarragonarch-model/src/main/java/org/tarragonarch/model/id/NodeId.java
@@ -6,13 +6,13 @@
  * @param value the name; see {@link Names} for what it may hold
  */
 public record NodeId(String value) implements Comparable<NodeId> {
-    /** Checks the name. */
+    /** Checks that the name is well formed. */
     public NodeId {
         Names.check("NodeId", value);
     }
 
     /**
-     * Returns the value type of a name.
+     * Returns the {@code NodeId} of a name.
      *
      * @throws IllegalArgumentException if the name is malformed
      */
--- a/tarragonarch-model/src/main/java/org/tarragonarch/model/id/OperatorName.java
+++ b/tarragonarch-model/src/main/java/org/tarragonarch/model/id/OperatorName.java
@@ -6,13 +6,13 @@
  * @param value the name; see {@link Names} for what it may hold
  */
 public record OperatorName(String value) implements Comparable<OperatorName> {
-    /** Checks the name. */
+    /** Checks that the name is well formed. */
     public OperatorName {
         Names.check("OperatorName", value);
     }
 
     /**
-     * Returns the value type of a name.
+     * Returns the {@code OperatorName} of a name.
      *
      * @throws IllegalArgumentException if the name is malformed
      */
--- a/tarragonarch-model/src/main/java/org/tarragonarch/model/id/Region.java
+++ b/tarragonarch-model/src/main/java/org/tarragonarch/model/id/Region.java
@@ -1,18 +1,18 @@
 package org.tarragonarch.model.id;
 
 /**
- * The name of a region: failure domains that are a millisecond or two from each other, such as {@code lutruwita}.
+ * The name of a region, such as {@code lutruwita}: failure domains within one or two milliseconds of each other.
  *
  * @param value the name; see {@link Names} for what it may hold
  */
 public record Region(String value) implements Comparable<Region> {
-    /** Checks the name. */
+    /** Checks that the name is well formed. */
     public Region {
         Names.check("Region", value);
     }
 
     /**
-     * Returns the value type of a name.
+     * Returns the {@code Region} of a name.
      *
      * @throws IllegalArgumentException if the name is malformed
      */
--- a/tarragonarch-model/src/main/java/org/tarragonarch/model/id/ServiceName.java
+++ b/tarragonarch-model/src/main/java/org/tarragonarch/model/id/ServiceName.java
@@ -6,13 +6,13 @@
  * @param value the name; see {@link Names} for what it may hold
  */
 public record ServiceName(String value) implements Comparable<ServiceName> {
-    /** Checks the name. */
+    /** Checks that the name is well formed. */
     public ServiceName {
         Names.check("ServiceName", value);
     }
 
     /**
-     * Returns the value type of a name.
+     * Returns the {@code ServiceName} of a name.
      *
      * @throws IllegalArgumentException if the name is malformed
      */
--- a/tarragonarch-model/src/main/java/org/tarragonarch/model/id/SubmissionId.java
+++ b/tarragonarch-model/src/main/java/org/tarragonarch/model/id/SubmissionId.java
@@ -4,17 +4,17 @@
 import static com.google.common.base.Preconditions.checkNotNull;
 
 /**
- * Identifies one submission: a request or a job that arrived at one run of one node.
+ * Identifies a submission: a request or a job that arrived at one incarnation of a node.
  *
- * <p>The incarnation is part of the id, so an answer for an earlier run of a node never matches a submission of this
- * run.
+ * <p>The incarnation is part of the id, so an answer for an earlier incarnation of a node never matches a submission of
+ * the current one.
  *
  * @param node the node that owns the submission
- * @param incarnation the run of that node
- * @param sequence the submission's number within the run
+ * @param incarnation the incarnation of that node
+ * @param sequence the number of the submission within the incarnation
  */
 public record SubmissionId(NodeId node, Incarnation incarnation, long sequence) {
-    /** Checks the parts. */
+    /** Checks that no component is null and the sequence number is not negative. */
     public SubmissionId {
         checkNotNull(node, "node");
         checkNotNull(incarnation, "incarnation");
@@ -22,7 +22,7 @@
     }
 
     /**
-     * Reads the text form back.
+     * Parses the text form.
      *
      * @throws IllegalArgumentException if the text is not an id
      */
--- a/tarragonarch-model/src/main/java/org/tarragonarch/model/id/TaskId.java
+++ b/tarragonarch-model/src/main/java/org/tarragonarch/model/id/TaskId.java
@@ -7,17 +7,17 @@
  * Identifies one task of a submission.
  *
  * @param submission the submission that the task belongs to
- * @param index the task's place in the submission, from 0
+ * @param index the index of the task in the submission, from 0
  */
 public record TaskId(SubmissionId submission, int index) {
-    /** Checks the parts. */
+    /** Checks that the submission is not null and the index not negative. */
     public TaskId {
         checkNotNull(submission, "submission");
         checkArgument(index >= 0, "index %s is negative", index);
     }
 
     /**
-     * Reads the text form back.
+     * Parses the text form.
      *
      * @throws IllegalArgumentException if the text is not an id
      */
--- a/tarragonarch-model/src/main/java/org/tarragonarch/model/id/TeamName.java
+++ b/tarragonarch-model/src/main/java/org/tarragonarch/model/id/TeamName.java
@@ -1,18 +1,18 @@
 package org.tarragonarch.model.id;
 
 /**
- * The name of a team, which holds quotas and a weight.
+ * The name of a team, which has quotas and a weight.
  *
  * @param value the name; see {@link Names} for what it may hold
  */
 public record TeamName(String value) implements Comparable<TeamName> {
-    /** Checks the name. */
+    /** Checks that the name is well formed. */
     public TeamName {
         Names.check("TeamName", value);
     }
 
     /**
-     * Returns the value type of a name.
+     * Returns the {@code TeamName} of a name.
      *
      * @throws IllegalArgumentException if the name is malformed
      */
--- a/tarragonarch-model/src/main/java/org/tarragonarch/model/id/package-info.java
+++ b/tarragonarch-model/src/main/java/org/tarragonarch/model/id/package-info.java
@@ -1,7 +1,7 @@
 /**
- * Value types for the names and numbers by which things are known.
+ * Value types for identifiers: names, ids, versions and addresses.
  *
- * <p>Those that nodes keep in maps write out {@code equals} and {@code hashCode}, here and in {@code model.task}: the
- * first use of generated ones costs a node that was just started some of its first second, and its clients wait for it.
+ * <p>The types used as map keys, here and in {@code model.task}, define {@code equals} and {@code hashCode} explicitly:
+ * linking the generated methods on first use would delay the first requests to a node that has just started.
  */
 package org.tarragonarch.model.id;
--- a/tarragonarch-model/src/main/java/org/tarragonarch/model/log/NodeEvent.java
+++ b/tarragonarch-model/src/main/java/org/tarragonarch/model/log/NodeEvent.java
@@ -4,87 +4,87 @@
 import java.util.Locale;
 import java.util.Optional;
 
-/** What a line of a node's log reports; the word of each is stable, and docs/OPERATIONS.md explains it. */
+/** The events in a node's log; their words are stable, and docs/OPERATIONS.md explains them. */
 public enum NodeEvent {
-    /** A client was given its job's outcome. */
+    /** A client was sent the outcome of its job. */
     JOB_ANSWERED,
     /** A client cancelled its job. */
     JOB_CANCELLED,
-    /** A client named a queue that the configuration in force does not have; it was refused, or asked to come back. */
+    /** A client named a queue that the configuration in force does not have; it was refused or told to retry. */
     QUEUE_UNKNOWN,
-    /** A holder did not take a job, or gave it back unstarted. */
+    /** A holder did not accept a job, or returned it without having started any of it. */
     JOB_DECLINED,
     /** A job that its own failure domain could not start at once was offered to the holder of another one. */
     JOB_MOVED,
     /** The holder of the other failure domain could not start the job at once either. */
     JOB_MOVED_BACK,
-    /** A job's holder was lost, or has lost its shards, while runs of the job may be under way. */
+    /** The holder of a job was lost, or lost its shards, while runs of the job may be in progress. */
     JOB_HOLDER_LOST,
     /** A job whose holder was lost was offered again. */
     JOB_OFFERED_AGAIN,
     /** No client waits for a job any more; it was withdrawn from its holder. */
     JOB_CLIENTS_LEFT,
-    /** A holder goes on with a job of an earlier holder, and on what ground. */
+    /** A holder recovered a job of an earlier holder; the line names the ground. */
     JOB_RECOVERED,
-    /** A job was sent again by its client, through another node, while it is placed here. */
+    /** A client sent a job again, through another node, while the job is placed here. */
     JOB_RESUBMITTED,
-    /** A holder ended the jobs of a node that is lost. */
+    /** A holder ended the jobs of a lost node. */
     ORIGIN_LOST,
-    /** A holder ended jobs that their node did not name as it connected again. */
+    /** A holder ended jobs that their origin did not list as open when it reconnected. */
     JOBS_NOT_OPEN,
-    /** An endpoint is clearly faster or slower than before, by the run times of its tasks. */
+    /** An endpoint has become clearly faster or slower, by the run times of its tasks. */
     ENDPOINT_SPEED_CHANGED,
-    /** A run did not do its work. */
+    /** A run ended without having completed its work. */
     RUN_ENDED_BADLY,
-    /** An endpoint has restarted under its id; what ran there is over. */
+    /** An endpoint restarted under the same id; its earlier runs have ended. */
     ENDPOINT_RESTARTED,
-    /** A share wants more capacity than its allotment from now on; its jobs wait, and are refused at admission. */
+    /** A share began to need more capacity than its allotment; its jobs wait, and new ones are refused at admission. */
     SHARE_LIMITED,
-    /** A share has all the capacity that it wants again. */
+    /** A share has all the capacity that it needs again. */
     SHARE_UNLIMITED,
-    /** This node holds a shard from now on. */
+    /** This node has become the holder of a shard. */
     SHARD_CLAIMED,
-    /** This node releases a shard. */
+    /** This node has released a shard. */
     SHARD_RESIGNED,
     /** The endpoints of a shard obey another holder. */
     SHARD_FENCED,
-    /** A peer is reachable. */
+    /** A peer has become reachable. */
     PEER_JOINED,
-    /** A peer is not reachable any more. */
+    /** A peer is no longer reachable. */
     PEER_LOST,
     /** A table of the platform's store cannot be read. */
     STORE_LOST,
-    /** The rows that a table's call brought could not be taken; the table is read whole again. */
+    /** The rows returned by a call for a table could not be applied; the whole table is read again. */
     STORE_ROWS_UNUSABLE,
     /** Another call for a table that cannot be read has failed. */
     STORE_CALL_FAILED,
     /** The table can be read again. */
     STORE_REGAINED,
-    /** A configuration is in force at this node. */
+    /** A configuration has come into force at this node. */
     CONFIGURATION_IN_FORCE,
-    /** A configuration could not be read, and the one before stays in force. */
+    /** A configuration could not be read; the previous one remains in force. */
     CONFIGURATION_UNREADABLE,
-    /** Operators have drained a failure domain: nothing is started there from now on. */
+    /** Operators have drained a failure domain; no task is started there any more. */
     DOMAIN_DRAINED,
-    /** Operators have taken a drained failure domain back into use. */
+    /** Operators have ended the drain of a failure domain. */
     DOMAIN_UNDRAINED,
-    /** A row that drains a failure domain could not be read and was left out. */
+    /** A row that drains a failure domain could not be read and was ignored. */
     DRAIN_ROW_UNREADABLE,
-    /** An endpoint's row in the store could not be read and was left out. */
+    /** An endpoint's row in the store could not be read and was ignored. */
     ENDPOINT_ROW_UNREADABLE,
-    /** A node's row in the store could not be read and was left out. */
+    /** A node's row in the store could not be read and was ignored. */
     NODE_ROW_UNREADABLE,
-    /** The node has opened its addresses. */
+    /** The node has begun to listen at its addresses. */
     NODE_STARTED,
     /** The node was asked to stop. */
     NODE_LEAVING,
-    /** The node ends now. */
+    /** The node's process is about to exit. */
     NODE_STOPPED,
-    /** The settings file was read again. */
+    /** The settings file was reloaded. */
     SETTINGS_READ_AGAIN,
-    /** The settings file was changed and cannot be read. */
+    /** The settings file has changed and cannot be read. */
     SETTINGS_UNREADABLE,
-    /** Lines were left out because the reader of the log had stopped reading. */
+    /** Lines were dropped because the reader of the log had stopped reading. */
     LOG_LINES_DROPPED;
 
     private final String word;
@@ -93,12 +93,12 @@
         this.word = name().toLowerCase(Locale.ROOT).replace('_', '-');
     }
 
-    /** Returns the word that stands in the log. */
+    /** Returns the word of the event in the log. */
     public String word() {
         return word;
     }
 
-    /** Returns the event of this word, if there is one. */
+    /** Returns the event with this word, if there is one. */
     public static Optional<NodeEvent> ofWord(String word) {
         return Arrays.stream(values()).filter(event -> event.word.equals(word)).findFirst();
     }
--- a/tarragonarch-model/src/main/java/org/tarragonarch/model/log/package-info.java
+++ b/tarragonarch-model/src/main/java/org/tarragonarch/model/log/package-info.java
@@ -1,2 +1,2 @@
-/** The lines that nodes write for whoever is on call, as writer and reader share them. */
+/** The events of the nodes' logs, shared by the writer and the readers of the log lines. */
 package org.tarragonarch.model.log;
--- a/tarragonarch-model/src/main/java/org/tarragonarch/model/outcome/Outcome.java
+++ b/tarragonarch-model/src/main/java/org/tarragonarch/model/outcome/Outcome.java
@@ -1,14 +1,14 @@
 package org.tarragonarch.model.outcome;
 
-/** What became of a submission, as its one answer says. */
+/** The outcome of a submission, as stated in its answer. */
 public enum Outcome {
     /** Every task succeeded and the answer holds every result. */
     COMPLETE("complete"),
-    /** A task certainly failed; no result is given. */
+    /** A task certainly failed; the answer has no results. */
     FAILED("failed"),
-    /** Nothing left this node towards an endpoint, so the submission is safe to send again. */
+    /** Nothing was sent to an endpoint, so the submission is safe to send again. */
     NOT_RUN("not-run"),
-    /** Some of it may have run: bytes left towards an endpoint and no whole answer came back. */
+    /** Some tasks may have run: bytes were sent to an endpoint, and no complete answer was received. */
     UNKNOWN("unknown");
 
     private final String word;
@@ -17,7 +17,7 @@
         this.word = word;
     }
 
-    /** Returns the word that stands for this in answers. */
+    /** Returns the word for this outcome in answers. */
     public String word() {
         return word;
     }
--- a/tarragonarch-model/src/main/java/org/tarragonarch/model/outcome/ProblemCode.java
+++ b/tarragonarch-model/src/main/java/org/tarragonarch/model/outcome/ProblemCode.java
@@ -1,50 +1,50 @@
 package org.tarragonarch.model.outcome;
 
-/** Why a submission was not answered with results; each code fixes the outcome and the HTTP status. */
+/** The reasons why a submission has no results; each code determines the outcome and the HTTP status. */
 public enum ProblemCode {
-    /** The message could not be read. */
+    /** The request could not be parsed. */
     MALFORMED("malformed", Outcome.NOT_RUN, 400),
-    /** No token, or one that nobody holds. */
+    /** The request has no token or an unknown one. */
     UNAUTHENTICATED("unauthenticated", Outcome.NOT_RUN, 401),
     /** The caller may not use this service. */
     FORBIDDEN("forbidden", Outcome.NOT_RUN, 403),
-    /** There is no such service. */
+    /** The service does not exist. */
     UNKNOWN_SERVICE("unknown-service", Outcome.NOT_RUN, 404),
     /** The service does not accept this kind. */
     UNKNOWN_KIND("unknown-kind", Outcome.NOT_RUN, 404),
-    /** The submission breaks a limit of its kind, so it can never run. */
+    /** The submission exceeds a limit of its kind, so it can never run. */
     OVER_LIMIT("over-limit", Outcome.NOT_RUN, 413),
-    /** The same key came before with other content. */
+    /** The idempotency key was used before with other content. */
     KEY_REUSED("key-reused", Outcome.NOT_RUN, 409),
     /** The queue is full. */
     QUEUE_FULL("queue-full", Outcome.NOT_RUN, 429),
-    /** The team uses all it may. */
+    /** The team has reached its quota. */
     OVER_QUOTA("over-quota", Outcome.NOT_RUN, 429),
-    /** The estimated wait passes the deadline. */
+    /** The estimated wait exceeds the deadline. */
     WOULD_MISS_DEADLINE("would-miss-deadline", Outcome.NOT_RUN, 503),
-    /** The deadline passed before anything left this node. */
+    /** The deadline passed before anything was sent to an endpoint. */
     EXPIRED_IN_QUEUE("expired-in-queue", Outcome.NOT_RUN, 503),
     /** No endpoint of the service can be reached. */
     NO_ENDPOINT("no-endpoint", Outcome.NOT_RUN, 503),
-    /** The key could not be claimed because the table service is out. */
+    /** The key could not be claimed because the table service is unavailable. */
     CLAIM_UNAVAILABLE("claim-unavailable", Outcome.NOT_RUN, 503),
-    /** The node is leaving. */
+    /** The node is shutting down. */
     DRAINING("draining", Outcome.NOT_RUN, 503),
     /** The node has no configuration yet. */
     NOT_READY("not-ready", Outcome.NOT_RUN, 503),
-    /** The caller cancelled before anything left this node. */
+    /** The caller cancelled before anything was sent to an endpoint. */
     CANCELLED("cancelled", Outcome.NOT_RUN, 409),
-    /** An endpoint ran the task and says that it failed. */
+    /** An endpoint ran the task and reported that it failed. */
     TASK_FAILED("task-failed", Outcome.FAILED, 502),
-    /** The connection broke, or the answer was cut short or was another's, after bytes left. */
+    /** After bytes were sent, the connection broke, or the answer was truncated or belonged to another task. */
     ANSWER_LOST("answer-lost", Outcome.UNKNOWN, 504),
-    /** The deadline passed after bytes left. */
+    /** The deadline passed after bytes were sent to an endpoint. */
     DEADLINE_PASSED("deadline-passed", Outcome.UNKNOWN, 504),
-    /** The caller cancelled after bytes left. */
+    /** The caller cancelled after bytes were sent to an endpoint. */
     CANCELLED_WHILE_RUNNING("cancelled-while-running", Outcome.UNKNOWN, 504),
-    /** Another node holds the key, and its answer cannot be had. */
+    /** Another node has claimed the key, and its answer is unavailable. */
     HELD_ELSEWHERE("held-elsewhere", Outcome.UNKNOWN, 504),
-    /** The node stopped before the answer came. */
+    /** The node stopped before the answer arrived. */
     SHUT_DOWN("shut-down", Outcome.UNKNOWN, 504);
 
     private final String word;
@@ -57,12 +57,12 @@
         this.status = status;
     }
 
-    /** Returns the word that stands for this in answers and logs. */
+    /** Returns the word for this code in answers and logs. */
     public String word() {
         return word;
     }
 
-    /** Returns the outcome that a problem of this code has. */
+    /** Returns the outcome of a submission with this problem. */
     public Outcome outcome() {
         return outcome;
     }
@@ -72,7 +72,7 @@
         return status;
     }
 
-    /** Returns whether the same submission may succeed later, so that the answer names a time to come back. */
+    /** Returns whether the same submission may succeed later, so that the answer suggests when to retry. */
     public boolean isRetryable() {
         return status == 429 || status == 503;
     }
--- a/tarragonarch-model/src/main/java/org/tarragonarch/model/outcome/Step.java
+++ b/tarragonarch-model/src/main/java/org/tarragonarch/model/outcome/Step.java
@@ -1,12 +1,12 @@
 package org.tarragonarch.model.outcome;
 
-/** The step on a submission's way at which an error arose. */
+/** The processing step at which an error arose. */
 public enum Step {
-    /** Reading the caller's message. */
+    /** Reading the caller's request. */
     READ("read"),
-    /** Finding out who calls. */
+    /** Authenticating the caller. */
     AUTHENTICATE("authenticate"),
-    /** Deciding whether the submission is taken. */
+    /** Deciding whether the submission is admitted. */
     ADMIT("admit"),
     /** Claiming the idempotency key. */
     CLAIM("claim"),
@@ -14,15 +14,15 @@
     QUEUE("queue"),
     /** Sending a task to an endpoint. */
     SEND("send"),
-    /** Running on an endpoint. */
+    /** Running a task on an endpoint. */
     RUN("run"),
     /** Reading the endpoint's answer. */
     COLLECT("collect"),
-    /** Talking to another node. */
+    /** Communicating with another node. */
     PEER("peer"),
-    /** Talking to the platform. */
+    /** Communicating with the platform. */
     PLATFORM("platform"),
-    /** Checking or adopting a configuration. */
+    /** Checking a configuration or putting it in force. */
     CONFIGURE("configure"),
     /** Starting or stopping the process. */
     LIFECYCLE("lifecycle");
@@ -33,7 +33,7 @@
         this.word = word;
     }
 
-    /** Returns the word that stands for this in answers and logs. */
+    /** Returns the word for this step in answers and logs. */
     public String word() {
         return word;
     }
--- a/tarragonarch-model/src/main/java/org/tarragonarch/model/outcome/StepException.java
+++ b/tarragonarch-model/src/main/java/org/tarragonarch/model/outcome/StepException.java
@@ -2,19 +2,19 @@
 
 import static com.google.common.base.Preconditions.checkNotNull;
 
-/** An error that says at which step and with which peer it arose. */
+/** An exception that carries the step and the peer at which the error arose. */
 public class StepException extends Exception {
     private static final long serialVersionUID = 1L;
 
     private final Step step;
     private final String peer;
 
-    /** Creates an error without a cause. */
+    /** Creates an exception without a cause. */
     public StepException(Step step, String peer, String message) {
         this(step, peer, message, null);
     }
 
-    /** Creates an error; the cause may be null. */
+    /** Creates an exception; the cause may be null. */
     public StepException(Step step, String peer, String message, Throwable cause) {
         super(message, cause);
         this.step = checkNotNull(step, "step");
--- a/tarragonarch-model/src/main/java/org/tarragonarch/model/outcome/package-info.java
+++ b/tarragonarch-model/src/main/java/org/tarragonarch/model/outcome/package-info.java
@@ -1,2 +1,2 @@
-/** What a caller gets: outcomes, problems, and the errors that carry step and peer. */
+/** The results of submissions: outcomes, problems, and exceptions that carry a step and a peer. */
 package org.tarragonarch.model.outcome;
--- a/tarragonarch-model/src/main/java/org/tarragonarch/model/package-info.java
+++ b/tarragonarch-model/src/main/java/org/tarragonarch/model/package-info.java
@@ -1,2 +1,2 @@
-/** Types that every module shares; the sub-packages hold them by concept. */
+/** Types shared by all modules, grouped by concept in sub-packages. */
 package org.tarragonarch.model;
--- a/tarragonarch-model/src/main/java/org/tarragonarch/model/platform/Claim.java
+++ b/tarragonarch-model/src/main/java/org/tarragonarch/model/platform/Claim.java
@@ -9,16 +9,16 @@
 import org.tarragonarch.model.id.NodeId;
 
 /**
- * The right of one run of one node to run the submission under a key.
+ * The exclusive right of one incarnation of a node to run the submission with an idempotency key.
  *
- * @param key the key claimed
- * @param token the mark of the attempt, by which a lost reply is settled
- * @param node the node that claims
- * @param incarnation the run of that node
- * @param content the digest of the submission, so that a key used again for other work is noticed
+ * @param key the claimed key
+ * @param token the token of the attempt, which shows after a lost reply whether the claim succeeded
+ * @param node the claiming node
+ * @param incarnation the incarnation of that node
+ * @param content the digest of the submission, to detect reuse of the key for other content
  */
 public record Claim(ClaimKey key, ClaimToken token, NodeId node, Incarnation incarnation, ContentDigest content) {
-    /** Checks the parts. */
+    /** Checks that no component is null. */
     public Claim {
         checkNotNull(key, "key");
         checkNotNull(token, "token");
--- a/tarragonarch-model/src/main/java/org/tarragonarch/model/platform/ConfigurationRow.java
+++ b/tarragonarch-model/src/main/java/org/tarragonarch/model/platform/ConfigurationRow.java
@@ -9,17 +9,17 @@
 import org.tarragonarch.model.id.OperatorName;
 
 /**
- * The one row of the table service that says which configuration was accepted last.
+ * The row of the table service that names the configuration accepted last.
  *
  * @param version the accepted version
  * @param digest the digest of the configuration's canonical text, which also names the object that holds it
- * @param change the change that put it there
- * @param operator who changed it
- * @param when when it was accepted, by the clock of the operator's program
+ * @param change the change that wrote the row
+ * @param operator the operator who made the change
+ * @param when the time of acceptance, by the clock of the operator's program
  */
 public record ConfigurationRow(
         ConfigurationVersion version, ContentDigest digest, ChangeId change, OperatorName operator, Instant when) {
-    /** Checks the parts. */
+    /** Checks that no component is null. */
     public ConfigurationRow {
         checkNotNull(version, "version");
         checkNotNull(digest, "digest");
--- a/tarragonarch-model/src/main/java/org/tarragonarch/model/platform/VmRecord.java
+++ b/tarragonarch-model/src/main/java/org/tarragonarch/model/platform/VmRecord.java
@@ -9,15 +9,15 @@
 import org.tarragonarch.model.id.ServiceName;
 
 /**
- * One line of the platform's list of VMs.
+ * An entry of the platform's list of VMs.
  *
  * @param name the VM's name; a node's or an endpoint's id
- * @param role what the VM is for
- * @param domain the failure domain it stands in
- * @param address where it listens: an entry node's peer port, an endpoint's task port
- * @param state what the list says of it
- * @param services the services an endpoint runs tasks for; empty for an entry node
- * @param slots how many tasks an endpoint runs at once; 0 for an entry node
+ * @param role what the VM runs
+ * @param domain the failure domain of the VM
+ * @param address the address of an entry node's peer port or an endpoint's task port
+ * @param state the state in the list
+ * @param services the services that an endpoint runs tasks for; empty for an entry node
+ * @param slots the number of tasks that an endpoint runs at once; 0 for an entry node
  */
 public record VmRecord(
         String name,
@@ -27,7 +27,7 @@
         VmState state,
         ImmutableSet<ServiceName> services,
         int slots) {
-    /** Checks the parts. */
+    /** Checks that no component is null and the number of slots is not negative. */
     public VmRecord {
         checkNotNull(name, "name");
         checkNotNull(role, "role");
--- a/tarragonarch-model/src/main/java/org/tarragonarch/model/platform/VmRole.java
+++ b/tarragonarch-model/src/main/java/org/tarragonarch/model/platform/VmRole.java
@@ -1,10 +1,10 @@
 package org.tarragonarch.model.platform;
 
-/** What a VM of the platform's list is for. */
+/** What a VM in the platform's list runs. */
 public enum VmRole {
-    /** Runs an entry node. */
+    /** An entry node. */
     ENTRY("entry"),
-    /** Runs an endpoint, a worker that runs tasks. */
+    /** An endpoint, which runs tasks. */
     ENDPOINT("endpoint");
 
     private final String word;
@@ -13,7 +13,7 @@
         this.word = word;
     }
 
-    /** Returns the word that the platform's list uses. */
+    /** Returns the word for this role in the platform's list. */
     public String word() {
         return word;
     }
--- a/tarragonarch-model/src/main/java/org/tarragonarch/model/platform/VmState.java
+++ b/tarragonarch-model/src/main/java/org/tarragonarch/model/platform/VmState.java
@@ -1,10 +1,10 @@
 package org.tarragonarch.model.platform;
 
-/** What the platform's list says of a VM; the list lags behind reality. */
+/** The state of a VM in the platform's list, which may be out of date. */
 public enum VmState {
-    /** The VM is up as far as the list knows. */
+    /** The VM is up according to the list. */
     LIVE("live"),
-    /** The VM is about to go and must get no new work. */
+    /** The VM is about to be removed and must get no new work. */
     LEAVING("leaving");
 
     private final String word;
@@ -13,7 +13,7 @@
         this.word = word;
     }
 
-    /** Returns the word that the platform's list uses. */
+    /** Returns the word for this state in the platform's list. */
     public String word() {
         return word;
     }
--- a/tarragonarch-model/src/main/java/org/tarragonarch/model/platform/package-info.java
+++ b/tarragonarch-model/src/main/java/org/tarragonarch/model/platform/package-info.java
@@ -1,2 +1,2 @@
-/** What the platform lists and keeps: VMs, the configuration row and claims. */
+/** The records that the platform provides and stores: VMs, the configuration row and claims. */
 package org.tarragonarch.model.platform;
--- a/tarragonarch-model/src/main/java/org/tarragonarch/model/report/DrainedDomains.java
+++ b/tarragonarch-model/src/main/java/org/tarragonarch/model/report/DrainedDomains.java
@@ -13,10 +13,10 @@
  * @param domains the failure domains in which no task may be started
  */
 public record DrainedDomains(long version, ImmutableSet<FailureDomain> domains) {
-    /** What a node knows before the store was read. */
+    /** The value before the store was first read. */
     public static final DrainedDomains UNREAD = new DrainedDomains(0, ImmutableSet.of());
 
-    /** Checks the parts. */
+    /** Checks that the version is not negative and the set not null. */
     public DrainedDomains {
         checkArgument(version >= 0, "version %s is negative", version);
         checkNotNull(domains, "domains");
@@ -27,7 +27,7 @@
         return domains.contains(domain);
     }
 
-    /** Returns whether these replace the others, because they were read at a later version. */
+    /** Returns whether this set is of a later version than the other and so replaces it. */
     public boolean isNewerThan(DrainedDomains other) {
         return version > other.version;
     }
--- a/tarragonarch-model/src/main/java/org/tarragonarch/model/report/EndpointLoad.java
+++ b/tarragonarch-model/src/main/java/org/tarragonarch/model/report/EndpointLoad.java
@@ -6,13 +6,13 @@
 import org.tarragonarch.model.id.EndpointId;
 
 /**
- * How many tasks the reporting node has in flight at an endpoint.
+ * The number of tasks that the reporting node has in flight at an endpoint.
  *
  * @param endpoint the endpoint
- * @param inFlight tasks sent and not ended
+ * @param inFlight the number of tasks sent and not ended
  */
 public record EndpointLoad(EndpointId endpoint, int inFlight) {
-    /** Checks the parts. */
+    /** Checks that the endpoint is not null and the number not negative. */
     public EndpointLoad {
         checkNotNull(endpoint, "endpoint");
         checkArgument(inFlight >= 0, "inFlight %s is negative", inFlight);
--- a/tarragonarch-model/src/main/java/org/tarragonarch/model/report/HeldShard.java
+++ b/tarragonarch-model/src/main/java/org/tarragonarch/model/report/HeldShard.java
@@ -8,15 +8,15 @@
 import org.tarragonarch.model.task.FencingToken;
 
 /**
- * The endpoints of one failure domain, as held by the node that says so.
+ * A shard as reported by its holder.
  *
- * @param domain where the endpoints stand
- * @param token the token under which they are held
- * @param freeMilliCores the processor time free there, in thousandths of a core
- * @param uses what each share has in use there; empty where no shares are configured
+ * @param domain the failure domain of the endpoints
+ * @param token the fencing token of the holder
+ * @param freeMilliCores the free processor time of the endpoints, in thousandths of a core
+ * @param uses the capacity in use by each share; empty if no shares are configured
  */
 public record HeldShard(FailureDomain domain, FencingToken token, long freeMilliCores, ImmutableList<ShareUse> uses) {
-    /** Checks the parts. */
+    /** Checks that no component is null. */
     public HeldShard {
         checkNotNull(domain, "domain");
         checkNotNull(token, "token");
--- a/tarragonarch-model/src/main/java/org/tarragonarch/model/report/Member.java
+++ b/tarragonarch-model/src/main/java/org/tarragonarch/model/report/Member.java
@@ -8,15 +8,15 @@
 import org.tarragonarch.model.id.NodeId;
 
 /**
- * Who a node is among its peers.
+ * The identity of a node and where its peers reach it.
  *
- * @param node its name
- * @param domain the failure domain it stands in
- * @param address where it takes frames
- * @param milliCores the processor time that it may use, in thousandths of a core
+ * @param node the name of the node
+ * @param domain the failure domain of the node
+ * @param address the address at which the node receives frames
+ * @param milliCores the processor time that the node may use, in thousandths of a core
  */
 public record Member(NodeId node, FailureDomain domain, Address address, int milliCores) {
-    /** Checks the parts. */
+    /** Checks that no component is null and the processor time is positive. */
     public Member {
         checkNotNull(node, "node");
         checkNotNull(domain, "domain");
--- a/tarragonarch-model/src/main/java/org/tarragonarch/model/report/NodePhase.java
+++ b/tarragonarch-model/src/main/java/org/tarragonarch/model/report/NodePhase.java
@@ -1,16 +1,16 @@
 package org.tarragonarch.model.report;
 
-/** How far a node is on its way from start to leaving. */
+/** The phases of a node's life, from start to exit. */
 public enum NodePhase {
-    /** Has no configuration yet and takes no work. */
+    /** The node has no configuration yet and accepts no work. */
     STARTING("starting", false),
-    /** Takes work. */
+    /** The node accepts work. */
     SERVING("serving", true),
-    /** Is not ready for the balancer but still takes what arrives. */
+    /** The node reports that it is not ready to the balancer, but still accepts work that arrives. */
     DRAINING("draining", true),
-    /** Refuses new work and finishes what it has. */
+    /** The node refuses new work and finishes the work it has. */
     FINISHING("finishing", false),
-    /** Has nothing left to do and may exit. */
+    /** The node has no work left and may exit. */
     LEFT("left", false);
 
     private final String word;
@@ -21,12 +21,12 @@
         this.takesWork = takesWork;
     }
 
-    /** Returns the word that stands for this in logs and answers. */
+    /** Returns the word for this phase in logs and answers. */
     public String word() {
         return word;
     }
 
-    /** Returns whether a submission that arrives now is taken. */
+    /** Returns whether submissions that arrive in this phase are accepted. */
     public boolean takesWork() {
         return takesWork;
     }
--- a/tarragonarch-model/src/main/java/org/tarragonarch/model/report/NodeStatus.java
+++ b/tarragonarch-model/src/main/java/org/tarragonarch/model/report/NodeStatus.java
@@ -9,17 +9,17 @@
 import org.tarragonarch.model.id.NodeId;
 
 /**
- * What a node reports of itself to its peers, a few times a second; doubles as its heartbeat.
+ * The status that a node sends to its peers several times a second; it is also the node's heartbeat.
  *
  * @param node the node
- * @param domain where it stands
- * @param address where it takes frames
- * @param milliCores the processor time that it may use, in thousandths of a core
- * @param leaving whether it is shutting down
- * @param withoutHolder whether it misses the holder of a shard and wants to hear every peer often
- * @param configurationVersion the version in force there, 0 for none
- * @param drained the failure domains that it knows to be drained
- * @param shards the shards that it holds
+ * @param domain the failure domain of the node
+ * @param address the address at which the node receives frames
+ * @param milliCores the processor time that the node may use, in thousandths of a core
+ * @param leaving whether the node is shutting down
+ * @param withoutHolder whether the node knows no holder of some shard, and so needs frequent statuses of every peer
+ * @param configurationVersion the version in force at the node, 0 for none
+ * @param drained the failure domains that the node knows to be drained
+ * @param shards the shards that the node holds
  */
 public record NodeStatus(
         NodeId node,
@@ -31,7 +31,7 @@
         long configurationVersion,
         DrainedDomains drained,
         ImmutableList<HeldShard> shards) {
-    /** Checks the parts. */
+    /** Checks that no component is null and the processor time is positive. */
     public NodeStatus {
         checkNotNull(node, "node");
         checkNotNull(domain, "domain");
@@ -41,7 +41,7 @@
         checkNotNull(shards, "shards");
     }
 
-    /** Returns who the node is. */
+    /** Returns the identity of the node. */
     public Member member() {
         return new Member(node, domain, address, milliCores);
     }
--- a/tarragonarch-model/src/main/java/org/tarragonarch/model/report/PeerReport.java
+++ b/tarragonarch-model/src/main/java/org/tarragonarch/model/report/PeerReport.java
@@ -12,18 +12,18 @@
 import org.tarragonarch.model.id.NodeId;
 
 /**
- * The one periodic message from node to node; it doubles as a heartbeat.
+ * The periodic report of one node to another; it is also the node's heartbeat.
  *
  * @param from the reporting node
- * @param incarnation the run of that node
- * @param sequence the report's number within the run, so that one that arrives late is dropped
- * @param domain where the node stands
- * @param phase how far the node is on its way
+ * @param incarnation the incarnation of that node
+ * @param sequence the number of the report within the incarnation, by which late reports are recognised and dropped
+ * @param domain the failure domain of the node
+ * @param phase the phase of the node
  * @param configuration the version in force on the node
- * @param loads in-flight counts; only those that changed since the last report unless {@code full}
+ * @param loads the in-flight counts; only those that changed since the last report unless {@code full}
  * @param full whether endpoints missing from {@code loads} have nothing in flight
- * @param leaving endpoints that the node knows to be leaving
- * @param quarantined endpoints that the node has put in quarantine
+ * @param leaving the endpoints that the node knows to be leaving
+ * @param quarantined the endpoints that the node has put in quarantine
  */
 public record PeerReport(
         NodeId from,
@@ -36,7 +36,7 @@
         boolean full,
         ImmutableSet<EndpointId> leaving,
         ImmutableSet<EndpointId> quarantined) {
-    /** Checks the parts. */
+    /** Checks that no component is null and the sequence number is not negative. */
     public PeerReport {
         checkNotNull(from, "from");
         checkNotNull(incarnation, "incarnation");
--- a/tarragonarch-model/src/main/java/org/tarragonarch/model/report/package-info.java
+++ b/tarragonarch-model/src/main/java/org/tarragonarch/model/report/package-info.java
@@ -1,2 +1,2 @@
-/** What entry nodes tell each other. */
+/** The reports and statuses that entry nodes exchange. */
 package org.tarragonarch.model.report;
--- a/tarragonarch-model/src/main/java/org/tarragonarch/model/service/CallerDefinition.java
+++ b/tarragonarch-model/src/main/java/org/tarragonarch/model/service/CallerDefinition.java
@@ -11,10 +11,10 @@
  *
  * @param name the caller's name
  * @param team the team whose quota its work counts against
- * @param tokenDigest the SHA-256 digest of the caller's token; the token itself is nowhere kept
+ * @param tokenDigest the SHA-256 digest of the caller's token, which itself is not stored
  */
 public record CallerDefinition(CallerName name, TeamName team, ContentDigest tokenDigest) {
-    /** Checks the parts. */
+    /** Checks that no component is null. */
     public CallerDefinition {
         checkNotNull(name, "name");
         checkNotNull(team, "team");
--- a/tarragonarch-model/src/main/java/org/tarragonarch/model/service/KindDefinition.java
+++ b/tarragonarch-model/src/main/java/org/tarragonarch/model/service/KindDefinition.java
@@ -7,15 +7,14 @@
 import org.tarragonarch.model.id.KindName;
 
 /**
- * One kind of request that a service accepts.
+ * A kind of request that a service accepts.
  *
  * @param name the kind's name
- * @param idempotent whether running a request twice does no more than running it once
- * @param maxTasks the most tasks that one job may hold
- * @param maxBodyBytes the most bytes that one task's body may hold
- * @param deadline the time after which a submission is given up on when the caller states none; also the longest that a
- *     caller may state
- * @param expectedRunTime the operator's guess of a task's run time, used until run times are learnt
+ * @param idempotent whether running a request twice has the same effect as running it once
+ * @param maxTasks the maximum number of tasks of a job
+ * @param maxBodyBytes the maximum size of a task's body, in bytes
+ * @param deadline the deadline of a submission whose caller states none; also the longest that a caller may state
+ * @param expectedRunTime the operator's estimate of a task's run time, used until run times are observed
  */
 public record KindDefinition(
         KindName name,
@@ -24,7 +23,7 @@
         long maxBodyBytes,
         Duration deadline,
         Duration expectedRunTime) {
-    /** Checks the ranges. */
+    /** Checks that the limits and times are in range. */
     public KindDefinition {
         checkNotNull(name, "name");
         checkArgument(maxTasks >= 1, "max-tasks %s of kind %s is below 1", maxTasks, name);
--- a/tarragonarch-model/src/main/java/org/tarragonarch/model/service/OperatorDefinition.java
+++ b/tarragonarch-model/src/main/java/org/tarragonarch/model/service/OperatorDefinition.java
@@ -8,12 +8,12 @@
 /**
  * An operator of the system.
  *
- * @param name the operator's name, which the audit trail shows
+ * @param name the operator's name, as shown in the audit trail
  * @param role what the operator may do
  * @param tokenDigest the SHA-256 digest of the operator's token
  */
 public record OperatorDefinition(OperatorName name, OperatorRole role, ContentDigest tokenDigest) {
-    /** Checks the parts. */
+    /** Checks that no component is null. */
     public OperatorDefinition {
         checkNotNull(name, "name");
         checkNotNull(role, "role");
--- a/tarragonarch-model/src/main/java/org/tarragonarch/model/service/OperatorRole.java
+++ b/tarragonarch-model/src/main/java/org/tarragonarch/model/service/OperatorRole.java
@@ -2,7 +2,7 @@
 
 /** What an operator may do. */
 public enum OperatorRole {
-    /** May look at everything and change nothing. */
+    /** May read everything and change nothing. */
     READER("reader") {
         @Override
         public boolean mayChange() {
@@ -23,11 +23,11 @@
         this.word = word;
     }
 
-    /** Returns the word that stands for this in settings. */
+    /** Returns the word for this role in settings. */
     public String word() {
         return word;
     }
 
-    /** Returns whether the operator may change anything. */
+    /** Returns whether the operator may make changes. */
     public abstract boolean mayChange();
 }
--- a/tarragonarch-model/src/main/java/org/tarragonarch/model/service/ServiceCatalog.java
+++ b/tarragonarch-model/src/main/java/org/tarragonarch/model/service/ServiceCatalog.java
@@ -14,10 +14,10 @@
 import org.tarragonarch.model.id.TeamName;
 
 /**
- * One accepted configuration, whole and immutable.
+ * An accepted configuration.
  *
- * @param version the number under which it was accepted
- * @param digest the digest of its canonical text
+ * @param version the version under which the configuration was accepted
+ * @param digest the digest of the configuration's canonical text
  * @param services the services by name
  * @param teams the teams by name
  * @param callers the callers by name
@@ -32,7 +32,7 @@
         ImmutableMap<CallerName, CallerDefinition> callers,
         ImmutableMap<OperatorName, OperatorDefinition> operators,
         ImmutableSet<FailureDomain> drainedDomains) {
-    /** Checks the parts. */
+    /** Checks that no component is null. */
     public ServiceCatalog {
         checkNotNull(version, "version");
         checkNotNull(digest, "digest");
--- a/tarragonarch-model/src/main/java/org/tarragonarch/model/service/ServiceDefinition.java
+++ b/tarragonarch-model/src/main/java/org/tarragonarch/model/service/ServiceDefinition.java
@@ -11,14 +11,14 @@
 import org.tarragonarch.model.id.ServiceName;
 
 /**
- * A service as its operators define it: what it accepts, who may call it and how much it may use.
+ * A service as defined by its operators: the requests it accepts, its callers and its limits.
  *
  * @param name the service's name
- * @param favours the measure favoured where the two pull apart
- * @param kinds the kinds of request it accepts, by name
- * @param callers who may call it
- * @param maxRunningTasks the most tasks that one failure domain runs for it at once
- * @param maxQueuedTasks the most tasks that one node keeps waiting for it
+ * @param favours the objective favoured where response time and the number of messages conflict
+ * @param kinds the kinds of request that the service accepts, by name
+ * @param callers the callers that may use the service
+ * @param maxRunningTasks the maximum number of tasks that one failure domain runs for the service at once
+ * @param maxQueuedTasks the maximum number of tasks of the service that wait at one node
  */
 public record ServiceDefinition(
         ServiceName name,
@@ -27,7 +27,7 @@
         ImmutableSet<CallerName> callers,
         int maxRunningTasks,
         int maxQueuedTasks) {
-    /** Checks the ranges. */
+    /** Checks that the limits are in range. */
     public ServiceDefinition {
         checkNotNull(name, "name");
         checkNotNull(favours, "favours");
--- a/tarragonarch-model/src/main/java/org/tarragonarch/model/service/ServiceObjective.java
+++ b/tarragonarch-model/src/main/java/org/tarragonarch/model/service/ServiceObjective.java
@@ -1,8 +1,8 @@
 package org.tarragonarch.model.service;
 
-/** The measure that a service favours where response time and messages pull apart. */
+/** The objective that a service favours where response time and the number of messages conflict. */
 public enum ServiceObjective {
-    /** Callers wait at a page: spend messages to answer sooner. */
+    /** Sends more messages to answer sooner, for services whose callers wait for a page. */
     RESPONSE_TIME("response-time") {
         @Override
         public boolean stopsStartedTasks() {
@@ -24,7 +24,7 @@
             return 0.5;
         }
     },
-    /** Every message costs capacity: wait rather than send one that may be refused. */
+    /** Waits rather than sends a message that may be refused, since every message costs capacity. */
     FEW_MESSAGES("few-messages") {
         @Override
         public boolean stopsStartedTasks() {
@@ -53,20 +53,20 @@
         this.word = word;
     }
 
-    /** Returns the word that stands for this in settings. */
+    /** Returns the word for this objective in settings. */
     public String word() {
         return word;
     }
 
-    /** Returns whether a started task of a cancelled submission is worth a stop message. */
+    /** Returns whether a stop message is sent for a started task of a cancelled submission. */
     public abstract boolean stopsStartedTasks();
 
-    /** Returns whether a task goes to another failure domain while the own one is full, rather than wait. */
+    /** Returns whether a task is sent to another failure domain, rather than waits, while its own is full. */
     public abstract boolean spillsWhenFull();
 
-    /** Returns how many slots of an endpoint must seem free beyond the one that a node borrows from its peers. */
+    /** Returns how many slots of an endpoint must appear free besides the one that a node borrows from its peers. */
     public abstract int slotsLeftWhenBorrowing();
 
-    /** Returns what part of the sends that may well be refused may be, before fewer such sends are made. */
+    /** Returns the fraction of the risky sends that may be refused before fewer of them are made. */
     public abstract double maxRefusedFractionOfRiskySends();
 }
--- a/tarragonarch-model/src/main/java/org/tarragonarch/model/service/package-info.java
+++ b/tarragonarch-model/src/main/java/org/tarragonarch/model/service/package-info.java
@@ -1,2 +1,2 @@
-/** What operators configure: services, kinds, teams, callers and operators. */
+/** The definitions in the configuration: services, kinds, teams, callers and operators. */
 package org.tarragonarch.model.service;
--- a/tarragonarch-model/src/main/java/org/tarragonarch/model/share/SharePlan.java
+++ b/tarragonarch-model/src/main/java/org/tarragonarch/model/share/SharePlan.java
@@ -63,7 +63,7 @@
         return byPriority.values().toString();
     }
 
-    /** Returns whether capacity is divided at all. */
+    /** Returns whether the plan has any share. */
     public boolean isConfigured() {
         return !byPriority.isEmpty();
     }
@@ -78,19 +78,19 @@
         return byPriority.keySet();
     }
 
-    /** Returns the share of the jobs of a queue. */
+    /** Returns the share of a queue's jobs, by the service and the priority of the queue. */
     public ShareId shareOf(String service, int priority) {
         return isConfigured() ? new ShareId(service, priority) : ShareId.ALL;
     }
 
-    /** Returns every share that the plan names for a service. */
+    /** Returns the shares of a service, one for each priority that the plan names. */
     public ImmutableList<ShareId> sharesOf(String service) {
         return byPriority.keySet().stream()
                 .map(priority -> shareOf(service, priority))
                 .collect(ImmutableList.toImmutableList());
     }
 
-    /** Returns the settings of a share; a priority that the plan does not name has the default weight alone. */
+    /** Returns the settings of a share; a priority that the plan does not name has the default weight and no bounds. */
     public ShareSettings settingsOf(ShareId share) {
         ShareSettings named = byPriority.get(share.priority());
         return named != null ? named : ShareSettings.weighted(share.priority(), ShareSettings.DEFAULT_WEIGHT);
--- a/tarragonarch-model/src/main/java/org/tarragonarch/model/share/ShareSettings.java
+++ b/tarragonarch-model/src/main/java/org/tarragonarch/model/share/ShareSettings.java
@@ -3,19 +3,19 @@
 import static com.google.common.base.Preconditions.checkArgument;
 
 /**
- * How much of a pool's capacity the queues of one priority may use while others want it too.
+ * The weight and the bounds of the share of one priority.
  *
  * @param priority the priority of the queues
- * @param weight over 0; capacity that several shares want is divided by weight
+ * @param weight the weight by which contended capacity is divided among shares; above 0
  * @param guaranteed the fraction of the capacity that the share gets before all others, 0 to 1
- * @param ceiling the fraction of the capacity that the share never exceeds, also of what is idle; over 0, up to 1, and
- *     not under the guaranteed fraction
+ * @param ceiling the fraction of the capacity that the share never exceeds, even if capacity is idle; above 0, at
+ *     most 1 and not below the guaranteed fraction
  */
 public record ShareSettings(int priority, double weight, double guaranteed, double ceiling) {
     /** The weight of a priority that the plan does not name. */
     static final double DEFAULT_WEIGHT = 1;
 
-    /** Checks the ranges. */
+    /** Checks that the weight and the fractions are in range. */
     public ShareSettings {
         check(weight > 0 && Double.isFinite(weight), priority, "weight", weight, "is not over 0");
         check(guaranteed >= 0 && guaranteed <= 1, priority, "guaranteed", guaranteed, "is not from 0 to 1");
@@ -27,7 +27,7 @@
         checkArgument(holds, "priority %s: %s %s %s", priority, key, value, rule);
     }
 
-    /** Returns the settings of a weight alone: nothing is guaranteed, and there is no ceiling. */
+    /** Returns settings with a weight, no guaranteed fraction and no ceiling. */
     public static ShareSettings weighted(int priority, double weight) {
         return new ShareSettings(priority, weight, 0, 1);
     }
--- a/tarragonarch-model/src/main/java/org/tarragonarch/model/store/RowPage.java
+++ b/tarragonarch-model/src/main/java/org/tarragonarch/model/store/RowPage.java
@@ -5,18 +5,18 @@
 import com.google.common.collect.ImmutableList;
 
 /**
- * Rows as the store gave them.
+ * A page of rows returned by the store.
  *
  * @param rows the rows
- * @param version the store's version that they are as of; following goes on from there
+ * @param version the version of the store that the rows reflect, from which to follow further changes
  */
 public record RowPage(ImmutableList<StoreRow> rows, long version) {
-    /** Checks the parts. */
+    /** Checks that the list is not null. */
     public RowPage {
         checkNotNull(rows, "rows");
     }
 
-    /** Returns the rows of this page and then those of a later one, as of this page's version. */
+    /** Returns the rows of this page followed by those of a later one, with the version of this page. */
     public RowPage followedBy(RowPage later) {
         return new RowPage(
                 ImmutableList.<StoreRow>builder()
--- a/tarragonarch-model/src/main/java/org/tarragonarch/model/store/RowStore.java
+++ b/tarragonarch-model/src/main/java/org/tarragonarch/model/store/RowStore.java
@@ -3,26 +3,26 @@
 import java.util.Optional;
 import java.util.function.Consumer;
 
-/** The calls to the store; each reply comes once, later, on the thread that called. */
+/** The calls to the store; each is answered exactly once, asynchronously, on the calling thread. */
 public interface RowStore {
-    /** Reads a whole table as of one moment. */
+    /** Reads a consistent snapshot of a whole table. */
     void read(StoreTable table, Consumer<Reply> reply);
 
     /**
      * Reads the changes after a version.
      *
-     * @param waitMillis how long the store may wait for the first one, in milliseconds; 0 to be answered at once
+     * @param waitMillis how long the store may wait for the first change, in milliseconds; 0 to not wait
      */
     void follow(StoreTable table, long afterVersion, long waitMillis, Consumer<Reply> reply);
 
-    /** Writes a row whatever it held before. */
+    /** Writes a row unconditionally. */
     void put(StoreTable table, String key, byte[] value, Consumer<Reply> reply);
 
     /**
-     * How a call ended.
+     * The reply to a call.
      *
-     * @param result whether it was carried out
-     * @param page what was read; present if a read was carried out
+     * @param result the result of the call
+     * @param page the rows read; present if a read succeeded
      */
     record Reply(StoreResult result, Optional<RowPage> page) {
         /** Returns a reply without rows. */
--- a/tarragonarch-model/src/main/java/org/tarragonarch/model/store/StoreResult.java
+++ b/tarragonarch-model/src/main/java/org/tarragonarch/model/store/StoreResult.java
@@ -1,15 +1,15 @@
 package org.tarragonarch.model.store;
 
-/** How a call to the store ended. */
+/** The result of a call to the store. */
 public enum StoreResult {
-    /** Carried out. */
+    /** The call succeeded. */
     DONE,
-    /** The history that was asked for is no longer there: the table has to be read whole. */
+    /** The requested changes are no longer available; the whole table has to be read. */
     HISTORY_GONE,
-    /** A row was not as the condition says; nothing was done. */
+    /** A condition on a row was not met; nothing was written. */
     CONFLICT,
-    /** Turned away; nothing was done. */
+    /** The store refused the call; nothing was written. */
     TURNED_AWAY,
-    /** No answer, or an unreadable one; a write may have been done, and may be yet. */
+    /** There was no answer or an unreadable one; a write may have taken effect, or may still do so. */
     UNKNOWN
 }
--- a/tarragonarch-model/src/main/java/org/tarragonarch/model/store/StoreTable.java
+++ b/tarragonarch-model/src/main/java/org/tarragonarch/model/store/StoreTable.java
@@ -1,11 +1,11 @@
 package org.tarragonarch.model.store;
 
-/** The tables that a node uses. */
+/** The tables of the store that a node uses. */
 public enum StoreTable {
-    /** The operators' orders, the configuration among them. */
+    /** The rows written by operators, such as the configuration. */
     OPERATOR,
-    /** The endpoints' own entries. */
+    /** The entries of the endpoints, written by themselves. */
     ENDPOINTS,
-    /** The entry nodes' addresses, by which they find each other. */
+    /** The addresses by which entry nodes find each other. */
     NODES
 }
--- a/tarragonarch-model/src/main/java/org/tarragonarch/model/task/EndKind.java
+++ b/tarragonarch-model/src/main/java/org/tarragonarch/model/task/EndKind.java
@@ -2,33 +2,33 @@
 
 /** How a run ended. */
 public enum EndKind {
-    /** It did its work. */
+    /** The run completed its work. */
     DONE(false, true),
-    /** It failed, by its own fault or the endpoint's. */
+    /** The run failed, by a fault of its own or of the endpoint. */
     FAILED(true, true),
-    /** It was stopped by an order. */
+    /** The run was stopped by an order. */
     STOPPED(false, false),
-    /** The endpoint's lease ran out under it. */
+    /** The endpoint's lease expired during the run. */
     LAPSED(false, false),
-    /** The endpoint that ran it has crashed and restarted. */
+    /** The endpoint crashed and restarted during the run. */
     CRASHED(false, false),
-    /** Another member of its group ended, or it waited too long for the others. */
+    /** Another run of its group ended, or the run waited too long for the others. */
     GROUP_BROKEN(false, false);
 
     private final boolean countsAsAttempt;
     private final boolean ranToEnd;
 
-    EndKind(boolean countsAsAttempt, boolean ownEnd) {
+    EndKind(boolean countsAsAttempt, boolean ranToEnd) {
         this.countsAsAttempt = countsAsAttempt;
-        this.ranToEnd = ownEnd;
+        this.ranToEnd = ranToEnd;
     }
 
-    /** Returns whether the end uses up one of the task's attempts. */
+    /** Returns whether this end counts as one of the task's attempts. */
     public boolean countsAsAttempt() {
         return countsAsAttempt;
     }
 
-    /** Returns whether the work itself came to an end, rather than being taken away. */
+    /** Returns whether the work itself completed or failed, rather than being ended from outside. */
     public boolean ranToEnd() {
         return ranToEnd;
     }
--- a/tarragonarch-model/src/main/java/org/tarragonarch/model/task/EndpointEntry.java
+++ b/tarragonarch-model/src/main/java/org/tarragonarch/model/task/EndpointEntry.java
@@ -10,13 +10,13 @@
 /**
  * The entry of one incarnation of an endpoint in the platform's list.
  *
- * @param incarnation the incarnation that the entry is of; after a crash the endpoint has another start, or another id
- * @param service the service that it works for
- * @param address where it takes orders
- * @param domain where it stands
- * @param draining whether it is about to leave and must get nothing new
- * @param capacity what its tasks may take together
- * @param cold whether it still works more slowly than it will, because it has just started
+ * @param incarnation the incarnation; after a crash the endpoint has another start time or another id
+ * @param service the service that the endpoint runs tasks for
+ * @param address the address at which the endpoint receives orders
+ * @param domain the failure domain of the endpoint
+ * @param draining whether the endpoint is about to leave and must get no new tasks
+ * @param capacity the resources that its tasks may use together
+ * @param cold whether the endpoint has just started and is still slower than it will be
  */
 public record EndpointEntry(
         EndpointIncarnation incarnation,
@@ -26,7 +26,7 @@
         boolean draining,
         Resources capacity,
         boolean cold) {
-    /** Checks the parts. */
+    /** Checks that no component is null. */
     public EndpointEntry {
         checkNotNull(incarnation, "incarnation");
         checkNotNull(service, "service");
@@ -35,7 +35,7 @@
         checkNotNull(capacity, "capacity");
     }
 
-    /** Creates the entry of an endpoint whose start is unknown. */
+    /** Creates the entry of an endpoint whose start time is unknown. */
     public EndpointEntry(
             EndpointId id,
             String service,
@@ -52,14 +52,14 @@
         return incarnation.id();
     }
 
-    /** Returns the same entry of an endpoint that must get nothing new. */
+    /** Returns the same entry, marked as draining. */
     public EndpointEntry asDraining() {
         return withDraining(true);
     }
 
-    /** Returns the same entry of an endpoint that must get nothing new, or may again. */
-    public EndpointEntry withDraining(boolean now) {
-        return new EndpointEntry(incarnation, service, address, domain, now, capacity, cold);
+    /** Returns the same entry with another draining mark. */
+    public EndpointEntry withDraining(boolean isDraining) {
+        return new EndpointEntry(incarnation, service, address, domain, isDraining, capacity, cold);
     }
 
     /** Returns the same entry of another incarnation. */
--- a/tarragonarch-model/src/main/java/org/tarragonarch/model/task/EndpointOrders.java
+++ b/tarragonarch-model/src/main/java/org/tarragonarch/model/task/EndpointOrders.java
@@ -3,13 +3,13 @@
 import java.util.function.Consumer;
 
 /**
- * The orders that a node gives to endpoints.
+ * Sends orders to endpoints.
  *
- * <p>Each call returns at once; its reply comes exactly once, later, on the thread that called, also when the endpoint
- * stays silent ({@link OrderResult#UNKNOWN}).
+ * <p>Each call returns at once and is answered exactly once, asynchronously, on the calling thread. If the endpoint
+ * does not answer, the result is {@link OrderResult#UNKNOWN}.
  */
 public interface EndpointOrders {
-    /** Looks at an endpoint, and extends its lease if the order says so. */
+    /** Polls an endpoint for its runs, and extends its lease if the order says so. */
     void hold(EndpointEntry endpoint, HoldOrder order, Delivery delivery, Consumer<HoldAnswer> reply);
 
     /** Starts a run. */
--- a/tarragonarch-model/src/main/java/org/tarragonarch/model/task/FencingToken.java
+++ b/tarragonarch-model/src/main/java/org/tarragonarch/model/task/FencingToken.java
@@ -5,10 +5,10 @@
 import com.google.common.net.InetAddresses;
 
 /**
- * Orders the holders of an endpoint: it obeys no token lower than the highest it has seen.
+ * A number that orders the holders of an endpoint, which obeys no token lower than the highest it has seen.
  *
- * @param value the token; its upper half counts terms, its lower half is the holder's IPv4 number, so that two nodes
- *     never use the same token
+ * @param value the token; its upper 32 bits are the term, its lower 32 bits the IPv4 address of the holder, so that two
+ *     nodes never use the same token
  */
 public record FencingToken(long value) implements Comparable<FencingToken> {
     private static final int ADDRESS_BITS = 32;
--- a/tarragonarch-model/src/main/java/org/tarragonarch/model/task/HoldAnswer.java
+++ b/tarragonarch-model/src/main/java/org/tarragonarch/model/task/HoldAnswer.java
@@ -9,12 +9,12 @@
 /**
  * The answer to a {@link HoldOrder}.
  *
- * @param result what became of it; the lists are empty unless it was carried out
- * @param clockMillis the endpoint's clock as it answered
- * @param running what runs
- * @param ended the ends that were not yet taken note of, in order
- * @param startedMillis when the incarnation that answers started, in milliseconds since 1970;
- *     {@link EndpointIncarnation#UNKNOWN_START} where that is unknown
+ * @param result the result of the order; the lists are empty unless it was carried out
+ * @param clockMillis the endpoint's clock at the time of the answer, in milliseconds
+ * @param running the runs in progress
+ * @param ended the ends of runs that were not yet acknowledged, in order
+ * @param startedMillis the start time of the incarnation that answers, in milliseconds since 1970;
+ *     {@link EndpointIncarnation#UNKNOWN_START} if unknown
  */
 public record HoldAnswer(
         OrderResult result,
@@ -22,7 +22,7 @@
         ImmutableList<RunProgress> running,
         ImmutableList<TaskEnd> ended,
         long startedMillis) {
-    /** Checks the parts. */
+    /** Checks that no component is null. */
     public HoldAnswer {
         checkNotNull(result, "result");
         checkNotNull(clockMillis, "clockMillis");
@@ -30,7 +30,7 @@
         checkNotNull(ended, "ended");
     }
 
-    /** Creates the answer of an endpoint whose start is unknown. */
+    /** Creates the answer of an endpoint whose start time is unknown. */
     public HoldAnswer(
             OrderResult result,
             OptionalLong clockMillis,
@@ -39,7 +39,7 @@
         this(result, clockMillis, running, ended, EndpointIncarnation.UNKNOWN_START);
     }
 
-    /** Returns the answer of an endpoint that did not carry the order out. */
+    /** Returns the answer for an order that was not carried out. */
     public static HoldAnswer failed(OrderResult result) {
         return new HoldAnswer(result, OptionalLong.empty(), ImmutableList.of(), ImmutableList.of());
     }
--- a/tarragonarch-model/src/main/java/org/tarragonarch/model/task/HoldOrder.java
+++ b/tarragonarch-model/src/main/java/org/tarragonarch/model/task/HoldOrder.java
@@ -5,15 +5,15 @@
 import java.util.OptionalLong;
 
 /**
- * Asks an endpoint what runs there, takes note of ends, and may extend the lease of all that runs.
+ * The order of a poll: asks an endpoint for its runs, acknowledges ends, and optionally extends the lease of the runs.
  *
  * @param token the holder's token
- * @param acknowledgedEnd the number of the last end that was taken note of, 0 for none
- * @param leaseUntilMillis until when what runs may go on, on the endpoint's clock; empty to only read the lists
- * @param waitMillis how long the endpoint may wait for an end before it answers
+ * @param acknowledgedEnd the number of the last acknowledged end, 0 for none
+ * @param leaseUntilMillis the end of the lease, on the endpoint's clock; empty to leave the lease as it is
+ * @param waitMillis how long the endpoint may wait for a run to end before it answers, in milliseconds
  */
 public record HoldOrder(FencingToken token, long acknowledgedEnd, OptionalLong leaseUntilMillis, long waitMillis) {
-    /** Checks the parts. */
+    /** Checks that no component is null. */
     public HoldOrder {
         checkNotNull(token, "token");
         checkNotNull(leaseUntilMillis, "leaseUntilMillis");
--- a/tarragonarch-model/src/main/java/org/tarragonarch/model/task/JobId.java
+++ b/tarragonarch-model/src/main/java/org/tarragonarch/model/task/JobId.java
@@ -5,21 +5,21 @@
 import java.util.regex.Pattern;
 
 /**
- * The name that a client chose for its job; the same name sent again means the same job.
+ * The id that a client chose for its job; the same id sent again denotes the same job.
  *
  * @param value 16 hexadecimal digits
  */
 public record JobId(String value) {
-    private static final Pattern FORM = Pattern.compile("[0-9a-fA-F]{16}");
+    private static final Pattern FORMAT = Pattern.compile("[0-9a-fA-F]{16}");
 
-    /** Checks the form. */
+    /** Checks that the value is 16 hexadecimal digits. */
     public JobId {
         checkArgument(isWellFormed(value), "'%s' is not 16 hexadecimal digits", value);
     }
 
-    /** Returns whether the text may serve as the name of a job. */
+    /** Returns whether the text is a valid job id. */
     public static boolean isWellFormed(String value) {
-        return FORM.matcher(value).matches();
+        return FORMAT.matcher(value).matches();
     }
 
     @Override
--- a/tarragonarch-model/src/main/java/org/tarragonarch/model/task/JobOutcome.java
+++ b/tarragonarch-model/src/main/java/org/tarragonarch/model/task/JobOutcome.java
@@ -1,22 +1,22 @@
 package org.tarragonarch.model.task;
 
-/** What became of a job. */
+/** The outcome of a job. */
 public enum JobOutcome {
-    /** Every task has ended well. */
+    /** Every task succeeded. */
     DONE(true),
-    /** A task failed as often as its queue allows. */
+    /** A task used up the attempts that its queue allows. */
     FAILED(true),
-    /** Its client cancelled it. */
+    /** The client cancelled the job. */
     CANCELLED(true),
-    /** Nothing of it ran, and nothing of it will. */
+    /** The job was refused; no task ran, and none will. */
     REFUSED(false),
-    /** Given up; some of it may have run, and is stopped. */
+    /** The job was given up; some of its tasks may have run, and their runs are stopped. */
     GIVEN_UP(false);
 
     private final boolean isFinal;
 
-    JobOutcome(boolean lasting) {
-        this.isFinal = lasting;
+    JobOutcome(boolean isFinal) {
+        this.isFinal = isFinal;
     }
 
     /** Returns whether a later request for the same job gets the same answer. */
--- a/tarragonarch-model/src/main/java/org/tarragonarch/model/task/JobProgress.java
+++ b/tarragonarch-model/src/main/java/org/tarragonarch/model/task/JobProgress.java
@@ -1,15 +1,15 @@
 package org.tarragonarch.model.task;
 
-/** How far a job is known to have got. */
+/** The known progress of a job. */
 public enum JobProgress {
-    /** No task of it was handed to an endpoint. */
+    /** No task was sent to an endpoint yet. */
     QUEUED,
-    /** It was handed on. */
+    /** The job was handed on. */
     RUNNING,
-    /** Every task has ended well. */
+    /** Every task succeeded. */
     DONE,
-    /** A task failed as often as its queue allows. */
+    /** A task used up the attempts that its queue allows. */
     FAILED,
-    /** Its client cancelled it. */
+    /** The client cancelled the job. */
     CANCELLED
 }
--- a/tarragonarch-model/src/main/java/org/tarragonarch/model/task/JobRequest.java
+++ b/tarragonarch-model/src/main/java/org/tarragonarch/model/task/JobRequest.java
@@ -4,28 +4,28 @@
 import static com.google.common.base.Preconditions.checkNotNull;
 
 /**
- * A job as its caller handed it in; it is answered once, when its last task has ended.
+ * A job as submitted by its caller; it is answered once, when its last task has ended.
  *
- * @param id the caller's name for the job
- * @param specification what the endpoints need to know of the work; passed on unread
+ * @param id the id that the caller chose for the job
+ * @param specification the description of the work for the endpoints; opaque to the nodes
  * @param step the tasks
  */
 public record JobRequest(JobId id, String specification, TaskStep step) {
-    /** The most bytes of a specification. */
+    /** The maximum size of a specification, in bytes. */
     public static final int MAX_SPECIFICATION_BYTES = 4_000;
 
-    /** The most tasks of one job: far above the 110 that callers send, and a bound on what one request may hold. */
+    /** The maximum number of tasks of a job, which bounds the cost of one request; callers send up to 110. */
     public static final int MAX_TASKS = 10_000;
 
-    /** Checks the parts. */
+    /** Checks that no component is null and the number of tasks is within {@link #MAX_TASKS}. */
     public JobRequest {
         checkNotNull(id, "id");
         checkNotNull(specification, "specification");
         checkNotNull(step, "step");
-        checkArgument(step.count() <= MAX_TASKS, "%s tasks are over %s", step.count(), MAX_TASKS);
+        checkArgument(step.count() <= MAX_TASKS, "%s tasks exceed the maximum of %s", step.count(), MAX_TASKS);
     }
 
-    /** Returns the processor time that all its tasks take together while they run, in thousandths of a core. */
+    /** Returns the total processor time of all tasks while they run, in thousandths of a core. */
     public long milliCores() {
         return step.count() * step.perTask().milliCores();
     }
--- a/tarragonarch-model/src/main/java/org/tarragonarch/model/task/JobService.java
+++ b/tarragonarch-model/src/main/java/org/tarragonarch/model/task/JobService.java
@@ -3,37 +3,37 @@
 import java.util.Optional;
 import java.util.function.Consumer;
 
-/** What a door for clients needs of the node behind it; called on the control thread alone. */
+/** The operations that a client-facing server needs from the node; called on the control thread only. */
 public interface JobService {
-    /** Returns what is known of the queue that a request names by its host and path. */
+    /** Looks up the queue of a request by its host and path. */
     QueueLookup find(String host, String path);
 
     /**
-     * Hands in a job; the reply comes once, on the same thread.
+     * Submits a job, which is answered once, on the same thread.
      *
-     * @param deadlineMillis how long the client waits
-     * @return the submission, which ends when its client leaves
+     * @param deadlineMillis how long the client waits, in milliseconds
+     * @return the submission, to be notified if the client disconnects
      */
     Submission submit(QueueDefinition queue, JobRequest job, long deadlineMillis, Consumer<JobReply> reply);
 
-    /** Cancels a job, at whatever node it is; the reply says whether any knew it. */
+    /** Cancels a job at whichever node has it; the reply tells whether any node knew the job. */
     void cancel(JobId job, Consumer<Boolean> known);
 
-    /** Returns what is known of a job that has not been answered yet, or was lately. */
+    /** Returns the progress of a job that is not yet answered or was answered recently; empty if it is unknown. */
     Optional<JobProgress> progress(JobId job);
 
-    /** Returns how many jobs of the queue wait at this node without a started task. */
+    /** Returns the number of jobs of the queue that wait at this node without a started task. */
     long waitingJobs(QueueDefinition queue);
 
-    /** Returns whether the balancer should send new connections. */
+    /** Returns whether the balancer should send new connections to this node. */
     boolean isReady();
 
-    /** Returns whether this node is about to stop, so that clients had better open their next connection elsewhere. */
+    /** Returns whether this node is about to stop, so that clients should open new connections to other nodes. */
     boolean isLeaving();
 
-    /** One client's request for a job. */
+    /** The request of one client for a job. */
     interface Submission {
-        /** The client has left: the job is withdrawn if nobody else asked for it. */
+        /** Notifies that the client disconnected; the job is withdrawn if no other client waits for it. */
         void clientLeft();
     }
 }
--- a/tarragonarch-model/src/main/java/org/tarragonarch/model/task/Offer.java
+++ b/tarragonarch-model/src/main/java/org/tarragonarch/model/task/Offer.java
@@ -5,16 +5,16 @@
 import org.tarragonarch.model.id.NodeId;
 
 /**
- * A job that a node wants placed.
+ * A job that its origin offers to a holder for placement.
  *
  * @param job the job
- * @param queue the queue that it came by
+ * @param queue the queue of the job
  * @param origin the node that has the client's connection
- * @param ageMillis how long ago the job reached that node
- * @param deadlineMillis how long the client still waits
- * @param earlierRuns what may still run of it that a lost holder started
- * @param terms under which condition the holder takes it
- * @param fromOwnDomain whether the origin is in a failure domain whose endpoints the holder has
+ * @param ageMillis the time since the job reached the origin, in milliseconds
+ * @param deadlineMillis how long the client still waits, in milliseconds
+ * @param earlierRuns the runs of the job that a lost holder started and that may still be in progress
+ * @param terms the condition under which the holder may accept the job
+ * @param fromOwnDomain whether the origin is in a failure domain whose shard the holder has
  */
 public record Offer(
         JobRequest job,
@@ -25,7 +25,7 @@
         EarlierRuns earlierRuns,
         OfferTerms terms,
         boolean fromOwnDomain) {
-    /** Checks the parts. */
+    /** Checks that no component is null. */
     public Offer {
         checkNotNull(job, "job");
         checkNotNull(queue, "queue");
@@ -34,7 +34,7 @@
         checkNotNull(terms, "terms");
     }
 
-    /** Creates an offer of a job that may wait, by a node of the holder's own failure domain. */
+    /** Creates an offer of a job that may wait, from an origin in the holder's own failure domain. */
     public Offer(
             JobRequest job,
             QueueDefinition queue,
@@ -45,7 +45,7 @@
         this(job, queue, origin, ageMillis, deadlineMillis, earlierRuns, OfferTerms.MAY_WAIT, true);
     }
 
-    /** Returns the same offer after a wait on this holder's side. */
+    /** Returns the same offer after a wait in milliseconds, with age, deadline and earlier runs adjusted. */
     public Offer afterWait(long millis) {
         return new Offer(
                 job,
--- a/tarragonarch-model/src/main/java/org/tarragonarch/model/task/OfferTerms.java
+++ b/tarragonarch-model/src/main/java/org/tarragonarch/model/task/OfferTerms.java
@@ -1,15 +1,15 @@
 package org.tarragonarch.model.task;
 
-/** Under which condition a holder takes a job that it is offered. */
+/** The condition under which a holder may accept an offered job. */
 public enum OfferTerms {
-    /** The holder starts the whole job at once, or gives it back without having started any of it. */
+    /** The holder starts the whole job at once, or declines it without having started any of it. */
     AT_ONCE(Verdict.NOT_AT_ONCE) {
         @Override
         public boolean permits(boolean startsAtOnce, boolean admissible) {
             return startsAtOnce && admissible;
         }
     },
-    /** The holder may let the job wait as long as it should be answered in time. */
+    /** The holder may let the job wait as long as it can be expected to be answered in time. */
     MAY_WAIT(Verdict.DECLINED) {
         @Override
         public boolean permits(boolean startsAtOnce, boolean admissible) {
@@ -24,14 +24,14 @@
     }
 
     /**
-     * Returns whether a holder takes a job under these terms.
+     * Returns whether a holder may accept a job under these terms.
      *
-     * @param startsAtOnce whether there is room for the whole job now
-     * @param admissible whether the job is worth taking after the wait that it would have
+     * @param startsAtOnce whether there is free capacity for the whole job now
+     * @param admissible whether the job can be expected in time after the wait that it would have
      */
     public abstract boolean permits(boolean startsAtOnce, boolean admissible);
 
-    /** Returns the verdict on a job that a holder does not take under these terms. */
+    /** Returns the verdict on a job that a holder does not accept under these terms. */
     public Verdict refusal() {
         return refusal;
     }
--- a/tarragonarch-model/src/main/java/org/tarragonarch/model/task/OrderResult.java
+++ b/tarragonarch-model/src/main/java/org/tarragonarch/model/task/OrderResult.java
@@ -1,26 +1,26 @@
 package org.tarragonarch.model.task;
 
-/** What an endpoint said to an order, or that it said nothing. */
+/** The result of an order to an endpoint. */
 public enum OrderResult {
-    /** Carried out, now or before. */
+    /** The order was carried out, now or earlier. */
     DONE,
-    /** Refused: a higher token was seen. */
+    /** Refused: the endpoint has seen a higher token. */
     FENCED,
-    /** Refused: that run, or a later one, was stopped or has ended there. */
+    /** Refused: this run of the task or a later one was stopped or has ended at the endpoint. */
     OLD_RUN,
-    /** Refused: the order came after its own time. */
+    /** Refused: the order arrived after its expiry. */
     TOO_LATE,
-    /** Refused: the task does not fit. */
+    /** Refused: the endpoint lacks free capacity for the task. */
     NO_ROOM,
-    /** Refused by an endpoint that is unhealthy or leaving; it has done nothing. */
+    /** Refused: the endpoint is unhealthy or leaving, and did nothing. */
     UNWELL,
-    /** Refused: an endpoint with another id answers at this address, so the one meant is over. */
+    /** Refused: an endpoint with another id answers at this address, so the intended one no longer exists. */
     OTHER_ENDPOINT,
-    /** Refused as something that nobody could carry out. */
+    /** Refused: the order is malformed. */
     UNREADABLE,
-    /** The connection was refused: certainly nothing was done. */
+    /** The connection was refused, so certainly nothing was done. */
     NOT_SENT,
-    /** No answer: it may have been carried out, and may be yet. */
+    /** There was no answer; the order may have been carried out, or may still be. */
     UNKNOWN;
 
     /** Returns whether the order was certainly not carried out, and will not be. */
--- a/tarragonarch-model/src/main/java/org/tarragonarch/model/task/QueueCatalog.java
+++ b/tarragonarch-model/src/main/java/org/tarragonarch/model/task/QueueCatalog.java
@@ -10,7 +10,7 @@
 import java.util.Comparator;
 import java.util.Optional;
 
-/** The queues of one version of the configuration, found by host and path. */
+/** The queues of one version of the configuration, looked up by host and path. */
 public final class QueueCatalog {
     private final long version;
     private final ImmutableListMultimap<String, QueueDefinition> byHost;
@@ -39,12 +39,12 @@
         return version;
     }
 
-    /** Returns the services that queues send their tasks to. */
+    /** Returns the services whose endpoints run tasks of the queues. */
     public ImmutableSet<String> services() {
         return byHost.values().stream().map(QueueDefinition::service).collect(ImmutableSet.toImmutableSet());
     }
 
-    /** Returns the queue with the longest prefix that the path begins with. */
+    /** Returns the queue of the host with the longest matching path prefix, if any. */
     public Optional<QueueDefinition> find(String host, String path) {
         checkNotNull(path, "path");
         for (QueueDefinition queue : byHost.get(host)) {
--- a/tarragonarch-model/src/main/java/org/tarragonarch/model/task/QueueDefinition.java
+++ b/tarragonarch-model/src/main/java/org/tarragonarch/model/task/QueueDefinition.java
@@ -4,16 +4,17 @@
 import static com.google.common.base.Preconditions.checkNotNull;
 
 /**
- * One queue of the configuration: which requests enter it and how its jobs are treated.
+ * A queue of the configuration: which requests enter it and how its jobs are treated.
  *
  * @param name the name of the queue
- * @param host the host that requests name
- * @param prefix what the path of its requests begins with
+ * @param host the host of its requests
+ * @param prefix the path prefix of its requests
  * @param service the service whose endpoints run its tasks
- * @param priority 0 comes first
- * @param attempts how often a task may fail before its job has failed, at least 1
- * @param stretch a job is in time within this multiple of its longest task's run time, and the objective more
- * @param objectiveMillis see stretch, in milliseconds
+ * @param priority the priority; 0 is the highest
+ * @param attempts the number of failures of a task after which its job has failed, at least 1
+ * @param stretch the factor of the longest task's run time in the time objective; a job is in time if it is answered
+ *     within {@code stretch} times that run time plus {@code objectiveMillis}
+ * @param objectiveMillis the constant part of the time objective, in milliseconds
  */
 public record QueueDefinition(
         String name,
@@ -24,7 +25,7 @@
         int attempts,
         double stretch,
         long objectiveMillis) {
-    /** Checks the parts. */
+    /** Checks that no component is null and the numbers are in range. */
     public QueueDefinition {
         checkNotNull(name, "name");
         checkNotNull(host, "host");
--- a/tarragonarch-model/src/main/java/org/tarragonarch/model/task/QueueLookup.java
+++ b/tarragonarch-model/src/main/java/org/tarragonarch/model/task/QueueLookup.java
@@ -6,41 +6,42 @@
 import java.util.Optional;
 
 /**
- * What a node can say of the queue that a request names.
+ * The result of looking up the queue of a request.
  *
- * @param result whether there is such a queue
- * @param queue the queue; present if it was found
+ * @param result whether the queue exists
+ * @param queue the queue; present if and only if it was found
  */
 public record QueueLookup(Result result, Optional<QueueDefinition> queue) {
-    /** Checks the parts. */
+    /** Checks that the queue matches the result. */
     public QueueLookup {
         checkNotNull(result, "result");
         checkNotNull(queue, "queue");
-        checkArgument(queue.isPresent() == (result == Result.FOUND), "%s with the queue %s", result, queue);
+        checkArgument(
+                queue.isPresent() == (result == Result.FOUND), "result %s does not match queue %s", result, queue);
     }
 
-    /** Returns that this is the queue. */
+    /** Returns the result for a queue that was found. */
     public static QueueLookup found(QueueDefinition queue) {
         return new QueueLookup(Result.FOUND, Optional.of(queue));
     }
 
-    /** Returns that there is no such queue. */
+    /** Returns the result for a queue that does not exist. */
     public static QueueLookup unknown() {
         return new QueueLookup(Result.UNKNOWN, Optional.empty());
     }
 
-    /** Returns that this node cannot know whether there is such a queue. */
+    /** Returns the result of a node that cannot tell whether the queue exists. */
     public static QueueLookup uncertain() {
         return new QueueLookup(Result.UNCERTAIN, Optional.empty());
     }
 
-    /** Whether there is such a queue. */
+    /** Whether a queue exists. */
     public enum Result {
-        /** There is. */
+        /** The queue exists. */
         FOUND,
-        /** There is none. */
+        /** The queue does not exist. */
         UNKNOWN,
-        /** This node cannot know; another one may, and this one may later. */
+        /** This node cannot tell; another node may be able to, or this one later. */
         UNCERTAIN
     }
 }
--- a/tarragonarch-model/src/main/java/org/tarragonarch/model/task/StartOrder.java
+++ b/tarragonarch-model/src/main/java/org/tarragonarch/model/task/StartOrder.java
@@ -7,12 +7,11 @@
  *
  * @param token the holder's token
  * @param run the run
- * @param specification what the endpoint needs to know of the work
- * @param leaseUntilMillis until when the run may go on, on the endpoint's clock; also the time after which the order
- *     itself is void, however late it arrives
+ * @param specification the description of the work
+ * @param leaseUntilMillis the end of the run's lease, on the endpoint's clock; an order that arrives later is void
  */
 public record StartOrder(FencingToken token, TaskRun run, String specification, long leaseUntilMillis) {
-    /** Checks the parts. */
+    /** Checks that no component is null. */
     public StartOrder {
         checkNotNull(token, "token");
         checkNotNull(run, "run");
--- a/tarragonarch-model/src/main/java/org/tarragonarch/model/task/TaskEnd.java
+++ b/tarragonarch-model/src/main/java/org/tarragonarch/model/task/TaskEnd.java
@@ -3,14 +3,14 @@
 import static com.google.common.base.Preconditions.checkNotNull;
 
 /**
- * The end of a run as its endpoint lists it.
+ * The end of a run as listed by its endpoint.
  *
- * @param number counts the ends of this incarnation of the endpoint, from 1 upwards
+ * @param number the sequence number of the end within this incarnation of the endpoint, from 1
  * @param run the run that ended
  * @param kind how it ended
  */
 public record TaskEnd(long number, TaskRun run, EndKind kind) {
-    /** Checks the parts. */
+    /** Checks that no component is null. */
     public TaskEnd {
         checkNotNull(run, "run");
         checkNotNull(kind, "kind");
--- a/tarragonarch-model/src/main/java/org/tarragonarch/model/task/TaskName.java
+++ b/tarragonarch-model/src/main/java/org/tarragonarch/model/task/TaskName.java
@@ -3,12 +3,12 @@
 import static com.google.common.base.Preconditions.checkNotNull;
 
 /**
- * Names one task on an endpoint: the job, its occurrence, the step and the position within the step.
+ * The name of a task on an endpoint: the job, its occurrence, the step and the position within the step.
  *
  * @param text the four parts joined by dots, as endpoints list it
  */
 public record TaskName(String text) {
-    /** Checks that there is a name. */
+    /** Checks that the text is not null. */
     public TaskName {
         checkNotNull(text, "text");
     }
@@ -18,7 +18,7 @@
         return new TaskName(job.value() + ".0." + step + "." + index);
     }
 
-    /** Returns whether the task is one of the job. */
+    /** Returns whether the task belongs to the job. */
     public boolean belongsTo(JobId job) {
         int idLength = job.value().length();
         return text.length() > idLength && text.charAt(idLength) == '.' && text.startsWith(job.value());
--- a/tarragonarch-model/src/main/java/org/tarragonarch/model/task/TaskRun.java
+++ b/tarragonarch-model/src/main/java/org/tarragonarch/model/task/TaskRun.java
@@ -4,13 +4,14 @@
 import static com.google.common.base.Preconditions.checkNotNull;
 
 /**
- * One start of a task; an endpoint obeys no run that is not higher than one which it stopped or ended.
+ * One execution of a task; an endpoint starts a run only if its number is higher than those of the task's runs that
+ * were stopped or have ended there.
  *
  * @param task the task
- * @param run the number of the start, from 1 upwards
+ * @param run the number of the run of the task, from 1
  */
 public record TaskRun(TaskName task, int run) {
-    /** Checks the parts. */
+    /** Checks that the task is not null and the number at least 1. */
     public TaskRun {
         checkNotNull(task, "task");
         checkArgument(run >= 1, "run %s is below 1", run);
--- a/tarragonarch-model/src/main/java/org/tarragonarch/model/task/TaskStep.java
+++ b/tarragonarch-model/src/main/java/org/tarragonarch/model/task/TaskStep.java
@@ -4,14 +4,14 @@
 import static com.google.common.base.Preconditions.checkNotNull;
 
 /**
- * Tasks of a job that are alike.
+ * The identical tasks of a job.
  *
- * @param count how many tasks, at least 1
- * @param perTask what each task takes of its endpoint while it runs
- * @param estimateMillis the caller's rough guess at a task's run time, in milliseconds; 0 if it gave none
+ * @param count the number of tasks, at least 1
+ * @param perTask the resources that each task uses while it runs
+ * @param estimateMillis the caller's estimate of a task's run time, in milliseconds; 0 if it gave none
  */
 public record TaskStep(int count, Resources perTask, long estimateMillis) {
-    /** Checks the parts. */
+    /** Checks that the resources are not null and the numbers in range. */
     public TaskStep {
         checkArgument(count >= 1, "count %s is below 1", count);
         checkNotNull(perTask, "perTask");
--- a/tarragonarch-model/src/main/java/org/tarragonarch/model/task/Timers.java
+++ b/tarragonarch-model/src/main/java/org/tarragonarch/model/task/Timers.java
@@ -1,16 +1,16 @@
 package org.tarragonarch.model.task;
 
-/** Time as the control thread sees it: a steady clock, and calls after a while on that thread. */
+/** The monotonic clock and the delayed calls of the control thread. */
 public interface Timers {
-    /** Returns the steady clock in milliseconds, from an arbitrary start. */
+    /** Returns the reading of a monotonic clock in milliseconds, with an arbitrary origin. */
     long nowMillis();
 
-    /** Runs the task once after a while, unless the handle is cancelled before. */
+    /** Runs the task once on the control thread after a delay, unless the handle is cancelled before. */
     Handle schedule(long millis, Runnable task);
 
-    /** Cancels a call that has not come. */
+    /** A scheduled call. */
     interface Handle {
-        /** Cancels the call; does nothing if it has come. */
+        /** Cancels the call; does nothing if it has already been made. */
         void cancel();
     }
 }
--- a/tarragonarch-model/src/main/java/org/tarragonarch/model/task/Verdict.java
+++ b/tarragonarch-model/src/main/java/org/tarragonarch/model/task/Verdict.java
@@ -1,24 +1,24 @@
 package org.tarragonarch.model.task;
 
-/** What a holder says of a job that it was offered. */
+/** The answer of a holder to an offered job. */
 public enum Verdict {
-    /** All tasks have ended well. */
+    /** All tasks succeeded. */
     DONE,
-    /** A task has used up its attempts. */
+    /** A task used up its attempts. */
     FAILED,
-    /** Not taken: no task was started, and no task will be. */
+    /** The job was not accepted; no task was started, and none will be. */
     DECLINED,
-    /** Given up because its answer would come too late to be of use; whatever ran is stopped. */
+    /** The job was given up because it would be answered too late; its runs are stopped. */
     TOO_LATE,
-    /** Its holder releases the shard; whatever runs is left to the next holder, or to its lease. */
+    /** The holder releases the shard; runs in progress are left to the next holder, or until their lease expires. */
     HOLD_LOST,
-    /** Its holder releases the shard and has started nothing of it. */
+    /** The holder releases the shard and has started no task of the job. */
     RETURNED,
-    /** Given back because none of its holder's endpoints may take the rest of it; whatever ran has been stopped. */
+    /** The job was returned because no endpoint of the holder may run the rest of it; its runs have been stopped. */
     EVICTED,
     /**
-     * Not taken because it could not start at once, as its offer asked; no task was started. The job may be offered to
-     * the same holder again under other terms.
+     * The job was not accepted because it could not start at once, as the terms of the offer require; no task was
+     * started. It may be offered to the same holder again under other terms.
      */
     NOT_AT_ONCE
 }
--- a/tarragonarch-model/src/main/java/org/tarragonarch/model/task/package-info.java
+++ b/tarragonarch-model/src/main/java/org/tarragonarch/model/task/package-info.java
@@ -1,2 +1,2 @@
-/** Jobs of several tasks, the endpoints that run them under a lease, and what the two say to each other. */
+/** Jobs of several tasks, the endpoints that run them under a lease, and the orders to the endpoints. */
 package org.tarragonarch.model.task;
--- a/tarragonarch-model/src/test/java/org/tarragonarch/model/OuterNamesTest.java
+++ b/tarragonarch-model/src/test/java/org/tarragonarch/model/OuterNamesTest.java
@@ -16,7 +16,7 @@
 import org.tarragonarch.model.service.ServiceObjective;
 import org.testng.annotations.Test;
 
-/** Guards against a change of a word that leaves the process through the rename of a Java name. */
+/** Guards against a renamed Java constant that changes a word used outside the process. */
 public final class OuterNamesTest {
     @Test
     public void testOutcome_wordsAreTheseOnly() {
--- a/tarragonarch-model/src/test/java/org/tarragonarch/model/collect/BoundedMapsTest.java
+++ b/tarragonarch-model/src/test/java/org/tarragonarch/model/collect/BoundedMapsTest.java
@@ -6,7 +6,7 @@
 import java.util.Map;
 import org.testng.annotations.Test;
 
-/** Which entry a full map drops. */
+/** Tests which entry a full map evicts. */
 public final class BoundedMapsTest {
     private static Map<Integer, String> filled(Map<Integer, String> map) {
         map.put(1, "a");
@@ -22,7 +22,7 @@
         assertEquals(filled(BoundedMaps.evictingEldest(2)).keySet(), ImmutableSet.of(2, 3));
     }
 
-    /** Guards against the loss of an entry that is still in use. */
+    /** Guards against the eviction of an entry that is still in use. */
     @Test
     public void testEvictingLeastRecentlyAccessed_keepsAccessed() {
         assertEquals(filled(BoundedMaps.evictingLeastRecentlyAccessed(2)).keySet(), ImmutableSet.of(1, 3));
--- a/tarragonarch-model/src/test/java/org/tarragonarch/model/log/OuterNamesTest.java
+++ b/tarragonarch-model/src/test/java/org/tarragonarch/model/log/OuterNamesTest.java
@@ -7,7 +7,7 @@
 import java.util.Optional;
 import org.testng.annotations.Test;
 
-/** The words of events as they stand in the log. */
+/** Tests the words of events in the log. */
 public final class OuterNamesTest {
     private static final ImmutableSet<String> WORDS = ImmutableSet.of(
             "job-answered",
--- a/tarragonarch-model/src/test/java/org/tarragonarch/model/task/OuterNamesTest.java
+++ b/tarragonarch-model/src/test/java/org/tarragonarch/model/task/OuterNamesTest.java
@@ -6,7 +6,7 @@
 import java.util.Arrays;
 import org.testng.annotations.Test;
 
-/** Constants of two enums that are mapped onto each other by their names. */
+/** Tests that the constants of two enums can be mapped onto each other by name. */
 public final class OuterNamesTest {
     private static final ImmutableMap<JobOutcome, JobProgress> PROGRESS = ImmutableMap.of(
             JobOutcome.DONE, JobProgress.DONE,
@@ -19,7 +19,7 @@
         PROGRESS.forEach((outcome, progress) -> assertEquals(JobProgress.valueOf(outcome.name()), progress));
     }
 
-    /** Guards against a new lasting outcome without a progress of the same name. */
+    /** Guards against a new final outcome without a progress of the same name. */
     @Test
     public void testIsFinal_onlyMappedOutcomes() {
         assertEquals(
--- a/tarragonarch-wire/src/main/java/org/tarragonarch/wire/AnswerOutcome.java
+++ b/tarragonarch-wire/src/main/java/org/tarragonarch/wire/AnswerOutcome.java
@@ -1,11 +1,11 @@
 package org.tarragonarch.wire;
 
-/** What a node answers when asked for a kept answer. The order is part of the protocol. */
+/** The form of the response to a request for a kept answer. The order of the constants is part of the protocol. */
 public enum AnswerOutcome {
-    /** The results are whole and follow. */
+    /** The complete results follow. */
     COMPLETE,
     /** The caller was answered with the problem that follows. */
     PROBLEM,
-    /** The node has no memory of the key. */
+    /** The node has no record of the key. */
     NOT_TO_BE_HAD
 }
--- a/tarragonarch-wire/src/main/java/org/tarragonarch/wire/CancelAnswered.java
+++ b/tarragonarch-wire/src/main/java/org/tarragonarch/wire/CancelAnswered.java
@@ -5,13 +5,13 @@
 import org.tarragonarch.model.task.JobId;
 
 /**
- * Answers a {@link CancelAsked}.
+ * The response to a {@link CancelAsked}.
  *
  * @param job the job
- * @param known whether the peer had it, and has cancelled it
+ * @param known whether the peer had the job and cancelled it
  */
 public record CancelAnswered(JobId job, boolean known) implements Frame {
-    /** Checks the part. */
+    /** Checks that the job is not null. */
     public CancelAnswered {
         checkNotNull(job, "job");
     }
--- a/tarragonarch-wire/src/main/java/org/tarragonarch/wire/ConfigurationGiven.java
+++ b/tarragonarch-wire/src/main/java/org/tarragonarch/wire/ConfigurationGiven.java
@@ -8,29 +8,29 @@
 import org.tarragonarch.model.id.ContentDigest;
 
 /**
- * Answers a {@link ConfigurationAsked}.
+ * The response to a {@link ConfigurationAsked}.
  *
- * <p>The receiver checks the digest against the text itself; this frame only carries both.
+ * <p>This frame does not verify the digest; the receiver does.
  *
- * @param version the version given, or the version asked for if there is none to give
- * @param digest the digest under which the version was accepted; empty if there is none to give
- * @param canonicalText the canonical text in UTF-8; empty if there is none to give
+ * @param version the version of the configuration, or the requested version if none is available
+ * @param digest the digest under which the version was accepted; empty if none is available
+ * @param canonicalText the canonical text in UTF-8; empty if none is available
  */
 public record ConfigurationGiven(
         ConfigurationVersion version, Optional<ContentDigest> digest, Optional<Payload> canonicalText)
         implements Frame {
-    /** Checks the parts. */
+    /** Checks that the digest and the text are both present or both absent. */
     public ConfigurationGiven {
         checkNotNull(version, "version");
-        checkArgument(digest.isPresent() == canonicalText.isPresent(), "a digest and a text come together or not");
+        checkArgument(digest.isPresent() == canonicalText.isPresent(), "only one of digest and text is present");
     }
 
-    /** Returns a configuration. */
+    /** Returns a response with a configuration. */
     public static ConfigurationGiven of(ConfigurationVersion version, ContentDigest digest, Payload canonicalText) {
         return new ConfigurationGiven(version, Optional.of(digest), Optional.of(canonicalText));
     }
 
-    /** Returns that there is no such version or newer one to give. */
+    /** Returns a response that states that neither the requested version nor a newer one is available. */
     public static ConfigurationGiven unavailable(ConfigurationVersion asked) {
         return new ConfigurationGiven(asked, Optional.empty(), Optional.empty());
     }
--- a/tarragonarch-wire/src/main/java/org/tarragonarch/wire/ConnectionOwner.java
+++ b/tarragonarch-wire/src/main/java/org/tarragonarch/wire/ConnectionOwner.java
@@ -1,10 +1,10 @@
 package org.tarragonarch.wire;
 
-/** Learns what becomes of a connection. */
+/** Is notified when a connection opens and closes. */
 interface ConnectionOwner {
-    /** Both hellos were checked; frames may be sent. */
+    /** Called when both hellos have been checked, so that frames may be sent. */
     void opened(PeerConnection connection);
 
-    /** The connection is gone, whether it was ever open or not. */
+    /** Called when the connection has closed, also if it was never opened. */
     void closed(PeerConnection connection);
 }
--- a/tarragonarch-wire/src/main/java/org/tarragonarch/wire/EncodedFrame.java
+++ b/tarragonarch-wire/src/main/java/org/tarragonarch/wire/EncodedFrame.java
@@ -1,12 +1,12 @@
 package org.tarragonarch.wire;
 
-/** A frame ready to leave, and what it was made of. */
+/** A frame together with its encoded bytes. */
 record EncodedFrame(Frame frame, byte[] bytes) {
     static EncodedFrame of(Frame frame) {
         return new EncodedFrame(frame, FrameCodec.encode(frame));
     }
 
-    /** Returns whether the frame may be lost without harm, because a later one says the same anew. */
+    /** Returns whether the frame may be dropped silently, because a later frame of the same type supersedes it. */
     boolean isDroppable() {
         return frame instanceof ReportFrame || frame instanceof StatusFrame;
     }
--- a/tarragonarch-wire/src/main/java/org/tarragonarch/wire/EndpointIdCodec.java
+++ b/tarragonarch-wire/src/main/java/org/tarragonarch/wire/EndpointIdCodec.java
@@ -4,10 +4,11 @@
 import org.tarragonarch.model.id.EndpointId;
 
 /**
- * Reads and writes a run of endpoint names, each as the length that it shares with the one before and the rest.
+ * Reads and writes a sequence of endpoint ids, each as the length of the prefix shared with the previous
+ * id and the remaining characters.
  *
- * <p>VMs of a domain are named alike, so names in order share most of their letters. Without a table of numbers kept
- * at both ends, which a lost frame would put out of step, a name costs about 5 bytes in place of 16.
+ * <p>VMs of a domain have similar names, so consecutive sorted ids share most of their characters, and an id takes
+ * about 5 bytes instead of 16. A table of ids kept at both ends would be inconsistent after a lost frame.
  */
 final class EndpointIdCodec {
     private String previous = "";
@@ -21,7 +22,7 @@
     EndpointId read(FrameReader reader) throws MalformedFrameException {
         int shared = reader.readInt();
         if (shared < 0 || shared > previous.length()) {
-            throw reader.malformed("a shared length of " + shared + " after '" + previous + "'");
+            throw reader.malformed("shared prefix length " + shared + " is out of range after '" + previous + "'");
         }
         previous = previous.substring(0, shared) + reader.readText();
         return EndpointId.of(previous);
--- a/tarragonarch-wire/src/main/java/org/tarragonarch/wire/EndpointsAsked.java
+++ b/tarragonarch-wire/src/main/java/org/tarragonarch/wire/EndpointsAsked.java
@@ -1,4 +1,4 @@
 package org.tarragonarch.wire;
 
-/** Asks a peer which endpoints it knows. */
+/** Asks a peer for the endpoints that it knows. */
 public record EndpointsAsked() implements Frame {}
--- a/tarragonarch-wire/src/main/java/org/tarragonarch/wire/EndpointsGiven.java
+++ b/tarragonarch-wire/src/main/java/org/tarragonarch/wire/EndpointsGiven.java
@@ -6,12 +6,12 @@
 import org.tarragonarch.model.task.EndpointEntry;
 
 /**
- * Answers an {@link EndpointsAsked}.
+ * The response to an {@link EndpointsAsked}.
  *
- * @param endpoints what the peer knows
+ * @param endpoints the endpoints that the peer knows
  */
 public record EndpointsGiven(ImmutableList<EndpointEntry> endpoints) implements Frame {
-    /** Checks the part. */
+    /** Checks that the list is not null. */
     public EndpointsGiven {
         checkNotNull(endpoints, "endpoints");
     }
--- a/tarragonarch-wire/src/main/java/org/tarragonarch/wire/Frame.java
+++ b/tarragonarch-wire/src/main/java/org/tarragonarch/wire/Frame.java
@@ -1,6 +1,6 @@
 package org.tarragonarch.wire;
 
-/** One message from node to node. */
+/** A message from one node to another. */
 public sealed interface Frame
         permits Hello,
                 ReportFrame,
--- a/tarragonarch-wire/src/main/java/org/tarragonarch/wire/FrameCodec.java
+++ b/tarragonarch-wire/src/main/java/org/tarragonarch/wire/FrameCodec.java
@@ -2,17 +2,17 @@
 
 import java.util.Optional;
 
-/** Turns frames into bytes and back; the length in front of a frame is the connection's business. */
+/** Encodes and decodes frames, without the length field in front of each, which the channel handlers add and remove. */
 public final class FrameCodec {
-    /** The most bytes a frame may have; a longer one is neither sent nor read. */
+    /** The maximum length of a frame in bytes; a longer frame is neither sent nor read. */
     public static final int MAX_FRAME_BYTES = 4 * 1024 * 1024;
 
-    /** The bytes of the length in front of each frame. */
+    /** The size of the length field in front of each frame, in bytes. */
     public static final int LENGTH_BYTES = 4;
 
     private FrameCodec() {}
 
-    /** Returns the bytes of a frame, of whatever length. */
+    /** Encodes a frame; the result may exceed {@link #MAX_FRAME_BYTES}. */
     public static byte[] encode(Frame frame) {
         FrameWriter writer = new FrameWriter();
         if (frame instanceof Hello hello) {
@@ -69,11 +69,11 @@
     }
 
     /**
-     * Reads a frame back.
+     * Decodes a frame.
      *
-     * @param peer whom the bytes came from, for the error
-     * @param sender the hello of the connection the bytes came by; empty while there was none
-     * @param bytes one whole frame and nothing else
+     * @param peer the name of the sender, for error messages
+     * @param sender the hello received on the connection; empty if none was received yet
+     * @param bytes exactly one frame
      * @throws MalformedFrameException if the bytes are not exactly one frame
      */
     public static Frame decode(String peer, Optional<Hello> sender, byte[] bytes) throws MalformedFrameException {
@@ -83,7 +83,7 @@
             reader.checkFullyRead();
             return frame;
         } catch (IllegalArgumentException e) {
-            throw reader.malformed("a value out of its range: " + e.getMessage(), e);
+            throw reader.malformed("value out of range: " + e.getMessage(), e);
         }
     }
 }
--- a/tarragonarch-wire/src/main/java/org/tarragonarch/wire/FrameQueue.java
+++ b/tarragonarch-wire/src/main/java/org/tarragonarch/wire/FrameQueue.java
@@ -6,11 +6,11 @@
 import java.util.Optional;
 
 /**
- * Frames that wait for one connection, bounded in number and bytes.
+ * A queue of the frames to be sent on one connection, bounded in number and bytes.
  *
- * <p>A frozen peer takes nothing while its connection stays open, so what waits for it grows until memory is gone. The
- * oldest reports make room first, since a newer one replaces them; a question or an answer is refused only when nothing
- * but questions and answers waits.
+ * <p>A frozen peer reads nothing while its connection stays open, so an unbounded queue would exhaust memory. When the
+ * queue is full, the oldest reports and statuses are dropped, since newer ones supersede them; the added frame is
+ * refused only if that does not free enough space.
  */
 final class FrameQueue {
     private final int maxFrames;
@@ -23,7 +23,7 @@
         this.maxBytes = maxBytes;
     }
 
-    /** Adds a frame; returns the frames dropped for it, which may be the frame itself. */
+    /** Adds a frame and returns the frames dropped because of the bounds; the added frame may be among them. */
     ImmutableList<EncodedFrame> offer(EncodedFrame frame) {
         ImmutableList.Builder<EncodedFrame> dropped = ImmutableList.builder();
         Iterator<EncodedFrame> oldest = waiting.iterator();
@@ -44,14 +44,14 @@
         return dropped.build();
     }
 
-    /** Takes the frame that waits longest. */
+    /** Removes and returns the oldest frame. */
     Optional<EncodedFrame> poll() {
         Optional<EncodedFrame> first = Optional.ofNullable(waiting.poll());
         first.ifPresent(frame -> bytes -= frame.bytes().length);
         return first;
     }
 
-    /** Takes every frame. */
+    /** Removes and returns all frames, oldest first. */
     ImmutableList<EncodedFrame> drain() {
         ImmutableList<EncodedFrame> all = ImmutableList.copyOf(waiting);
         waiting.clear();
--- a/tarragonarch-wire/src/main/java/org/tarragonarch/wire/FrameReader.java
+++ b/tarragonarch-wire/src/main/java/org/tarragonarch/wire/FrameReader.java
@@ -7,10 +7,10 @@
 import org.msgpack.core.MessageUnpacker;
 
 /**
- * Reads the values of one frame within bounds.
+ * Reads the values of one frame and checks every length against the remaining bytes.
  *
- * <p>MessagePack gives a length before the bytes, and its library allocates what the length says. A frame of ten bytes
- * could so ask for two gigabytes; every length is therefore checked against the bytes that are left.
+ * <p>MessagePack puts a length before the bytes of a value, and the library allocates that many bytes at once. Without
+ * the check, a frame of ten bytes could cause an allocation of two gigabytes.
  */
 final class FrameReader {
     private final String peer;
@@ -45,7 +45,7 @@
         return Payload.of(readBytes(size));
     }
 
-    /** Reads the number of elements that follow, each of which takes at least one byte. */
+    /** Reads the number of elements that follow, each of which takes at least one byte, which bounds the number. */
     int readCount() throws MalformedFrameException {
         int count = read(unpacker::unpackArrayHeader);
         checkWithin(count);
@@ -56,14 +56,15 @@
         E[] constants = type.getEnumConstants();
         int ordinal = readInt();
         if (ordinal < 0 || ordinal >= constants.length) {
-            throw malformed(ordinal + " is no " + type.getSimpleName());
+            throw malformed(ordinal + " is not an ordinal of " + type.getSimpleName());
         }
         return constants[ordinal];
     }
 
+    /** Checks that no bytes follow the last value read. */
     void checkFullyRead() throws MalformedFrameException {
         if (unpacker.getTotalReadBytes() != length) {
-            throw malformed((length - unpacker.getTotalReadBytes()) + " bytes too many");
+            throw malformed((length - unpacker.getTotalReadBytes()) + " bytes after the end of the frame");
         }
     }
 
@@ -83,21 +84,21 @@
     private void checkWithin(int size) throws MalformedFrameException {
         long left = length - unpacker.getTotalReadBytes();
         if (size < 0 || size > left) {
-            throw malformed("a length of " + size + " with " + left + " bytes left");
+            throw malformed("length " + size + " with " + left + " bytes left");
         }
     }
 
-    private <T> T read(Value<T> value) throws MalformedFrameException {
+    private <T> T read(ValueReader<T> reader) throws MalformedFrameException {
         try {
-            return value.read();
+            return reader.read();
         } catch (IOException | MessagePackException e) {
             throw malformed("unreadable value: " + e.getMessage(), e);
         }
     }
 
-    /** One read of the library. */
+    /** Reads one value from the unpacker. */
     @FunctionalInterface
-    private interface Value<T> {
+    private interface ValueReader<T> {
         T read() throws IOException;
     }
 }
--- a/tarragonarch-wire/src/main/java/org/tarragonarch/wire/FrameType.java
+++ b/tarragonarch-wire/src/main/java/org/tarragonarch/wire/FrameType.java
@@ -6,7 +6,7 @@
 import org.tarragonarch.model.task.JobId;
 import org.tarragonarch.model.task.Verdict;
 
-/** The kinds of frame, each with its number on the wire and the way its body is read. */
+/** The types of frame, each with its number on the wire and the decoder of its body. */
 enum FrameType {
     HELLO(1) {
         @Override
@@ -17,7 +17,7 @@
     REPORT(2) {
         @Override
         Frame read(FrameReader reader, Optional<Hello> sender) throws MalformedFrameException {
-            Hello hello = sender.orElseThrow(() -> reader.malformed("a report before the hello"));
+            Hello hello = sender.orElseThrow(() -> reader.malformed("report received before the hello"));
             return new ReportFrame(ReportCodec.read(reader, hello));
         }
     },
@@ -126,15 +126,15 @@
         this.number = number;
     }
 
-    /** Returns the number that opens a frame of this kind. */
+    /** Returns the number at the start of a frame of this type. */
     int number() {
         return number;
     }
 
-    /** Reads what follows the number. */
+    /** Reads the body of a frame, which follows the type number. */
     abstract Frame read(FrameReader reader, Optional<Hello> sender) throws MalformedFrameException;
 
-    /** Reads the number that opens a frame. */
+    /** Reads the type number at the start of a frame. */
     static FrameType readFrom(FrameReader reader) throws MalformedFrameException {
         int number = reader.readInt();
         for (FrameType type : values()) {
@@ -142,6 +142,6 @@
                 return type;
             }
         }
-        throw reader.malformed("no frame has the number " + number);
+        throw reader.malformed("unknown frame type " + number);
     }
 }
--- a/tarragonarch-wire/src/main/java/org/tarragonarch/wire/FrameWriter.java
+++ b/tarragonarch-wire/src/main/java/org/tarragonarch/wire/FrameWriter.java
@@ -6,7 +6,7 @@
 import org.msgpack.core.MessageBufferPacker;
 import org.msgpack.core.MessagePack;
 
-/** Writes the values of one frame into memory. */
+/** Encodes the values of one frame into a byte array. */
 final class FrameWriter {
     private final MessageBufferPacker packer = MessagePack.newDefaultBufferPacker();
 
@@ -45,18 +45,18 @@
         return packer.toByteArray();
     }
 
-    private FrameWriter write(Step step) {
+    private FrameWriter write(ValueWriter writer) {
         try {
-            step.run();
+            writer.write();
             return this;
         } catch (IOException e) {
-            throw new UncheckedIOException("writing to memory", e);
+            throw new UncheckedIOException("cannot encode a frame value", e);
         }
     }
 
-    /** One write of the library. */
+    /** Writes one value or header to the packer. */
     @FunctionalInterface
-    private interface Step {
-        void run() throws IOException;
+    private interface ValueWriter {
+        void write() throws IOException;
     }
 }
--- a/tarragonarch-wire/src/main/java/org/tarragonarch/wire/Hello.java
+++ b/tarragonarch-wire/src/main/java/org/tarragonarch/wire/Hello.java
@@ -7,19 +7,19 @@
 import org.tarragonarch.model.id.NodeId;
 
 /**
- * The first frame of each end of a connection: the identity of the sender; repeated whenever an
- * end had nothing else to send for long.
+ * The first frame that each end of a connection sends: the identity of the sender. An end repeats it as a keep-alive
+ * when it has had nothing else to send for some time.
  *
- * @param protocolVersion the version of the protocol of the sender
+ * @param protocolVersion the protocol version of the sender
  * @param node the sender
- * @param incarnation this run of the sender
- * @param domain where the sender stands
+ * @param incarnation the incarnation of the sender
+ * @param domain the failure domain of the sender
  */
 public record Hello(int protocolVersion, NodeId node, Incarnation incarnation, FailureDomain domain) implements Frame {
-    /** The version of the protocol that this code implements; it changes with any change to the layout of a frame. */
+    /** The protocol version that this code implements; it must change with every change to the layout of a frame. */
     public static final int PROTOCOL_VERSION = 5;
 
-    /** Checks the parts. */
+    /** Checks that no component is null. */
     public Hello {
         checkNotNull(node, "node");
         checkNotNull(incarnation, "incarnation");
--- a/tarragonarch-wire/src/main/java/org/tarragonarch/wire/HelloCodec.java
+++ b/tarragonarch-wire/src/main/java/org/tarragonarch/wire/HelloCodec.java
@@ -6,7 +6,7 @@
 
 /** Reads and writes the body of a {@link Hello}. */
 final class HelloCodec {
-    /** Opens every hello, so that a stranger's connection is distinguished from another version's. */
+    /** Starts every hello, to distinguish a foreign protocol from another version of this one. */
     private static final int MAGIC = 0x7A66;
 
     private HelloCodec() {}
@@ -19,10 +19,10 @@
                 .writeText(hello.domain().value());
     }
 
-    /** Reads a hello; the version is checked before the rest, which another version may lay out otherwise. */
+    /** Reads a hello; the version is checked before the rest, whose layout may differ between versions. */
     static Hello read(FrameReader reader) throws MalformedFrameException {
         if (reader.readInt() != MAGIC) {
-            throw reader.malformed("not this protocol");
+            throw reader.malformed("not a connection of this protocol");
         }
         int version = reader.readInt();
         if (version != Hello.PROTOCOL_VERSION) {
--- a/tarragonarch-wire/src/main/java/org/tarragonarch/wire/JobOffered.java
+++ b/tarragonarch-wire/src/main/java/org/tarragonarch/wire/JobOffered.java
@@ -5,12 +5,12 @@
 import org.tarragonarch.model.task.Offer;
 
 /**
- * Offers a job to a holder of shards; a {@link JobSettled} answers it.
+ * Offers a job to a holder of shards, which responds with a {@link JobSettled}.
  *
- * @param offer the job
+ * @param offer the offer
  */
 public record JobOffered(Offer offer) implements Frame {
-    /** Checks the part. */
+    /** Checks that the offer is not null. */
     public JobOffered {
         checkNotNull(offer, "offer");
     }
--- a/tarragonarch-wire/src/main/java/org/tarragonarch/wire/JobSettled.java
+++ b/tarragonarch-wire/src/main/java/org/tarragonarch/wire/JobSettled.java
@@ -6,14 +6,14 @@
 import org.tarragonarch.model.task.Verdict;
 
 /**
- * Answers a {@link JobOffered}.
+ * The response to a {@link JobOffered}.
  *
  * @param job the job
- * @param verdict what became of it
- * @param retryMillis when there should be room again, in milliseconds; 0 unless the job was declined
+ * @param verdict the holder's verdict
+ * @param retryMillis the time until capacity is expected to be free, in milliseconds; 0 unless the job was declined
  */
 public record JobSettled(JobId job, Verdict verdict, long retryMillis) implements Frame {
-    /** Checks the parts. */
+    /** Checks that the job and the verdict are not null. */
     public JobSettled {
         checkNotNull(job, "job");
         checkNotNull(verdict, "verdict");
--- a/tarragonarch-wire/src/main/java/org/tarragonarch/wire/MalformedFrameException.java
+++ b/tarragonarch-wire/src/main/java/org/tarragonarch/wire/MalformedFrameException.java
@@ -3,7 +3,7 @@
 import org.tarragonarch.model.outcome.Step;
 import org.tarragonarch.model.outcome.StepException;
 
-/** Bytes from a peer that are no frame of this protocol; the connection they came by is of no further use. */
+/** Thrown for bytes from a peer that are not a frame of this protocol; their connection has to be closed. */
 public final class MalformedFrameException extends StepException {
     private static final long serialVersionUID = 1L;
 
--- a/tarragonarch-wire/src/main/java/org/tarragonarch/wire/MemberCodec.java
+++ b/tarragonarch-wire/src/main/java/org/tarragonarch/wire/MemberCodec.java
@@ -5,7 +5,7 @@
 import org.tarragonarch.model.id.NodeId;
 import org.tarragonarch.model.report.Member;
 
-/** Reads and writes who a node is, within the bodies of other frames. */
+/** Reads and writes a {@link Member} within the bodies of other frames. */
 final class MemberCodec {
     private MemberCodec() {}
 
--- a/tarragonarch-wire/src/main/java/org/tarragonarch/wire/NodesAsked.java
+++ b/tarragonarch-wire/src/main/java/org/tarragonarch/wire/NodesAsked.java
@@ -1,4 +1,4 @@
 package org.tarragonarch.wire;
 
-/** Asks a peer where it knows other nodes to be. */
+/** Asks a peer for the nodes that it knows and their addresses. */
 public record NodesAsked() implements Frame {}
--- a/tarragonarch-wire/src/main/java/org/tarragonarch/wire/NodesGiven.java
+++ b/tarragonarch-wire/src/main/java/org/tarragonarch/wire/NodesGiven.java
@@ -6,12 +6,12 @@
 import org.tarragonarch.model.report.Member;
 
 /**
- * Answers a {@link NodesAsked}.
+ * The response to a {@link NodesAsked}.
  *
- * @param nodes every node that the peer knows
+ * @param nodes the nodes that the peer knows
  */
 public record NodesGiven(ImmutableList<Member> nodes) implements Frame {
-    /** Checks the part. */
+    /** Checks that the list is not null. */
     public NodesGiven {
         checkNotNull(nodes, "nodes");
     }
--- a/tarragonarch-wire/src/main/java/org/tarragonarch/wire/OfferCodec.java
+++ b/tarragonarch-wire/src/main/java/org/tarragonarch/wire/OfferCodec.java
@@ -14,7 +14,7 @@
 
 /** Reads and writes the body of a {@link JobOffered}. */
 final class OfferCodec {
-    /** Fractions travel as whole thousandths. */
+    /** Fractions are encoded as whole thousandths. */
     private static final double THOUSANDTHS = 1_000;
 
     private OfferCodec() {}
--- a/tarragonarch-wire/src/main/java/org/tarragonarch/wire/OpenJobs.java
+++ b/tarragonarch-wire/src/main/java/org/tarragonarch/wire/OpenJobs.java
@@ -6,14 +6,14 @@
 import org.tarragonarch.model.task.JobId;
 
 /**
- * The jobs that the sender has offered to the receiver and has neither withdrawn nor given to another holder.
+ * The jobs that the sender has offered to the receiver and has neither withdrawn nor offered to another holder since.
  *
- * <p>It goes first on each connection. A {@link JobWithdrawn} may have been lost with the connection before.
+ * <p>Sent first on each connection, since a {@link JobWithdrawn} may have been lost with the previous connection.
  *
  * @param jobs the jobs
  */
 public record OpenJobs(ImmutableSet<JobId> jobs) implements Frame {
-    /** Checks the part. */
+    /** Checks that the set is not null. */
     public OpenJobs {
         checkNotNull(jobs, "jobs");
     }
--- a/tarragonarch-wire/src/main/java/org/tarragonarch/wire/Payload.java
+++ b/tarragonarch-wire/src/main/java/org/tarragonarch/wire/Payload.java
@@ -4,7 +4,7 @@
 
 import java.util.Arrays;
 
-/** Bytes that a frame carries and does not look into; equal where the bytes are equal. */
+/** Opaque bytes in a frame; two payloads are equal if their bytes are equal. */
 public final class Payload {
     private final byte[] bytes;
 
@@ -12,17 +12,17 @@
         this.bytes = checkNotNull(bytes, "bytes");
     }
 
-    /** Returns a payload of these bytes, which are not copied and must not change any more. */
+    /** Returns a payload that wraps the bytes without copying; they must not be modified afterwards. */
     public static Payload of(byte[] bytes) {
         return new Payload(bytes);
     }
 
-    /** Returns the bytes themselves, which must not be changed. */
+    /** Returns the wrapped bytes without copying; they must not be modified. */
     public byte[] bytes() {
         return bytes;
     }
 
-    /** Returns how many bytes there are. */
+    /** Returns the number of bytes. */
     public int length() {
         return bytes.length;
     }
--- a/tarragonarch-wire/src/main/java/org/tarragonarch/wire/PeerChannels.java
+++ b/tarragonarch-wire/src/main/java/org/tarragonarch/wire/PeerChannels.java
@@ -18,7 +18,7 @@
 import java.util.function.Consumer;
 import org.tarragonarch.model.id.NodeId;
 
-/** Opens the channels between peers, with the handlers that every one of them has. */
+/** Opens the channels between nodes and installs their handlers. */
 final class PeerChannels {
     private static final int HELLOS_PER_IDLE_TIMEOUT = 3;
 
@@ -41,7 +41,7 @@
         this.settings = settings;
     }
 
-    /** Listens at an address, and hands over each channel that a peer opens. */
+    /** Listens at an address and passes each accepted channel to the consumer. */
     ChannelFuture bind(InetSocketAddress address, Consumer<Channel> accepted) {
         return new ServerBootstrap()
                 .group(group)
@@ -73,7 +73,11 @@
                 .connect(address);
     }
 
-    /** Adds the handlers to a channel; the peer is known if this node opened it. */
+    /**
+     * Adds the handlers to a channel.
+     *
+     * @param expected the peer that this node connected to; empty for an accepted channel
+     */
     void addHandlers(Channel channel, Optional<NodeId> expected, ConnectionOwner owner) {
         long idle = settings.idleTimeout().toMillis();
         channel.pipeline()
--- a/tarragonarch-wire/src/main/java/org/tarragonarch/wire/PeerConnection.java
+++ b/tarragonarch-wire/src/main/java/org/tarragonarch/wire/PeerConnection.java
@@ -14,11 +14,11 @@
 import org.tarragonarch.model.id.NodeId;
 
 /**
- * One end of one connection: says hello, checks the other's hello, then passes frames both ways.
+ * One end of a connection: sends a hello, checks the hello of the other end, then passes frames both ways.
  *
- * <p>Whatever is wrong with what the other end sends closes this connection, with one line in the log, and nothing
- * else. An end that has nothing to say repeats its hello, so that a peer that is frozen, or whose machine vanished
- * without closing anything, shows by sending nothing at all and is closed.
+ * <p>Any error in what the other end sends closes this connection only and is logged in one line. An idle end repeats
+ * its hello, so that a connection to a peer that is frozen, or whose machine vanished without closing it, is recognised
+ * by its silence and closed.
  */
 final class PeerConnection extends SimpleChannelInboundHandler<ByteBuf> {
     private static final FluentLogger LOGGER = FluentLogger.forEnclosingClass();
@@ -34,11 +34,11 @@
     private boolean hasReceived;
 
     /**
-     * Creates the end of a connection.
+     * Creates one end of a connection.
      *
-     * @param own what this end says of itself
-     * @param expected the node that was called; empty for an incoming connection
-     * @param owner learns when the connection opens and closes
+     * @param own the hello of this node
+     * @param expectedPeer the node that this node connected to; empty for an incoming connection
+     * @param owner is notified when the connection opens and closes
      */
     PeerConnection(
             Hello own,
@@ -59,7 +59,7 @@
         return expectedPeer;
     }
 
-    /** Returns whether the other end has opened the connection. */
+    /** Returns whether the other end opened the connection. */
     boolean isIncoming() {
         return expectedPeer.isEmpty();
     }
@@ -72,18 +72,18 @@
         return peerHello.filter(known -> known.incarnation().equals(run)).isPresent();
     }
 
-    /** Returns whether a frame may still be sent; false from the moment of closing on. */
+    /** Returns whether frames may be sent; false once closing has begun. */
     boolean isOpen() {
         return context.channel().isOpen();
     }
 
-    /** Sends a frame as soon as the other end takes it; the connection must be open. */
+    /** Queues a frame and writes it as soon as the channel is writable; the connection must be open. */
     void send(EncodedFrame frame) {
         queue.offer(frame).forEach(this::returnUndelivered);
         flush();
     }
 
-    /** Closes the connection and says why in the log. */
+    /** Closes the connection and logs the reason. */
     void close(String reason) {
         if (context.channel().isOpen()) {
             LOGGER.atWarning().log(
@@ -135,8 +135,8 @@
         queue.drain().forEach(this::returnUndelivered);
         owner.closed(this);
         if (last) {
-            Hello said = peerHello.orElseThrow();
-            listener.disconnected(said.node(), said.incarnation());
+            Hello closed = peerHello.orElseThrow();
+            listener.disconnected(closed.node(), closed.incarnation());
         }
     }
 
@@ -147,10 +147,10 @@
     }
 
     private void handle(Frame frame) throws MalformedFrameException {
-        if (frame instanceof Hello said) {
-            handleHello(said);
+        if (frame instanceof Hello received) {
+            handleHello(received);
         } else if (peerHello.isEmpty()) {
-            throw new MalformedFrameException(peerName(), "a frame before the hello");
+            throw new MalformedFrameException(peerName(), "frame received before the hello");
         } else {
             if (isIncoming() && !hasReceived) {
                 hasReceived = true;
@@ -160,19 +160,19 @@
         }
     }
 
-    private void handleHello(Hello said) throws MalformedFrameException {
+    private void handleHello(Hello received) throws MalformedFrameException {
         if (peerHello.isPresent()) {
-            if (!peerHello.get().equals(said)) {
-                throw new MalformedFrameException(peerName(), "a hello of another node or run: " + said);
+            if (!peerHello.get().equals(received)) {
+                throw new MalformedFrameException(peerName(), "hello of another node or incarnation: " + received);
             }
             return;
         }
-        Optional<String> refusal = registry.admit(this, said);
+        Optional<String> refusal = registry.admit(this, received);
         if (refusal.isPresent()) {
             close("the other end " + refusal.get());
             return;
         }
-        peerHello = Optional.of(said);
+        peerHello = Optional.of(received);
         owner.opened(this);
     }
 
--- a/tarragonarch-wire/src/main/java/org/tarragonarch/wire/PeerLink.java
+++ b/tarragonarch-wire/src/main/java/org/tarragonarch/wire/PeerLink.java
@@ -7,11 +7,11 @@
 import org.tarragonarch.model.id.NodeId;
 
 /**
- * The outgoing connection to one peer: opened when there is a frame to send, and again after a growing wait when it
- * cannot be had. Used by the network's thread alone.
+ * The outgoing connection to one peer: opened when there is a frame to send, and reopened with exponential backoff.
+ * Used by the network's thread alone.
  *
- * <p>When an attempt fails, what waited is given back rather than kept: the peer may be gone for good, and whoever
- * asked it something does better to learn that at once.
+ * <p>When an attempt fails, the queued frames are returned as undelivered rather than kept: the peer may be gone for
+ * good, and the senders should learn that at once.
  */
 final class PeerLink implements ConnectionOwner {
     private final NodeId peer;
@@ -21,7 +21,7 @@
     private final FrameQueue waiting;
     private Optional<PeerConnection> connection = Optional.empty();
     private boolean attempting;
-    private boolean waitingToRetry;
+    private boolean inBackoff;
     private boolean retired;
     private Duration backoff;
     private long lastUseNanos;
@@ -53,19 +53,19 @@
         connectIfNeeded();
     }
 
-    /** Gives back what waits for a connection. */
+    /** Returns the frames that wait for a connection to the listener as undelivered. */
     void returnQueued() {
         waiting.drain().forEach(this::returnUndelivered);
     }
 
-    /** Closes the connection and never opens another. */
+    /** Closes the connection for good. */
     void retire(String reason) {
         retired = true;
         returnQueued();
         connection.ifPresent(open -> open.close(reason));
     }
 
-    /** Returns whether nothing was sent for so long that the link is not worth keeping. */
+    /** Returns whether nothing was sent for longer than the unused timeout. */
     boolean isUnused(long nowNanos) {
         return nowNanos - lastUseNanos > settings.unusedTimeout().toNanos();
     }
@@ -76,7 +76,7 @@
         backoff = settings.firstBackoff();
         connection = Optional.of(opened);
         if (retired) {
-            opened.close("the link is no longer wanted");
+            opened.close("the link is retired");
             return;
         }
         network.firstFrame(peer).ifPresent(opened::send);
@@ -87,14 +87,14 @@
     public void closed(PeerConnection closed) {
         if (attempting) {
             attemptFailed();
-        } else if (connection.filter(open -> open == closed).isPresent()) {
+        } else if (connection.filter(current -> current == closed).isPresent()) {
             connection = Optional.empty();
             retryLater();
         }
     }
 
     private void connectIfNeeded() {
-        if (connection.isPresent() || attempting || waitingToRetry || retired || waiting.isEmpty()) {
+        if (connection.isPresent() || attempting || inBackoff || retired || waiting.isEmpty()) {
             return;
         }
         attempting = true;
@@ -113,9 +113,9 @@
     }
 
     private void retryLater() {
-        waitingToRetry = true;
+        inBackoff = true;
         network.schedule(backoff, () -> {
-            waitingToRetry = false;
+            inBackoff = false;
             connectIfNeeded();
         });
         Duration doubled = backoff.multipliedBy(2);
--- a/tarragonarch-wire/src/main/java/org/tarragonarch/wire/PeerListener.java
+++ b/tarragonarch-wire/src/main/java/org/tarragonarch/wire/PeerListener.java
@@ -4,33 +4,35 @@
 import org.tarragonarch.model.id.Incarnation;
 import org.tarragonarch.model.id.NodeId;
 
-/** Takes what comes from peers; called on the network's one thread, so it must not block. */
+/** Receives the frames and connection events of peers; called on the network's only thread, so it must not block. */
 public interface PeerListener {
     /**
-     * Takes a frame other than a {@link Hello}.
+     * Handles a frame other than a {@link Hello}.
      *
-     * @param peer the node that sent it, as its hello says
-     * @param run the run of that node; what answers the frame goes to this run alone
+     * @param peer the sender, as named in its hello
+     * @param run the incarnation of the sender; a response must go to this incarnation only
      * @param frame the frame
      */
     void received(NodeId peer, Incarnation run, Frame frame);
 
     /**
-     * Takes back a frame that certainly did not leave: the peer could not be reached, its queue was full, or the frame
-     * was too long. Reports are dropped without a word. A frame that left on a connection which then broke is neither
-     * given back nor known to have arrived; the sender needs a time-out for it.
+     * Handles a frame that was certainly not sent: the peer could not be reached, its queue was full, or the frame was
+     * too long.
+     *
+     * <p>Not called for reports and statuses, which are dropped silently, nor for a frame that was written to a
+     * connection which then broke: that frame may or may not have arrived, so its sender needs a timeout.
      */
     default void undelivered(NodeId peer, Frame frame) {}
 
     /**
-     * Returns the frame that goes before all others on a connection which this node has opened to the peer.
+     * Returns the frame to send before all others on a connection that this node has opened to the peer.
      *
-     * <p>Called once for each connection, when the peer has said hello.
+     * <p>Called once for each connection, after the peer's hello has been checked.
      */
     default Optional<Frame> firstFrame(NodeId peer) {
         return Optional.empty();
     }
 
-    /** Notes that the last connection with a run of the peer has closed. */
+    /** Called when the last connection to an incarnation of the peer has closed. */
     default void disconnected(NodeId peer, Incarnation run) {}
 }
--- a/tarragonarch-wire/src/main/java/org/tarragonarch/wire/PeerNetwork.java
+++ b/tarragonarch-wire/src/main/java/org/tarragonarch/wire/PeerNetwork.java
@@ -26,11 +26,11 @@
 import org.tarragonarch.model.report.Member;
 
 /**
- * The connections of one node with the others: one listening port, and one outgoing connection for each peer that there
- * is something to send to.
+ * The connections of one node to its peers: one listening port, and one outgoing connection to each peer that frames
+ * are sent to.
  *
- * <p>Safe for use by any thread. Everything happens on one thread of its own; no method blocks but {@link #start} and
- * {@link #close}.
+ * <p>Thread-safe. All work is done on a single event loop thread. Only {@link #start}, {@link #startOn} and
+ * {@link #close} block.
  */
 public final class PeerNetwork implements AutoCloseable {
     private static final FluentLogger LOGGER = FluentLogger.forEnclosingClass();
@@ -60,21 +60,21 @@
     }
 
     /**
-     * Starts to listen.
+     * Starts to listen with the default settings.
      *
-     * @param bind where to listen
-     * @param own who this node is
-     * @param listener takes what comes from peers
-     * @throws StepException if the address cannot be listened at
+     * @param bind the address to listen at
+     * @param own the hello of this node
+     * @param listener receives frames and connection events
+     * @throws StepException if the address cannot be bound
      */
     public static PeerNetwork start(Address bind, Hello own, PeerListener listener) throws StepException {
         return start(socketAddress(bind), own, listener, PeerNetworkSettings.DEFAULT);
     }
 
     /**
-     * Starts to listen, with other times and bounds, and at a port of the system's choice if the address names port 0.
+     * Starts to listen with the given settings, at a port chosen by the operating system if the address has port 0.
      *
-     * @throws StepException if the address cannot be listened at
+     * @throws StepException if the address cannot be bound
      */
     public static PeerNetwork start(
             InetSocketAddress bind, Hello own, PeerListener listener, PeerNetworkSettings settings)
@@ -84,10 +84,10 @@
     }
 
     /**
-     * Starts to listen on a thread that serves other connections too.
+     * Starts to listen on an event loop thread that is shared with other connections.
      *
-     * @param group a group of one thread, on which the listener is called; it outlives this network
-     * @throws StepException if the address cannot be listened at
+     * @param group a group of one thread, on which the listener is called; {@link #close} does not shut it down
+     * @throws StepException if the address cannot be bound
      */
     public static PeerNetwork startOn(
             EventLoopGroup group, Address bind, Hello own, PeerListener listener, PeerNetworkSettings settings)
@@ -105,22 +105,22 @@
         }
     }
 
-    /** Returns where this node listens. */
+    /** Returns the address at which this node listens. */
     public Address address() {
         InetSocketAddress bound = (InetSocketAddress) server.localAddress();
         return new Address(InetAddresses.toAddrString(bound.getAddress()), bound.getPort());
     }
 
     /**
-     * Sends a frame to whatever run of the peer listens at the address.
+     * Sends a frame to whichever incarnation of the peer listens at the address.
      *
-     * <p>What answers a peer's frame goes by {@link #reply} instead.
+     * <p>To respond to a frame of a peer, use {@link #reply} instead.
      */
     public void send(NodeId peer, Address address, Frame frame) {
         execute(() -> sendEncoded(peer, address, EncodedFrame.of(frame)));
     }
 
-    /** Sends one frame to many peers; it is encoded once. */
+    /** Sends a frame to several peers; it is encoded once. */
     public void sendToAll(Iterable<Member> peers, Frame frame) {
         ImmutableList<Member> receivers = ImmutableList.copyOf(peers);
         execute(() -> {
@@ -130,10 +130,10 @@
     }
 
     /**
-     * Sends a frame to one run of the peer, by any connection that is open with it, and to no other run.
+     * Sends a frame to one incarnation of the peer, over any open connection to it, and to no other incarnation.
      *
-     * <p>Needs no address, so a node that is not yet on the platform's list gets its answer by the connection that its
-     * question came by.
+     * <p>Needs no address, so a node that the platform does not list yet is answered over the connection on which its
+     * request arrived.
      */
     public void reply(NodeId peer, Incarnation run, Frame frame) {
         execute(() -> {
@@ -147,10 +147,11 @@
     }
 
     /**
-     * Closes every connection with the peer and gives back what waits for one; the next frame opens a new one.
+     * Closes every connection to the peer and returns queued frames as undelivered; the next frame opens a new
+     * connection.
      *
-     * <p>Guards against connections that go silent for good, one way or both, while new ones work: frames would go into
-     * them until their idle timeout.
+     * <p>Guards against connections that become silent for good, in one or both directions, while new ones work:
+     * frames would be lost on them until their idle timeout.
      */
     public void disconnect(NodeId peer, String reason) {
         execute(() -> {
@@ -160,7 +161,8 @@
     }
 
     /**
-     * Closes every connection and stops listening; what was handed in before and the peers take at once still leaves.
+     * Closes every connection and stops listening. Frames handed in before are still sent if they can be written at
+     * once.
      */
     @Override
     public void close() {
@@ -231,7 +233,7 @@
         }
     }
 
-    /** Returns whether a frame may leave; one that is too long is given back. */
+    /** Returns whether a frame is short enough to be sent; returns a longer one as undelivered. */
     private boolean fits(NodeId peer, EncodedFrame encoded) {
         if (encoded.bytes().length <= FrameCodec.MAX_FRAME_BYTES) {
             return true;
@@ -278,7 +280,7 @@
         return new InetSocketAddress(InetAddresses.forString(address.ip()), address.port());
     }
 
-    /** An incoming connection belongs to nobody: the other end opens it again when it needs it. */
+    /** The owner of incoming connections, which does nothing: the other end reopens the connection when needed. */
     private enum IncomingOwner implements ConnectionOwner {
         INSTANCE;
 
--- a/tarragonarch-wire/src/main/java/org/tarragonarch/wire/PeerNetworkSettings.java
+++ b/tarragonarch-wire/src/main/java/org/tarragonarch/wire/PeerNetworkSettings.java
@@ -5,16 +5,16 @@
 import java.time.Duration;
 
 /**
- * The times and bounds of the connections between nodes.
+ * The timeouts and bounds of the connections between nodes.
  *
- * @param connectTimeout how long an attempt to connect may take
- * @param idleTimeout how long the other end may say nothing, not even a hello, before a connection is closed
- * @param unusedTimeout how long an outgoing connection stays open without a frame to send
- * @param firstBackoff the wait after the first failed attempt; each further failure doubles it
- * @param maxBackoff the longest wait between attempts
- * @param maxQueuedFrames the most frames that wait for one connection
- * @param maxQueuedBytes the most bytes that wait for one connection
- * @param maxConnections the most incoming connections
+ * @param connectTimeout the maximum duration of an attempt to connect
+ * @param idleTimeout the time without any received frame, hellos included, after which a connection is closed
+ * @param unusedTimeout the time without a frame to send after which an outgoing connection is closed
+ * @param firstBackoff the delay after the first failed attempt; doubled after each further failure
+ * @param maxBackoff the maximum delay between attempts
+ * @param maxQueuedFrames the maximum number of frames queued for one connection
+ * @param maxQueuedBytes the maximum number of bytes queued for one connection
+ * @param maxConnections the maximum number of incoming connections
  */
 public record PeerNetworkSettings(
         Duration connectTimeout,
@@ -25,7 +25,7 @@
         int maxQueuedFrames,
         int maxQueuedBytes,
         int maxConnections) {
-    /** The settings that suit the sizes of the brief. */
+    /** The default settings, suited to clusters of the sizes that the product supports. */
     public static final PeerNetworkSettings DEFAULT = new PeerNetworkSettings(
             Duration.ofSeconds(1),
             Duration.ofSeconds(5),
@@ -36,7 +36,7 @@
             2 * FrameCodec.MAX_FRAME_BYTES,
             1_024);
 
-    /** Checks that every time and bound is positive. */
+    /** Checks that every duration and bound is positive. */
     public PeerNetworkSettings {
         checkPositive("connectTimeout", connectTimeout);
         checkPositive("idleTimeout", idleTimeout);
--- a/tarragonarch-wire/src/main/java/org/tarragonarch/wire/PeerRegistry.java
+++ b/tarragonarch-wire/src/main/java/org/tarragonarch/wire/PeerRegistry.java
@@ -8,11 +8,11 @@
 import org.tarragonarch.model.id.NodeId;
 
 /**
- * Which connections are open to which run of which node; used by the network's thread alone.
+ * The open connections by node and incarnation; used by the network's thread alone.
  *
- * <p>Guards against a node that was restarted on its old address, or whose name moved to another VM while the first
- * process still runs: a connection with an earlier run is refused or closed at both ends, so no frame meant for one run
- * reaches another.
+ * <p>Guards against a node that was restarted at its old address, or whose name moved to another VM while the first
+ * process still runs: a connection to an earlier incarnation is refused or closed at both ends, so that no frame meant
+ * for one incarnation reaches another.
  */
 final class PeerRegistry {
     private final Hello own;
@@ -23,22 +23,22 @@
         this.own = own;
     }
 
-    /** Records the first hello of a connection; returns why the connection is refused, if it is. */
+    /** Registers a connection by its first hello; returns the reason if the connection is refused. */
     Optional<String> admit(PeerConnection connection, Hello hello) {
         if (hello.node().equals(own.node())) {
-            return Optional.of("speaks in the name of this node");
+            return Optional.of("uses the name of this node");
         }
         if (connection.expectedPeer().filter(name -> !name.equals(hello.node())).isPresent()) {
             return Optional.of(
                     "is " + hello.node() + " where " + connection.expectedPeer().get() + " was expected");
         }
         if (!runs.recordRun(hello.node(), hello.incarnation())) {
-            return Optional.of("is run " + hello.incarnation() + " where run "
-                    + runs.latest(hello.node()).orElseThrow() + " was met");
+            return Optional.of("is incarnation " + hello.incarnation() + " where incarnation "
+                    + runs.latest(hello.node()).orElseThrow() + " is known");
         }
         for (PeerConnection earlier : connectionsWith(hello.node())) {
             if (!earlier.belongsTo(hello.incarnation())) {
-                earlier.close("a later run was met");
+                earlier.close("a later incarnation connected");
             }
         }
         open.put(hello.node(), connection);
@@ -46,10 +46,10 @@
     }
 
     /**
-     * Closes the connections that the other end had opened before it began to send on this one.
+     * Closes the connections that the other end opened before it began to send on this one.
      *
-     * <p>Guards against frames out of order: a node sends on one connection at a time, so what is unread on an earlier
-     * one was sent before anything on this one, and may have been taken back since.
+     * <p>Guards against frames out of order: a node sends on one connection at a time, so unread frames on an earlier
+     * connection were sent before those on this one, and may have been withdrawn since.
      */
     void closeEarlierIncoming(PeerConnection connection) {
         for (PeerConnection other :
@@ -63,19 +63,19 @@
         }
     }
 
-    /** Returns an open connection with exactly this run, if there is one. */
+    /** Returns an open connection to exactly this incarnation of the peer, if there is one. */
     Optional<PeerConnection> find(NodeId peer, Incarnation run) {
         return open.get(peer).stream()
                 .filter(connection -> connection.belongsTo(run))
                 .findFirst();
     }
 
-    /** Returns every open connection with the peer. */
+    /** Returns the open connections to the peer, oldest first. */
     ImmutableList<PeerConnection> connectionsWith(NodeId peer) {
         return ImmutableList.copyOf(open.get(peer));
     }
 
-    /** Takes a connection out; returns whether it was the last one with its run of the peer. */
+    /** Removes a connection; returns whether it was the last one to its incarnation of the peer. */
     boolean remove(PeerConnection connection) {
         Optional<Hello> hello = connection.peerHello();
         return hello.isPresent()
--- a/tarragonarch-wire/src/main/java/org/tarragonarch/wire/ProblemCodec.java
+++ b/tarragonarch-wire/src/main/java/org/tarragonarch/wire/ProblemCodec.java
@@ -7,7 +7,7 @@
 import org.tarragonarch.model.outcome.ProblemCode;
 import org.tarragonarch.model.outcome.Step;
 
-/** Reads and writes a {@link Problem}; a time to come back travels in whole milliseconds. */
+/** Reads and writes a {@link Problem}; the retry delay is encoded in whole milliseconds. */
 final class ProblemCodec {
     private ProblemCodec() {}
 
--- a/tarragonarch-wire/src/main/java/org/tarragonarch/wire/ReportCodec.java
+++ b/tarragonarch-wire/src/main/java/org/tarragonarch/wire/ReportCodec.java
@@ -10,7 +10,7 @@
 import org.tarragonarch.model.report.NodePhase;
 import org.tarragonarch.model.report.PeerReport;
 
-/** Reads and writes the body of a {@link ReportFrame}; endpoints travel in the order of their names. */
+/** Reads and writes the body of a {@link ReportFrame}; endpoints are sorted by id, as {@link EndpointIdCodec} needs. */
 final class ReportCodec {
     private ReportCodec() {}
 
--- a/tarragonarch-wire/src/main/java/org/tarragonarch/wire/ReportFrame.java
+++ b/tarragonarch-wire/src/main/java/org/tarragonarch/wire/ReportFrame.java
@@ -7,13 +7,13 @@
 /**
  * The periodic report of the sending node.
  *
- * <p>The node, its incarnation and its domain are not in the frame: they are those of the connection's {@link Hello},
- * so a report costs less and cannot claim to be another node's.
+ * <p>The node, its incarnation and its domain are not encoded: the receiver takes them from the {@link Hello} of the
+ * connection, so a report is shorter and cannot be attributed to another node.
  *
  * @param report the report
  */
 public record ReportFrame(PeerReport report) implements Frame {
-    /** Checks the parts. */
+    /** Checks that the report is not null. */
     public ReportFrame {
         checkNotNull(report, "report");
     }
--- a/tarragonarch-wire/src/main/java/org/tarragonarch/wire/StatusCodec.java
+++ b/tarragonarch-wire/src/main/java/org/tarragonarch/wire/StatusCodec.java
@@ -57,7 +57,7 @@
                 shards.build());
     }
 
-    /** Writes uses in whole cores, which are short: statuses go to all nodes, and uses are only shown to operators. */
+    /** Writes uses in whole cores: statuses go to all nodes, so they are short; uses are only shown to operators. */
     private static void writeUses(FrameWriter writer, ImmutableList<ShareUse> uses) {
         writer.writeCount(uses.size());
         for (ShareUse use : uses) {
--- a/tarragonarch-wire/src/main/java/org/tarragonarch/wire/package-info.java
+++ b/tarragonarch-wire/src/main/java/org/tarragonarch/wire/package-info.java
@@ -1,7 +1,7 @@
 /**
- * What entry nodes say to each other: typed frames of MessagePack over TCP, and the connections that carry them.
+ * The protocol between entry nodes: typed frames in MessagePack over TCP, and the connections that carry them.
  *
- * <p>{@link org.tarragonarch.wire.PeerNetwork} is the one door. A connection opens with a
- * {@link org.tarragonarch.wire.Hello} from both ends and carries nothing else before both have been checked.
+ * <p>The entry point is {@link org.tarragonarch.wire.PeerNetwork}. Each connection starts with a
+ * {@link org.tarragonarch.wire.Hello} from both ends and carries no other frame until both have been checked.
  */
 package org.tarragonarch.wire;
--- a/tarragonarch-wire/src/test/java/org/tarragonarch/wire/BusySource.java
+++ b/tarragonarch-wire/src/test/java/org/tarragonarch/wire/BusySource.java
@@ -9,7 +9,7 @@
 import org.tarragonarch.model.report.EndpointLoad;
 import org.tarragonarch.model.report.NodePhase;
 
-/** A node under full load: its share of every endpoint's 8 slots is in use, and changes from moment to moment. */
+/** A source of reports of a node under full load, whose in-flight counts change continually. */
 final class BusySource implements ReportSource {
     private static final int SLOTS = 8;
 
@@ -28,7 +28,7 @@
         advanceMillis(10_000);
     }
 
-    /** Lets time pass; a task takes 250 ms, so a slot changes hands 4 times a second. */
+    /** Simulates the passage of time: a task takes 250 ms, so each slot starts 4 tasks a second. */
     void advanceMillis(long millis) {
         long tasks = Math.max(1, endpoints.length * SLOTS / sharers * millis / 250);
         for (long i = 0; i < tasks; i++) {
--- a/tarragonarch-wire/src/test/java/org/tarragonarch/wire/FilledFrames.java
+++ b/tarragonarch-wire/src/test/java/org/tarragonarch/wire/FilledFrames.java
@@ -40,7 +40,7 @@
 import org.tarragonarch.model.task.TaskStep;
 import org.tarragonarch.model.task.Verdict;
 
-/** One frame of each kind with all fields filled and different, so that exchanged fields change its bytes. */
+/** Frames of every type whose fields all have different values, so that swapped fields change the encoded bytes. */
 final class FilledFrames {
     static final Hello SENDER = Hello.of(NodeId.of("n1"), Incarnation.of(11), FailureDomain.of("d1"));
 
@@ -49,7 +49,7 @@
 
     private FilledFrames() {}
 
-    /** Returns the frames by the labels they have in the resource with their bytes. */
+    /** Returns the frames by their labels in the resource of recorded bytes. */
     static ImmutableMap<String, Frame> byLabel() {
         ImmutableMap.Builder<String, Frame> frames = ImmutableMap.builder();
         frames.put("hello", SENDER);
--- a/tarragonarch-wire/src/test/java/org/tarragonarch/wire/FrameBytesTest.java
+++ b/tarragonarch-wire/src/test/java/org/tarragonarch/wire/FrameBytesTest.java
@@ -21,7 +21,7 @@
 import org.tarragonarch.model.task.Verdict;
 import org.testng.annotations.Test;
 
-/** The bytes of frames as nodes of this protocol version exchange them. */
+/** Compares encoded frames with recorded bytes of this protocol version. */
 public final class FrameBytesTest {
     private static final String RESOURCE = "/outer-names/frames.txt";
     private static final BaseEncoding HEX = BaseEncoding.base16().lowerCase();
@@ -65,7 +65,7 @@
             "held-elsewhere",
             "shut-down");
 
-    /** Guards against a reordered field, enum constant or changed frame number, which other nodes would misread. */
+    /** Guards against a reordered field or enum constant, or a changed type number, which other nodes would misread. */
     @Test
     public void testEncode_matchesRecordedBytes() throws Exception {
         ImmutableMap.Builder<String, String> encoded = ImmutableMap.builder();
@@ -73,7 +73,7 @@
         assertEquals(encoded.build(), expected());
     }
 
-    /** Guards against bytes of other nodes that are read as something else than they were written for. */
+    /** Guards against bytes of other nodes that are decoded to other values than were encoded. */
     @Test
     public void testDecode_recordedBytes() throws Exception {
         ImmutableMap.Builder<String, Frame> decoded = ImmutableMap.builder();
@@ -84,7 +84,7 @@
         assertEquals(decoded.build(), FilledFrames.byLabel());
     }
 
-    /** Guards against a kind of frame without bytes in the resource, and against another number of a kind. */
+    /** Guards against a frame type without recorded bytes, and against a changed type number. */
     @Test
     public void testNumber_everyTypeIsRecorded() throws Exception {
         ImmutableSet<Integer> numbers = IntStream.rangeClosed(1, 17).boxed().collect(ImmutableSet.toImmutableSet());
@@ -98,7 +98,7 @@
                 numbers);
     }
 
-    /** Guards against a constant added to an enum of a frame without bytes in the resource. */
+    /** Guards against an enum constant added without recorded bytes. */
     @Test
     public void testOrdinal_numberOfConstants() {
         assertEquals(Verdict.values().length, 8);
@@ -106,7 +106,7 @@
         assertEquals(AnswerOutcome.values().length, 3);
     }
 
-    /** Guards against a phase whose number on the wire changed. */
+    /** Guards against a phase whose ordinal on the wire changed. */
     @Test
     public void testEncode_phaseOrdinals() throws Exception {
         assertEquals(NodePhase.values().length, PHASES.size());
@@ -116,7 +116,7 @@
         }
     }
 
-    /** Guards against a problem code whose number on the wire changed. */
+    /** Guards against a problem code whose ordinal on the wire changed. */
     @Test
     public void testEncode_problemCodeOrdinals() throws Exception {
         assertEquals(ProblemCode.values().length, CODES.size());
@@ -126,7 +126,7 @@
         }
     }
 
-    /** Guards against a step whose number on the wire changed. */
+    /** Guards against a step whose ordinal on the wire changed. */
     @Test
     public void testEncode_stepOrdinals() throws Exception {
         assertEquals(Step.values().length, STEPS.size());
@@ -136,7 +136,7 @@
         }
     }
 
-    /** Returns the bytes in hexadecimal by label. */
+    /** Returns the recorded bytes in hexadecimal by label. */
     private static ImmutableMap<String, String> expected() throws IOException {
         URL resource = FrameBytesTest.class.getResource(RESOURCE);
         ImmutableMap.Builder<String, String> lines = ImmutableMap.builder();
--- a/tarragonarch-wire/src/test/java/org/tarragonarch/wire/FrameCodecTest.java
+++ b/tarragonarch-wire/src/test/java/org/tarragonarch/wire/FrameCodecTest.java
@@ -69,7 +69,7 @@
         assertTrue(refusal.getMessage().contains("protocol version 6 instead of 5"), refusal.getMessage());
     }
 
-    /** Guards against two gigabytes allocated for a string that a frame only announces. */
+    /** Guards against an allocation of two gigabytes for a string whose length a frame announces without the bytes. */
     @Test
     public void testDecode_hugeAnnouncedLength() {
         byte[] huge = BaseEncoding.base16().decode("01CD7A6605DB7FFFFFFF");
@@ -92,10 +92,10 @@
                 refused++;
             }
         }
-        assertTrue(refused > 100_000, "only " + refused + " refused: the mutations reach nothing");
+        assertTrue(refused > 100_000, "only " + refused + " refused: the mutations are not effective");
     }
 
-    /** Guards against a layout changed under the same {@link Hello#PROTOCOL_VERSION}, as by a new enum constant. */
+    /** Guards against a changed layout, such as a new enum constant, under the same {@link Hello#PROTOCOL_VERSION}. */
     @Test
     public void testEncode_layoutOfProtocolVersionFive() {
         byte[] all = Samples.allFrames().stream().map(FrameCodec::encode).reduce(new byte[0], Bytes::concat);
--- a/tarragonarch-wire/src/test/java/org/tarragonarch/wire/PeerNetworkTest.java
+++ b/tarragonarch-wire/src/test/java/org/tarragonarch/wire/PeerNetworkTest.java
@@ -60,7 +60,7 @@
         assertEquals(hobart.awaitReceived().frame(), answer);
     }
 
-    /** Guards against an answer to a killed node's question that reaches its next run and another caller. */
+    /** Guards against an answer for a killed node that reaches its next incarnation, and there another caller. */
     @Test
     public void testReply_peerRestarted() throws Exception {
         PeerNetwork to = start("devonport-1", 1, devonport);
@@ -93,7 +93,7 @@
         sendUntilReceived(from, address, restarted);
     }
 
-    /** Guards against frames exchanged with an earlier run of a replaced VM that wakes. */
+    /** Guards against frames exchanged with a replaced node whose frozen process resumes. */
     @Test
     public void testHello_earlierRunIsRefused() throws Exception {
         PeerNetwork network = start("hobart-1", 7, hobart);
@@ -125,7 +125,7 @@
         }
     }
 
-    /** Guards against a frame that reaches another node since its address was given away. */
+    /** Guards against a frame that reaches another node because the address of its receiver was reassigned. */
     @Test
     public void testSend_addressOfAnotherNode() throws Exception {
         PeerNetwork from = start("hobart-1", 7, hobart);
@@ -154,7 +154,7 @@
         assertEquals(hobart.awaitUndelivered(), tooLong);
     }
 
-    /** Guards against half a frame kept for good from a peer that froze while it sent. */
+    /** Guards against a partial frame kept for good after a peer froze while sending. */
     @Test
     public void testIdleTimeout_afterPartialFrame() throws Exception {
         PeerNetwork network = start("hobart-1", 7, hobart, QUICK);
@@ -165,7 +165,7 @@
         assertTrue(hobart.receivedNothing());
     }
 
-    /** A peer whose machine vanished closes nothing: the link must notice by its silence and connect anew. */
+    /** Guards against frames sent into the connection of a vanished machine, which is never closed by the other end. */
     @Test
     public void testIdleTimeout_silentPeerIsReconnected() throws Exception {
         PeerNetwork network = start("hobart-1", 7, hobart, QUICK);
@@ -254,11 +254,11 @@
         return network;
     }
 
-    /** The first sends may go down the connection to the run that is gone. */
+    /** Repeats a request, since the first ones may be lost on the connection to the earlier incarnation. */
     private static void sendUntilReceived(PeerNetwork from, Address address, RecordingListener to) throws Exception {
         long deadline = System.nanoTime() + Duration.ofSeconds(10).toNanos();
         while (to.receivedNothing()) {
-            assertTrue(System.nanoTime() < deadline, "the next run was not found");
+            assertTrue(System.nanoTime() < deadline, "the next incarnation received nothing");
             from.send(DEVONPORT, address, Samples.request(2));
             Thread.sleep(10);
         }
--- a/tarragonarch-wire/src/test/java/org/tarragonarch/wire/PeerReconnectTest.java
+++ b/tarragonarch-wire/src/test/java/org/tarragonarch/wire/PeerReconnectTest.java
@@ -14,7 +14,7 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** What happens to a frame of an earlier connection with a peer once the peer was given up or a later one is open. */
+/** Tests that frames of an earlier connection are not delivered after a disconnect or on a later connection. */
 public final class PeerReconnectTest {
     private static final NodeId DEVONPORT = NodeId.of("devonport-1");
     private static final NodeId NEVER_MET = NodeId.of("launceston-1");
@@ -47,7 +47,7 @@
         network.close();
     }
 
-    /** Guards against an offer that starts a job after its sender gave the peer up and offered the job elsewhere. */
+    /** Guards against an offer that starts a job after its sender offered the job elsewhere. */
     @Test
     public void testDisconnect_frameQueuedForHello() throws Exception {
         try (ServerSocket server = RawPeer.listen()) {
@@ -64,7 +64,7 @@
         }
     }
 
-    /** Guards against an offer that waits out the backoff and reaches a peer that its sender gave up before. */
+    /** Guards against an offer queued during the backoff that reaches a peer after its sender disconnected it. */
     @Test
     public void testDisconnect_frameQueuedForNextAttempt() throws Exception {
         try (ServerSocket server = RawPeer.listen()) {
@@ -82,7 +82,7 @@
         }
     }
 
-    /** Guards against an offer, delayed on a connection that its sender closed, that is taken after its withdrawal. */
+    /** Guards against an offer that is delayed on a closed connection and accepted after its withdrawal. */
     @Test
     public void testReceived_lateFrameOnEarlierConnection() throws Exception {
         JobWithdrawn withdrawn = new JobWithdrawn(OFFER.offer().job().id());
@@ -99,8 +99,8 @@
     }
 
     /**
-     * Gives the peer up and waits until the network's thread has done so: the marker is given back by the task after.
-     * What the disconnecting gives back may come before the marker or after it, and is put back for the test to take.
+     * Disconnects the peer and waits until the network's thread has done so: the next task of the thread returns the
+     * marker as undelivered. A frame that the disconnect returns before the marker is recorded again for the test.
      */
     private void disconnectAndAwait() throws Exception {
         network.disconnect(DEVONPORT, "the peer was lost");
@@ -112,7 +112,7 @@
         }
     }
 
-    /** Returns the first frame but hellos that comes by this connection or, if it is closed, by the next ones. */
+    /** Returns the first frame other than a hello on this connection or, if it is closed, on the next ones. */
     private static Frame firstFrame(ServerSocket server, RawPeer connected) throws Exception {
         Optional<Frame> next = connected.readUnlessClosed();
         while (next.isPresent() && next.get() instanceof Hello) {
--- a/tarragonarch-wire/src/test/java/org/tarragonarch/wire/PlacingSamples.java
+++ b/tarragonarch-wire/src/test/java/org/tarragonarch/wire/PlacingSamples.java
@@ -24,7 +24,7 @@
 import org.tarragonarch.model.task.TaskStep;
 import org.tarragonarch.model.task.Verdict;
 
-/** Frames of the hand-over of jobs, one of each kind and of each shape that matters. */
+/** Sample frames of placing: statuses, offers and verdicts, cancellation, and the lists of endpoints and nodes. */
 final class PlacingSamples {
     private static final FailureDomain SHARD = FailureDomain.of("hobart");
     private static final NodeId NODE = NodeId.of("front-hobart-1");
--- a/tarragonarch-wire/src/test/java/org/tarragonarch/wire/RawPeer.java
+++ b/tarragonarch-wire/src/test/java/org/tarragonarch/wire/RawPeer.java
@@ -14,9 +14,9 @@
 import java.util.Optional;
 import org.tarragonarch.model.id.Address;
 
-/** The other end of a connection as a bare socket, which may break every rule. */
+/** The other end of a connection as a plain socket, which can violate the protocol. */
 final class RawPeer implements AutoCloseable {
-    private static final int BOUND_MILLIS = 10_000;
+    private static final int TIMEOUT_MILLIS = 10_000;
 
     private final Socket socket;
     private final DataInputStream in;
@@ -24,7 +24,7 @@
 
     private RawPeer(Socket socket) throws IOException {
         this.socket = socket;
-        socket.setSoTimeout(BOUND_MILLIS);
+        socket.setSoTimeout(TIMEOUT_MILLIS);
         in = new DataInputStream(socket.getInputStream());
         out = new DataOutputStream(socket.getOutputStream());
     }
@@ -34,7 +34,7 @@
     }
 
     static RawPeer accept(ServerSocket server) throws IOException {
-        server.setSoTimeout(BOUND_MILLIS);
+        server.setSoTimeout(TIMEOUT_MILLIS);
         return new RawPeer(server.accept());
     }
 
@@ -47,18 +47,18 @@
     }
 
     /**
-     * Says frames one after the other, in one write: the other end may close the connection at the first of them, and a
-     * write after that fails.
+     * Sends frames in a single write, since the other end may close the connection at the first of them and a later
+     * write would fail.
      */
     RawPeer send(Frame... frames) throws IOException {
-        ByteArrayOutputStream together = new ByteArrayOutputStream();
-        DataOutputStream frameWriter = new DataOutputStream(together);
+        ByteArrayOutputStream buffer = new ByteArrayOutputStream();
+        DataOutputStream frameWriter = new DataOutputStream(buffer);
         for (Frame frame : frames) {
             byte[] bytes = FrameCodec.encode(frame);
             frameWriter.writeInt(bytes.length);
             frameWriter.write(bytes);
         }
-        out.write(together.toByteArray());
+        out.write(buffer.toByteArray());
         return this;
     }
 
@@ -68,7 +68,7 @@
         return this;
     }
 
-    /** Closes this end for writing, as the system does behind the last bytes of a closed connection. */
+    /** Closes this end for writing, so that the other end reads the end of the stream after the last bytes. */
     RawPeer shutdownOutput() throws IOException {
         socket.shutdownOutput();
         return this;
@@ -80,14 +80,14 @@
         return FrameCodec.decode("raw", Optional.of(Samples.HOBART), bytes);
     }
 
-    /** Waits until the other end closes the connection; returns how many hellos came, and fails on any other frame. */
+    /** Waits until the other end closes the connection; returns the number of hellos, and fails on any other frame. */
     int hellosBeforeClose() throws Exception {
         int hellos = 0;
-        long deadline = System.nanoTime() + Duration.ofMillis(BOUND_MILLIS).toNanos();
+        long deadline = System.nanoTime() + Duration.ofMillis(TIMEOUT_MILLIS).toNanos();
         Optional<Frame> next = readUnlessClosed();
         while (next.isPresent()) {
             assertTrue(next.get() instanceof Hello, "received " + next.get());
-            assertTrue(System.nanoTime() < deadline, "not closed");
+            assertTrue(System.nanoTime() < deadline, "connection not closed in time");
             hellos++;
             next = readUnlessClosed();
         }
@@ -99,7 +99,7 @@
         socket.close();
     }
 
-    /** Returns the next frame, or nothing if the other end has closed the connection. */
+    /** Returns the next frame; empty if the other end has closed the connection. */
     Optional<Frame> readUnlessClosed() throws Exception {
         try {
             return Optional.of(read());
--- a/tarragonarch-wire/src/test/java/org/tarragonarch/wire/RecordingListener.java
+++ b/tarragonarch-wire/src/test/java/org/tarragonarch/wire/RecordingListener.java
@@ -8,14 +8,14 @@
 import org.tarragonarch.model.id.Incarnation;
 import org.tarragonarch.model.id.NodeId;
 
-/** Keeps what came from peers and what was given back. */
+/** Records received and undelivered frames. */
 final class RecordingListener implements PeerListener {
-    private static final int BOUND_SECONDS = 10;
+    private static final int TIMEOUT_SECONDS = 10;
 
     private final BlockingQueue<Received> received = new LinkedBlockingQueue<>();
     private final BlockingQueue<Frame> undelivered = new LinkedBlockingQueue<>();
 
-    /** One frame with its sender. */
+    /** A received frame with its sender. */
     record Received(NodeId peer, Incarnation run, Frame frame) {}
 
     @Override
@@ -29,14 +29,14 @@
     }
 
     Received awaitReceived() throws InterruptedException {
-        Received next = received.poll(BOUND_SECONDS, TimeUnit.SECONDS);
-        assertNotNull(next, "nothing received");
+        Received next = received.poll(TIMEOUT_SECONDS, TimeUnit.SECONDS);
+        assertNotNull(next, "no frame received");
         return next;
     }
 
     Frame awaitUndelivered() throws InterruptedException {
-        Frame next = undelivered.poll(BOUND_SECONDS, TimeUnit.SECONDS);
-        assertNotNull(next, "nothing given back");
+        Frame next = undelivered.poll(TIMEOUT_SECONDS, TimeUnit.SECONDS);
+        assertNotNull(next, "no frame returned as undelivered");
         return next;
     }
 
--- a/tarragonarch-wire/src/test/java/org/tarragonarch/wire/ReportCostMeasurement.java
+++ b/tarragonarch-wire/src/test/java/org/tarragonarch/wire/ReportCostMeasurement.java
@@ -27,14 +27,14 @@
 import org.testng.annotations.Test;
 
 /**
- * Measures what reports cost: bytes and processor time, by endpoints and peers.
+ * Measures the bytes and the processor time of reports by the number of endpoints and peers.
  *
- * <p>Not part of the tests. Run it by {@code mvn -pl tarragonarch-wire -am test -Dtest=ReportCostMeasurement
+ * <p>Not part of the tests. Run it with {@code mvn -pl tarragonarch-wire -am test -Dtest=ReportCostMeasurement
  * -Dsurefire.failIfNoSpecifiedTests=false}.
  */
 public final class ReportCostMeasurement {
     private static final Address ADDRESS = new Address("127.0.0.1", 8301);
-    private static final int HEADERS = 52;
+    private static final int HEADER_BYTES = 52;
     private static final int SECONDS = 600;
     private static final int STEP_MILLIS = 50;
 
@@ -60,7 +60,7 @@
         }
     }
 
-    /** Nineteen domains of seven nodes, idle: what each node of one domain sends within and between domains. */
+    /** Measures what each node of one domain sends, within and between 19 idle domains of seven nodes each. */
     @Test
     public void measureLinksBetweenDomains() {
         ImmutableList.Builder<VmRecord> vms = ImmutableList.builder();
@@ -87,7 +87,7 @@
                         totals[0]++;
                         totals[1] += FrameCodec.encode(new ReportFrame(send.report())).length
                                 + FrameCodec.LENGTH_BYTES
-                                + HEADERS;
+                                + HEADER_BYTES;
                     }
                 });
             }
@@ -104,7 +104,7 @@
         return new VmRecord(name, VmRole.ENTRY, domain, ADDRESS, VmState.LIVE, ImmutableSet.of(), 0);
     }
 
-    /** The whole way through sockets: 500 reports a second, paced, both ends in this process. */
+    /** Measures the processor time of both ends of a socket in this process at 500 evenly spaced reports a second. */
     @Test
     public void measureSockets() throws Exception {
         RecordingListener received = new RecordingListener();
@@ -171,7 +171,7 @@
                     endpoints,
                     (double) totals[0] / SECONDS,
                     (double) totals[1] / SECONDS,
-                    (double) (totals[1] + HEADERS * totals[0]) / SECONDS,
+                    (double) (totals[1] + HEADER_BYTES * totals[0]) / SECONDS,
                     (double) totals[1] / totals[0],
                     sendCpu / 1_000.0 / totals[0],
                     receiveCpu / 1_000.0 / toFirst.size(),
--- a/tarragonarch-wire/src/test/java/org/tarragonarch/wire/Samples.java
+++ b/tarragonarch-wire/src/test/java/org/tarragonarch/wire/Samples.java
@@ -23,7 +23,7 @@
 import org.tarragonarch.model.report.NodePhase;
 import org.tarragonarch.model.report.PeerReport;
 
-/** Frames to test with. */
+/** Sample frames and their parts. */
 final class Samples {
     static final Hello HOBART = hello("hobart-1", 7);
 
@@ -61,7 +61,7 @@
         return Payload.of(text.getBytes(StandardCharsets.UTF_8));
     }
 
-    /** Returns one frame of every kind and shape. */
+    /** Returns sample frames of the hello, report, answer and configuration types, in each form. */
     static ImmutableList<Frame> allFrames() {
         PeerReport report = new PeerReport(
                 HOBART.node(),
