--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/configuration/ConfigurationReplica.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/configuration/ConfigurationReplica.java
@@ -53,7 +53,7 @@
     public void rowRead(Optional<ConfigurationRow> read, long nowNanos, ActionSink sink) {
         row.readSucceeded(read);
         ConfigurationVersion version = read.map(ConfigurationRow::version).orElse(ConfigurationVersion.NONE);
-        if (version().newerThan(version)) {
+        if (version().isNewerThan(version)) {
             refuse(version, "store", sink);
         }
         advance(nowNanos, sink);
@@ -67,11 +67,11 @@
 
     /** Processes the version that a peer has in force. */
     public void peerVersionReported(NodeId peer, ConfigurationVersion version, long nowNanos, ActionSink sink) {
-        if (!version.newerThan(version())) {
+        if (!version.isNewerThan(version())) {
             peers.remove(peer);
             return;
         }
-        if (version.newerThan(peers.highestVersion()) && version.newerThan(row.highestVersion())) {
+        if (version.isNewerThan(peers.highestVersion()) && version.isNewerThan(row.highestVersion())) {
             newVersionNanos = nowNanos;
         }
         peers.update(peer, version);
@@ -82,11 +82,11 @@
     public boolean loaded(ConfigurationLoaded event, long nowNanos, ActionSink sink) {
         ServiceCatalog catalog = event.catalog();
         Optional<LoadAttempt> completed =
-                attempt.filter(current -> !current.version().newerThan(catalog.version()));
+                attempt.filter(current -> !current.version().isNewerThan(catalog.version()));
         if (completed.isPresent()) {
             attempt = Optional.empty();
         }
-        boolean adopted = catalog.version().newerThan(version()) && !contradictsRow(catalog);
+        boolean adopted = catalog.version().isNewerThan(version()) && !contradictsRow(catalog);
         if (adopted) {
             adopt(event, completed, sink);
         } else if (!isSameAsInForce(catalog)) {
@@ -149,9 +149,9 @@
         }
         if (attempt.isPresent()) {
             retryNanos = attempt.get().timeoutNanos();
-        } else if (peers.highestVersion().newerThan(row.highestVersion())) {
+        } else if (peers.highestVersion().isNewerThan(row.highestVersion())) {
             advanceToPeerVersion(nowNanos, sink);
-        } else if (row.highestVersion().newerThan(version()) && !loadFromStore(nowNanos, sink)) {
+        } else if (row.highestVersion().isNewerThan(version()) && !loadFromStore(nowNanos, sink)) {
             loadFromPeer(nowNanos, sink);
         }
     }
@@ -168,7 +168,7 @@
         }
         if (row.shouldAwaitRead(nowNanos)) {
             retryNanos = row.readTimeoutNanos();
-        } else if (!loadFromPeer(nowNanos, sink) && row.highestVersion().newerThan(version())) {
+        } else if (!loadFromPeer(nowNanos, sink) && row.highestVersion().isNewerThan(version())) {
             loadFromStore(nowNanos, sink);
         }
     }
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/configuration/PeerSources.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/configuration/PeerSources.java
@@ -30,7 +30,7 @@
     }
 
     void retainNewerThan(ConfigurationVersion version) {
-        known.values().removeIf(peer -> !peer.version().newerThan(version));
+        known.values().removeIf(peer -> !peer.version().isNewerThan(version));
     }
 
     /** Returns the highest version of all peers; {@link ConfigurationVersion#NONE} if there is no peer. */
@@ -46,7 +46,7 @@
         Optional<VersionedSource> best = Optional.empty();
         for (VersionedSource peer : known.values()) {
             boolean better =
-                    best.isEmpty() || peer.version().newerThan(best.get().version());
+                    best.isEmpty() || peer.version().isNewerThan(best.get().version());
             if (better && peer.source().isUsable(nowNanos)) {
                 best = Optional.of(peer);
             }
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/follow/TableFollower.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/follow/TableFollower.java
@@ -94,7 +94,7 @@
         if (dueInMillis <= 0) {
             follow();
         } else {
-            nextCall = Optional.of(timers.after(dueInMillis, this::follow));
+            nextCall = Optional.of(timers.schedule(dueInMillis, this::follow));
         }
     }
 
@@ -156,7 +156,7 @@
             handOver.run();
         } catch (RuntimeException e) {
             listener.rowsUnusable(e);
-            timers.after(LONGEST_PAUSE_MILLIS, this::readAll);
+            timers.schedule(LONGEST_PAUSE_MILLIS, this::readAll);
             return;
         }
         version = newVersion;
@@ -183,7 +183,7 @@
             unreachableSinceMillis = now;
             listener.storeLost(call);
         }
-        timers.after(Math.max(0, pauseMillis - call.tookMillis()), () -> {
+        timers.schedule(Math.max(0, pauseMillis - call.tookMillis()), () -> {
             if (version < 0) {
                 readAll();
             } else {
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/placement/SendPace.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/placement/SendPace.java
@@ -30,7 +30,7 @@
     }
 
     void started(ServiceObjective objective) {
-        double tolerated = objective.refusedPartOfRiskySends();
+        double tolerated = objective.maxRefusedFractionOfRiskySends();
         gapNanos = Math.max(MIN_GAP_NANOS, gapNanos * Math.pow(GROWTH, -tolerated / (1 - tolerated)));
     }
 
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/placing/WaitingOffer.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/placing/WaitingOffer.java
@@ -11,6 +11,6 @@
 record WaitingOffer(Offer offer, long sinceMillis) {
     /** Returns the offer as if it arrived now: its age and remaining times adjusted by the wait. */
     Offer asOf(long nowMillis) {
-        return offer.later(nowMillis - sinceMillis);
+        return offer.afterWait(nowMillis - sinceMillis);
     }
 }
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/routing/JobPlacement.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/routing/JobPlacement.java
@@ -102,7 +102,7 @@
         ImmutableSet<FailureDomain> shards =
                 job.holder().map(holders::shardsWithPossibleRuns).orElse(ImmutableSet.of());
         job.markHolderLost(shards, timers.nowMillis());
-        timers.after(maxRunMillisAfterLoss, () -> placeIfWithoutHolder(job));
+        timers.schedule(maxRunMillisAfterLoss, () -> placeIfWithoutHolder(job));
         place(job);
     }
 
@@ -123,7 +123,7 @@
 
     /** Places a job, and refuses it if it has no holder after {@link #HOLDER_WAIT_MILLIS}. */
     void placeOrRefuse(OpenJob job) {
-        timers.after(HOLDER_WAIT_MILLIS, () -> refuseIfWithoutHolder(job));
+        timers.schedule(HOLDER_WAIT_MILLIS, () -> refuseIfWithoutHolder(job));
         place(job);
     }
 }
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/routing/JobRouter.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/routing/JobRouter.java
@@ -192,7 +192,7 @@
         OpenJob job = new OpenJob(request, queue, now, now + deadlineMillis);
         job.addClient(client);
         jobs.add(job);
-        timers.after(Math.max(0, deadlineMillis - ANSWER_TRANSIT_MILLIS), () -> giveUp(job));
+        timers.schedule(Math.max(0, deadlineMillis - ANSWER_TRANSIT_MILLIS), () -> giveUp(job));
         placement.placeOrRefuse(job);
         return job;
     }
--- a/tarragonarch-core/src/test/java/org/tarragonarch/core/follow/FailingStore.java
+++ b/tarragonarch-core/src/test/java/org/tarragonarch/core/follow/FailingStore.java
@@ -84,15 +84,15 @@
     }
 
     private void process(Call call, long waitMillis) {
-        timers.after(waitMillis + CALLER_PATIENCE_MILLIS, () -> call.end(Reply.of(StoreResult.UNKNOWN)));
+        timers.schedule(waitMillis + CALLER_PATIENCE_MILLIS, () -> call.end(Reply.of(StoreResult.UNKNOWN)));
         switch (failure) {
             case NONE -> {
                 waiting.add(call);
-                timers.after(ANSWER_MILLIS / 2, () -> answerIfChanged(call));
-                timers.after(waitMillis + ANSWER_MILLIS / 2, () -> answer(call));
+                timers.schedule(ANSWER_MILLIS / 2, () -> answerIfChanged(call));
+                timers.schedule(waitMillis + ANSWER_MILLIS / 2, () -> answer(call));
             }
-            case TURNED_AWAY -> timers.after(ANSWER_MILLIS, () -> call.end(Reply.of(StoreResult.TURNED_AWAY)));
-            case RESET -> timers.after(ANSWER_MILLIS, () -> call.end(Reply.of(StoreResult.UNKNOWN)));
+            case TURNED_AWAY -> timers.schedule(ANSWER_MILLIS, () -> call.end(Reply.of(StoreResult.TURNED_AWAY)));
+            case RESET -> timers.schedule(ANSWER_MILLIS, () -> call.end(Reply.of(StoreResult.UNKNOWN)));
             default -> {
                 // The call is never answered.
             }
@@ -116,7 +116,7 @@
             }
         }
         Reply reply = new Reply(StoreResult.DONE, Optional.of(new RowPage(changed.build(), version)));
-        timers.after(ANSWER_MILLIS / 2, () -> call.end(reply));
+        timers.schedule(ANSWER_MILLIS / 2, () -> call.end(reply));
     }
 
     /** A call, whose caller gets one reply at most. */
--- a/tarragonarch-core/src/test/java/org/tarragonarch/core/placing/ShareLoad.java
+++ b/tarragonarch-core/src/test/java/org/tarragonarch/core/placing/ShareLoad.java
@@ -58,7 +58,7 @@
      */
     void send(Kind kind, long fromMillis, long toMillis) {
         for (long at = fromMillis; at < toMillis; at += kind.intervalMillis()) {
-            fixture.timers.after(at, () -> offer(kind));
+            fixture.timers.schedule(at, () -> offer(kind));
         }
     }
 
--- a/tarragonarch-core/src/test/java/org/tarragonarch/core/shard/ListReadingNode.java
+++ b/tarragonarch-core/src/test/java/org/tarragonarch/core/shard/ListReadingNode.java
@@ -67,7 +67,7 @@
 
     /** Reads the list after this time, and every 0.9 s from then on. */
     void readListAfter(long millis) {
-        timers.after(millis, this::readList);
+        timers.schedule(millis, this::readList);
     }
 
     private void readList() {
--- a/tarragonarch-entry/src/main/java/org/tarragonarch/entry/cluster/ArchiveWarmUp.java
+++ b/tarragonarch-entry/src/main/java/org/tarragonarch/entry/cluster/ArchiveWarmUp.java
@@ -48,7 +48,7 @@
         ClusterSettings second = start("warm-up-2", platform, ports.subList(1 + PORTS_A_NODE, 1 + 2 * PORTS_A_NODE));
         Thread.sleep(SETTLE_MILLIS);
         for (int job = 0; job < JOBS; job++) {
-            ask((job % 2 == 0 ? first : second).clientAddress(), WarmUpPlatform.submission(HOST, PREFIX, job));
+            ask((job % 2 == 0 ? first : second).clientAddress(), WarmUpPlatform.jobRequest(HOST, PREFIX, job));
         }
         ask(first.clientAddress(), question(PREFIX));
         ask(first.readinessAddress(), question("/readyz"));
@@ -100,11 +100,11 @@
 
     private static String settings(String name, Address platform, List<Integer> ports) {
         return """
-                { "node": "%s", "failure-domain": "a", "failure-domains": { "a": "b" }, "ip": "127.0.0.1",
-                  "peer-port": %d, "metrics-port": %d, "client-address": "127.0.0.1:%d",
-                  "readiness-address": "127.0.0.1:%d", "store-address": "%s",
-                  "processor-share": 1.0, "processor-speed": 1,
-                  "lease-millis": 1000, "stop-millis": 50, "shutdown-seconds": 6 }
-                """.formatted(name, ports.get(0), ports.get(1), ports.get(2), ports.get(3), platform);
+            { "node": "%s", "failure-domain": "a", "failure-domains": { "a": "b" }, "ip": "127.0.0.1",
+              "peer-port": %d, "metrics-port": %d, "client-address": "127.0.0.1:%d",
+              "readiness-address": "127.0.0.1:%d", "store-address": "%s",
+              "processor-share": 1.0, "processor-speed": 1,
+              "lease-millis": 1000, "stop-millis": 50, "shutdown-seconds": 6 }
+            """.formatted(name, ports.get(0), ports.get(1), ports.get(2), ports.get(3), platform);
     }
 }
--- a/tarragonarch-wire/src/main/java/org/tarragonarch/wire/PeerConnection.java
+++ b/tarragonarch-wire/src/main/java/org/tarragonarch/wire/PeerConnection.java
@@ -14,31 +14,31 @@
 import org.tarragonarch.model.id.NodeId;
 
 /**
- * One end of one connection: says hello, checks the other's hello, then passes frames both ways.
+ * One end of a connection: sends a hello, checks the hello of the other end, then passes frames both ways.
  *
- * <p>Whatever is wrong with what the other end sends closes this connection, with one line in the log, and nothing
- * else. An end that has nothing to say repeats its hello, so that a peer that is frozen, or whose machine vanished
- * without closing anything, shows by sending nothing at all and is closed.
+ * <p>Any error in what the other end sends closes this connection only and is logged in one line. An idle end repeats
+ * its hello, so that a connection to a peer that is frozen, or whose machine vanished without closing it, is recognised
+ * by its silence and closed.
  */
 final class PeerConnection extends SimpleChannelInboundHandler<ByteBuf> {
     private static final FluentLogger LOGGER = FluentLogger.forEnclosingClass();
 
     private final Hello own;
-    private final Optional<NodeId> expected;
+    private final Optional<NodeId> expectedPeer;
     private final PeerRegistry registry;
     private final PeerListener listener;
     private final ConnectionOwner owner;
     private final FrameQueue queue;
     private ChannelHandlerContext context;
-    private Optional<Hello> hello = Optional.empty();
+    private Optional<Hello> peerHello = Optional.empty();
     private boolean hasReceived;
 
     /**
-     * Creates the end of a connection.
+     * Creates one end of a connection.
      *
-     * @param own what this end says of itself
-     * @param expected the node that was called; empty for an incoming connection
-     * @param owner learns when the connection opens and closes
+     * @param own the hello of this node
+     * @param expectedPeer the node that this node connected to; empty for an incoming connection
+     * @param owner is notified when the connection opens and closes
      */
     PeerConnection(
             Hello own,
@@ -48,47 +48,47 @@
             ConnectionOwner owner,
             FrameQueue queue) {
         this.own = own;
-        this.expected = expected;
+        this.expectedPeer = expected;
         this.registry = registry;
         this.listener = listener;
         this.owner = owner;
         this.queue = queue;
     }
 
-    Optional<NodeId> expected() {
-        return expected;
+    Optional<NodeId> expectedPeer() {
+        return expectedPeer;
     }
 
-    /** Returns whether the other end has opened the connection. */
+    /** Returns whether the other end opened the connection. */
     boolean isIncoming() {
-        return expected.isEmpty();
+        return expectedPeer.isEmpty();
     }
 
-    Optional<Hello> hello() {
-        return hello;
+    Optional<Hello> peerHello() {
+        return peerHello;
     }
 
-    boolean isOf(Incarnation run) {
-        return hello.filter(known -> known.incarnation().equals(run)).isPresent();
+    boolean belongsTo(Incarnation run) {
+        return peerHello.filter(known -> known.incarnation().equals(run)).isPresent();
     }
 
-    /** Returns whether a frame may still be sent; false from the moment of closing on. */
+    /** Returns whether frames may be sent; false once closing has begun. */
     boolean isOpen() {
         return context.channel().isOpen();
     }
 
-    /** Sends a frame as soon as the other end takes it; the connection must be open. */
+    /** Queues a frame and writes it as soon as the channel is writable; the connection must be open. */
     void send(EncodedFrame frame) {
-        queue.offer(frame).forEach(this::giveBack);
+        queue.offer(frame).forEach(this::returnUndelivered);
         flush();
     }
 
-    /** Closes the connection and says why in the log. */
+    /** Closes the connection and logs the reason. */
     void close(String reason) {
         if (context.channel().isOpen()) {
             LOGGER.atWarning().log(
                     "peer-connection-closed step=peer peer=%s remote=%s reason=\"%s\"",
-                    name(), context.channel().remoteAddress(), reason);
+                    peerName(), context.channel().remoteAddress(), reason);
         }
         context.close();
     }
@@ -100,7 +100,7 @@
 
     @Override
     public void channelActive(ChannelHandlerContext active) {
-        sayHello();
+        sendHello();
     }
 
     @Override
@@ -109,7 +109,7 @@
             return;
         }
         try {
-            take(FrameCodec.decode(name(), hello, ByteBufUtil.getBytes(message)));
+            handle(FrameCodec.decode(peerName(), peerHello, ByteBufUtil.getBytes(message)));
         } catch (MalformedFrameException e) {
             close(e.getMessage());
         }
@@ -125,18 +125,18 @@
         if (event instanceof IdleStateEvent state && state.state() == IdleState.READER_IDLE) {
             close("silent");
         } else if (event instanceof IdleStateEvent) {
-            sayHello();
+            sendHello();
         }
     }
 
     @Override
     public void channelInactive(ChannelHandlerContext inactive) {
-        boolean last = registry.closed(this);
-        queue.drain().forEach(this::giveBack);
+        boolean last = registry.remove(this);
+        queue.drain().forEach(this::returnUndelivered);
         owner.closed(this);
         if (last) {
-            Hello said = hello.orElseThrow();
-            listener.disconnected(said.node(), said.incarnation());
+            Hello closed = peerHello.orElseThrow();
+            listener.disconnected(closed.node(), closed.incarnation());
         }
     }
 
@@ -146,37 +146,37 @@
         close(kind + cause.getMessage());
     }
 
-    private void take(Frame frame) throws MalformedFrameException {
-        if (frame instanceof Hello said) {
-            takeHello(said);
-        } else if (hello.isEmpty()) {
-            throw new MalformedFrameException(name(), "a frame before the hello");
+    private void handle(Frame frame) throws MalformedFrameException {
+        if (frame instanceof Hello received) {
+            handleHello(received);
+        } else if (peerHello.isEmpty()) {
+            throw new MalformedFrameException(peerName(), "frame received before the hello");
         } else {
             if (isIncoming() && !hasReceived) {
                 hasReceived = true;
                 registry.closeEarlierIncoming(this);
             }
-            listener.received(hello.get().node(), hello.get().incarnation(), frame);
+            listener.received(peerHello.get().node(), peerHello.get().incarnation(), frame);
         }
     }
 
-    private void takeHello(Hello said) throws MalformedFrameException {
-        if (hello.isPresent()) {
-            if (!hello.get().equals(said)) {
-                throw new MalformedFrameException(name(), "a hello of another node or run: " + said);
+    private void handleHello(Hello received) throws MalformedFrameException {
+        if (peerHello.isPresent()) {
+            if (!peerHello.get().equals(received)) {
+                throw new MalformedFrameException(peerName(), "hello of another node or incarnation: " + received);
             }
             return;
         }
-        Optional<String> refusal = registry.admit(this, said);
+        Optional<String> refusal = registry.admit(this, received);
         if (refusal.isPresent()) {
             close("the other end " + refusal.get());
             return;
         }
-        hello = Optional.of(said);
+        peerHello = Optional.of(received);
         owner.opened(this);
     }
 
-    private void sayHello() {
+    private void sendHello() {
         context.writeAndFlush(Unpooled.wrappedBuffer(FrameCodec.encode(own)));
     }
 
@@ -191,13 +191,17 @@
         }
     }
 
-    private void giveBack(EncodedFrame frame) {
-        if (!frame.expendable() && hello.isPresent()) {
-            listener.undelivered(hello.get().node(), frame.frame());
+    private void returnUndelivered(EncodedFrame frame) {
+        if (!frame.isDroppable() && peerHello.isPresent()) {
+            listener.undelivered(peerHello.get().node(), frame.frame());
         }
     }
 
-    private String name() {
-        return hello.map(Hello::node).or(() -> expected).map(NodeId::value).orElse("unknown");
+    private String peerName() {
+        return peerHello
+                .map(Hello::node)
+                .or(() -> expectedPeer)
+                .map(NodeId::value)
+                .orElse("unknown");
     }
 }
--- a/tarragonarch-wire/src/test/java/org/tarragonarch/wire/PlacingSamples.java
+++ b/tarragonarch-wire/src/test/java/org/tarragonarch/wire/PlacingSamples.java
@@ -24,7 +24,7 @@
 import org.tarragonarch.model.task.TaskStep;
 import org.tarragonarch.model.task.Verdict;
 
-/** Frames of the hand-over of jobs, one of each kind and of each shape that matters. */
+/** Sample frames of placing: statuses, offers and verdicts, cancellation, and the lists of endpoints and nodes. */
 final class PlacingSamples {
     private static final FailureDomain SHARD = FailureDomain.of("hobart");
     private static final NodeId NODE = NodeId.of("front-hobart-1");
@@ -33,7 +33,7 @@
 
     private PlacingSamples() {}
 
-    static ImmutableList<Frame> every() {
+    static ImmutableList<Frame> allFrames() {
         ShareUse use = new ShareUse(2, 96_000);
         HeldShard held = new HeldShard(SHARD, new FencingToken((1L << 53) + 1), 176_000, ImmutableList.of(use));
         DrainedDomains drained = new DrainedDomains((1L << 40) + 7, ImmutableSet.of(SHARD));
