--- a/tarragonarch-ctl/src/main/java/org/tarragonarch/ctl/change/StoreGateway.java
+++ b/tarragonarch-ctl/src/main/java/org/tarragonarch/ctl/change/StoreGateway.java
@@ -38,7 +38,7 @@
 
     @Override
     public ConfigurationView newest() throws PlatformException {
-        Optional<ConfigurationRow> row = store.row();
+        Optional<ConfigurationRow> row = store.readRow();
         return row.isEmpty()
                 ? ConfigurationView.NONE
                 : new ConfigurationView(
--- a/tarragonarch-ctl/src/test/java/org/tarragonarch/ctl/change/StoreGatewayTest.java
+++ b/tarragonarch-ctl/src/test/java/org/tarragonarch/ctl/change/StoreGatewayTest.java
@@ -87,7 +87,7 @@
         private PlatformException failure;
 
         @Override
-        public Optional<ConfigurationRow> row() {
+        public Optional<ConfigurationRow> readRow() {
             return records.isEmpty() ? Optional.empty() : Optional.of(newestRow());
         }
 
--- a/tarragonarch-entry/src/main/java/org/tarragonarch/entry/cluster/ArchiveWarmUp.java
+++ b/tarragonarch-entry/src/main/java/org/tarragonarch/entry/cluster/ArchiveWarmUp.java
@@ -48,7 +48,7 @@
         ClusterSettings second = start("warm-up-2", platform, ports.subList(1 + PORTS_A_NODE, 1 + 2 * PORTS_A_NODE));
         Thread.sleep(SETTLE_MILLIS);
         for (int job = 0; job < JOBS; job++) {
-            ask((job % 2 == 0 ? first : second).clientAddress(), WarmUpPlatform.submission(HOST, PREFIX, job));
+            ask((job % 2 == 0 ? first : second).clientAddress(), WarmUpPlatform.jobRequest(HOST, PREFIX, job));
         }
         ask(first.clientAddress(), question(PREFIX));
         ask(first.readinessAddress(), question("/readyz"));
--- a/tarragonarch-entry/src/main/java/org/tarragonarch/entry/cluster/ClusterNode.java
+++ b/tarragonarch-entry/src/main/java/org/tarragonarch/entry/cluster/ClusterNode.java
@@ -7,8 +7,8 @@
 import io.netty.channel.nio.NioEventLoopGroup;
 import io.netty.util.concurrent.DefaultThreadFactory;
 import java.util.concurrent.TimeUnit;
-import org.tarragonarch.adapter.ClientServer;
 import org.tarragonarch.adapter.EndpointClient;
+import org.tarragonarch.adapter.HttpListeners;
 import org.tarragonarch.adapter.StoreClient;
 import org.tarragonarch.core.cluster.Coordinator;
 import org.tarragonarch.core.follow.FollowPace;
@@ -111,10 +111,10 @@
                 meters,
                 this::ready,
                 () -> leaving);
-        ClientServer.openForReadiness(group, settings.readinessAddress(), jobs);
-        ClientServer.openForClients(group, settings.clientAddress(), jobs);
+        HttpListeners.openForReadiness(group, settings.readinessAddress(), jobs);
+        HttpListeners.openForClients(group, settings.clientAddress(), jobs);
         Address pages = new Address(settings.ip(), settings.metricsPort());
-        ClientServer.openForPages(group, pages, ImmutableMap.of("/metrics", meters::scrape));
+        HttpListeners.openForPages(group, pages, ImmutableMap.of("/metrics", meters::scrape));
         loop.execute(this::begin);
         log.line(NodeEvent.NODE_STARTED, "domain", settings.domain(), "run", run);
     }
--- a/tarragonarch-entry/src/main/java/org/tarragonarch/entry/platform/PlatformShell.java
+++ b/tarragonarch-entry/src/main/java/org/tarragonarch/entry/platform/PlatformShell.java
@@ -144,7 +144,7 @@
         call(
                 readLane,
                 "read-configuration-row",
-                configurations::row,
+                configurations::readRow,
                 ConfigurationRowRead::new,
                 failure -> new PlatformFailed(PlatformPart.CONFIGURATION_ROW, failure.getMessage()));
     }
--- a/tarragonarch-entry/src/test/java/org/tarragonarch/entry/admin/AdminApiTest.java
+++ b/tarragonarch-entry/src/test/java/org/tarragonarch/entry/admin/AdminApiTest.java
@@ -175,7 +175,7 @@
             assertEquals(
                     send("POST", "/admin/configuration" + query, CHANGER, "{}").statusCode(), 400);
         }
-        assertTrue(store.row().isEmpty());
+        assertTrue(store.readRow().isEmpty());
     }
 
     @Test
--- a/tarragonarch-entry/src/test/java/org/tarragonarch/entry/admin/FakeConfigurationStore.java
+++ b/tarragonarch-entry/src/test/java/org/tarragonarch/entry/admin/FakeConfigurationStore.java
@@ -24,7 +24,7 @@
     }
 
     @Override
-    public synchronized Optional<ConfigurationRow> row() throws PlatformException {
+    public synchronized Optional<ConfigurationRow> readRow() throws PlatformException {
         check();
         return records.isEmpty() ? Optional.empty() : Optional.of(row(records.get(records.size() - 1)));
     }
@@ -38,7 +38,7 @@
     @Override
     public synchronized ConfigurationRow accept(AuditRecord record, byte[] canonical)
             throws ConfigurationConflictException, PlatformException {
-        Optional<ConfigurationRow> now = row();
+        Optional<ConfigurationRow> now = readRow();
         if (now.isPresent() && !now.get().version().equals(record.from())) {
             throw new ConfigurationConflictException(now.get());
         }
--- a/tarragonarch-entry/src/test/java/org/tarragonarch/entry/cluster/WholePathTest.java
+++ b/tarragonarch-entry/src/test/java/org/tarragonarch/entry/cluster/WholePathTest.java
@@ -88,12 +88,12 @@
         ClusterSettings node = startNode("n1");
         awaitReady(node);
         awaitStatus(node, "b", 404);
-        store.silent(true);
+        store.setUnresponsive(true);
         awaitStatus(node, "b", 503);
         assertEquals(status(post(node, "a", 2)), 200);
         store.configure(QUEUES.formatted(9, "b"));
         assertEquals(status(post(node, "b", 3)), 503);
-        store.silent(false);
+        store.setUnresponsive(false);
         awaitStatus(node, "b", 200);
         awaitStatus(node, "a", 404);
     }
@@ -107,7 +107,7 @@
         ClusterSettings second = startNode("n2");
         awaitReady(second);
         awaitStatus(second, "a", 200);
-        store.away(true);
+        store.setUnavailable(true);
         nodes.remove(0).abort();
         awaitStatus(second, "a", 200);
     }
@@ -177,7 +177,7 @@
     }
 
     private int starts() {
-        return endpoints.stream().mapToInt(StandInEndpoint::starts).sum();
+        return endpoints.stream().mapToInt(StandInEndpoint::startCount).sum();
     }
 
     private void awaitReady(ClusterSettings node) throws Exception {
--- a/tarragonarch-platform/src/main/java/org/tarragonarch/platform/CompressedText.java
+++ b/tarragonarch-platform/src/main/java/org/tarragonarch/platform/CompressedText.java
@@ -19,7 +19,7 @@
 
     private CompressedText() {}
 
-    static byte[] pack(byte[] text) {
+    static byte[] compress(byte[] text) {
         ByteArrayOutputStream packed = new ByteArrayOutputStream();
         try (GZIPOutputStream gzip = new GZIPOutputStream(packed)) {
             gzip.write(text);
@@ -34,7 +34,7 @@
      *
      * @throws IOException if the bytes are not a packed text, or one that is too long
      */
-    static byte[] unpack(byte[] packed) throws IOException {
+    static byte[] decompress(byte[] packed) throws IOException {
         try (GZIPInputStream gzip = new GZIPInputStream(new ByteArrayInputStream(packed))) {
             byte[] text = gzip.readNBytes(MOST_BYTES + 1);
             if (text.length > MOST_BYTES) {
--- a/tarragonarch-platform/src/main/java/org/tarragonarch/platform/ConfigurationStore.java
+++ b/tarragonarch-platform/src/main/java/org/tarragonarch/platform/ConfigurationStore.java
@@ -16,7 +16,7 @@
      *
      * @throws PlatformException if the row cannot be read
      */
-    Optional<ConfigurationRow> row() throws PlatformException;
+    Optional<ConfigurationRow> readRow() throws PlatformException;
 
     /**
      * Loads the canonical text of a configuration and checks it against its digest.
--- a/tarragonarch-platform/src/main/java/org/tarragonarch/platform/HttpClaimStore.java
+++ b/tarragonarch-platform/src/main/java/org/tarragonarch/platform/HttpClaimStore.java
@@ -34,7 +34,7 @@
         PlatformReply reply = http.post(PlatformPart.TABLES, http.url("tables", TABLE, "insert"), message);
         JsonNode results = results(reply, "results");
         if (results.size() != claims.size()) {
-            throw reply.unusable(results.size() + " results for " + claims.size() + " rows", null);
+            throw reply.unusableBody(results.size() + " results for " + claims.size() + " rows", null);
         }
         ImmutableMap.Builder<ClaimKey, Claim> standing = ImmutableMap.builder();
         for (JsonNode result : results) {
@@ -63,10 +63,10 @@
     public void release(Claim claim) throws PlatformException {
         Transaction transaction =
                 new Transaction().deleteIfValue(TABLE, claim.key().toString(), ClaimJson.write(claim));
-        PlatformReply reply = http.post(PlatformPart.TABLES, http.url("transactions"), transaction.message());
+        PlatformReply reply = http.post(PlatformPart.TABLES, http.url("transactions"), transaction.toJson());
         // A conflict means that the row is gone or another's by now: there is nothing of ours left to release.
         if (reply.status() != PlatformHttp.OK && reply.status() != PlatformHttp.CONFLICT) {
-            throw reply.unexpected();
+            throw reply.unexpectedStatus();
         }
     }
 
@@ -75,22 +75,22 @@
         ObjectNode message = JsonNodeFactory.instance.objectNode().put("older-than-ms", olderThan.toMillis());
         PlatformReply reply = http.post(PlatformPart.TABLES, http.url("tables", TABLE, "delete-older"), message);
         if (reply.status() != PlatformHttp.OK) {
-            throw reply.unexpected();
+            throw reply.unexpectedStatus();
         }
         JsonNode deleted = reply.json().path("deleted");
         if (!deleted.canConvertToInt()) {
-            throw reply.unusable("it lacks the number of rows deleted", null);
+            throw reply.unusableBody("it lacks the number of rows deleted", null);
         }
         return deleted.intValue();
     }
 
     private static JsonNode results(PlatformReply reply, String field) throws PlatformException {
         if (reply.status() != PlatformHttp.OK) {
-            throw reply.unexpected();
+            throw reply.unexpectedStatus();
         }
         JsonNode results = reply.json().path(field);
         if (!results.isArray()) {
-            throw reply.unusable("it lacks '" + field + "'", null);
+            throw reply.unusableBody("it lacks '" + field + "'", null);
         }
         return results;
     }
@@ -102,7 +102,7 @@
             Claim claim = ClaimJson.read(value);
             standing.put(claim.key(), claim);
         } catch (IllegalArgumentException e) {
-            throw reply.unusable("a claim is malformed", e);
+            throw reply.unusableBody("a claim is malformed", e);
         }
     }
 }
--- a/tarragonarch-platform/src/main/java/org/tarragonarch/platform/HttpConfigurationStore.java
+++ b/tarragonarch-platform/src/main/java/org/tarragonarch/platform/HttpConfigurationStore.java
@@ -34,7 +34,7 @@
     }
 
     @Override
-    public Optional<ConfigurationRow> row() throws PlatformException {
+    public Optional<ConfigurationRow> readRow() throws PlatformException {
         return read().map(Standing::row);
     }
 
@@ -42,16 +42,16 @@
     public byte[] load(ContentDigest digest) throws PlatformException {
         PlatformReply reply = http.get(PlatformPart.OBJECTS, objectUrl(digest));
         if (reply.status() != PlatformHttp.OK) {
-            throw reply.unexpected();
+            throw reply.unexpectedStatus();
         }
         byte[] text;
         try {
-            text = CompressedText.unpack(reply.body());
+            text = CompressedText.decompress(reply.body());
         } catch (IOException e) {
-            throw reply.unusable("the object is no compressed text", e);
+            throw reply.unusableBody("the object is no compressed text", e);
         }
         if (!ContentDigest.of(text).equals(digest)) {
-            throw reply.unusable("the object does not have the digest " + digest, null);
+            throw reply.unusableBody("the object does not have the digest " + digest, null);
         }
         return text;
     }
@@ -75,7 +75,7 @@
                 .build();
         PlatformReply reply = http.get(PlatformPart.TABLES, url);
         if (reply.status() != PlatformHttp.OK) {
-            throw reply.unexpected();
+            throw reply.unexpectedStatus();
         }
         ImmutableList.Builder<AuditRecord> records = ImmutableList.builder();
         for (JsonNode row : reply.json().path("rows")) {
@@ -94,12 +94,12 @@
         }
         boolean stored = reply.status() == PlatformHttp.CREATED || reply.status() == PlatformHttp.PRECONDITION_FAILED;
         if (!stored) {
-            throw reply.unexpected();
+            throw reply.unexpectedStatus();
         }
     }
 
     private PlatformReply putObject(ContentDigest digest, byte[] canonical) throws PlatformException {
-        return http.putIfAbsent(PlatformPart.OBJECTS, objectUrl(digest), CompressedText.pack(canonical));
+        return http.putIfAbsent(PlatformPart.OBJECTS, objectUrl(digest), CompressedText.compress(canonical));
     }
 
     private PlatformReply putObjectAgain(ContentDigest digest, byte[] canonical) throws PlatformException {
@@ -130,12 +130,12 @@
                 PlatformReply reply = http.post(
                         PlatformPart.TABLES,
                         http.url("transactions"),
-                        transaction(record, standing).message());
+                        transaction(record, standing).toJson());
                 if (reply.status() == PlatformHttp.OK) {
                     return ChangeJson.rowOf(record);
                 }
                 if (reply.status() != PlatformHttp.CONFLICT) {
-                    throw reply.unexpected();
+                    throw reply.unexpectedStatus();
                 }
                 // The row read before was stale or has been replaced since; the row of the conflict is the true one.
                 standing = conflicting(reply, standing);
@@ -231,7 +231,7 @@
             return Optional.empty();
         }
         if (reply.status() != PlatformHttp.OK) {
-            throw reply.unexpected();
+            throw reply.unexpectedStatus();
         }
         return Optional.of(Standing.of(reply, reply.json()));
     }
@@ -241,7 +241,7 @@
         try {
             return ChangeJson.readRecord(value);
         } catch (IllegalArgumentException e) {
-            throw reply.unusable("an audit record is malformed", e);
+            throw reply.unusableBody("an audit record is malformed", e);
         }
     }
 
@@ -260,7 +260,7 @@
             try {
                 return new Standing(row.version(), ChangeJson.readRow(row.value()));
             } catch (IllegalArgumentException e) {
-                throw reply.unusable("the configuration row is malformed", e);
+                throw reply.unusableBody("the configuration row is malformed", e);
             }
         }
     }
--- a/tarragonarch-platform/src/main/java/org/tarragonarch/platform/HttpVmList.java
+++ b/tarragonarch-platform/src/main/java/org/tarragonarch/platform/HttpVmList.java
@@ -23,12 +23,12 @@
     @Override
     public ImmutableList<VmRecord> list() throws PlatformException {
         Optional<Tagged> known = last;
-        PlatformReply reply = http.getUnless(PlatformPart.VMS, http.url("vms"), known.map(Tagged::tag));
+        PlatformReply reply = http.getIfChanged(PlatformPart.VMS, http.url("vms"), known.map(Tagged::tag));
         if (known.isPresent() && reply.status() == PlatformHttp.NOT_MODIFIED) {
             return known.get().vms();
         }
         if (reply.status() != PlatformHttp.OK) {
-            throw reply.unexpected();
+            throw reply.unexpectedStatus();
         }
         ImmutableList<VmRecord> vms = read(reply);
         last = reply.tag().map(tag -> new Tagged(tag, vms));
@@ -38,14 +38,14 @@
     private static ImmutableList<VmRecord> read(PlatformReply reply) throws PlatformException {
         JsonNode lines = reply.json().path("vms");
         if (!lines.isArray()) {
-            throw reply.unusable("it lacks 'vms'", null);
+            throw reply.unusableBody("it lacks 'vms'", null);
         }
         ImmutableList.Builder<VmRecord> vms = ImmutableList.builder();
         for (JsonNode line : lines) {
             try {
                 vms.add(VmRecordJson.read(line));
             } catch (IllegalArgumentException e) {
-                throw reply.unusable("a line is malformed", e);
+                throw reply.unusableBody("a line is malformed", e);
             }
         }
         return vms.build();
--- a/tarragonarch-platform/src/main/java/org/tarragonarch/platform/PlatformHttp.java
+++ b/tarragonarch-platform/src/main/java/org/tarragonarch/platform/PlatformHttp.java
@@ -71,7 +71,7 @@
     }
 
     /** Reads, unless what is there still has this tag; then the status is {@link #NOT_MODIFIED}. */
-    PlatformReply getUnless(PlatformPart part, HttpUrl url, Optional<String> tag) throws PlatformException {
+    PlatformReply getIfChanged(PlatformPart part, HttpUrl url, Optional<String> tag) throws PlatformException {
         Request.Builder request = new Request.Builder().url(url).get();
         tag.ifPresent(known -> request.header("If-None-Match", known));
         return call(part, request, false);
@@ -130,7 +130,7 @@
             check(reply, response.header(NOT_APPLIED) != null);
             return reply;
         } catch (IOException e) {
-            throw lost(part, write && tracker.mayHaveLeft(), e);
+            throw lost(part, write && tracker.mayHaveSent(), e);
         }
     }
 
--- a/tarragonarch-platform/src/main/java/org/tarragonarch/platform/PlatformReply.java
+++ b/tarragonarch-platform/src/main/java/org/tarragonarch/platform/PlatformReply.java
@@ -13,21 +13,21 @@
         try {
             JsonNode node = mapper.readTree(body);
             if (node == null || !node.isObject()) {
-                throw unusable("no JSON object", null);
+                throw unusableBody("no JSON object", null);
             }
             return node;
         } catch (IOException e) {
-            throw unusable("no JSON", e);
+            throw unusableBody("no JSON", e);
         }
     }
 
     /** Returns the error for a status that the protocol does not foresee here. */
-    PlatformException unexpected() {
+    PlatformException unexpectedStatus() {
         return new PlatformException(part.word(), "the " + part.word() + " answered " + status, mayHaveApplied(), null);
     }
 
     /** Returns the error for a body that cannot be understood. */
-    PlatformException unusable(String why, Exception cause) {
+    PlatformException unusableBody(String why, Exception cause) {
         return new PlatformException(
                 part.word(), "the reply of the " + part.word() + " is unusable: " + why, mayHaveApplied(), cause);
     }
--- a/tarragonarch-platform/src/main/java/org/tarragonarch/platform/SendTracker.java
+++ b/tarragonarch-platform/src/main/java/org/tarragonarch/platform/SendTracker.java
@@ -22,7 +22,7 @@
         started = true;
     }
 
-    boolean mayHaveLeft() {
+    boolean mayHaveSent() {
         return started;
     }
 }
--- a/tarragonarch-platform/src/main/java/org/tarragonarch/platform/TableRow.java
+++ b/tarragonarch-platform/src/main/java/org/tarragonarch/platform/TableRow.java
@@ -13,7 +13,7 @@
     static TableRow of(PlatformReply reply, JsonNode json) throws PlatformException {
         JsonNode value = json.path("value");
         if (!json.path("key").isTextual() || !json.path("version").isIntegralNumber() || !value.isObject()) {
-            throw reply.unusable("a row lacks its key, version or value", null);
+            throw reply.unusableBody("a row lacks its key, version or value", null);
         }
         return new TableRow(json.path("key").textValue(), json.path("version").longValue(), value);
     }
--- a/tarragonarch-platform/src/main/java/org/tarragonarch/platform/Transaction.java
+++ b/tarragonarch-platform/src/main/java/org/tarragonarch/platform/Transaction.java
@@ -7,8 +7,8 @@
 
 /** Collects the operations of one transaction of the table service, which takes effect whole or not at all. */
 final class Transaction {
-    private final ObjectNode message = JsonNodeFactory.instance.objectNode();
-    private final ArrayNode operations = message.putArray("operations");
+    private final ObjectNode toJson = JsonNodeFactory.instance.objectNode();
+    private final ArrayNode operations = toJson.putArray("operations");
 
     Transaction insertIfAbsent(String table, String key, JsonNode value) {
         operation("insert-if-absent", table, key).set("value", value);
@@ -25,8 +25,8 @@
         return this;
     }
 
-    JsonNode message() {
-        return message;
+    JsonNode toJson() {
+        return toJson;
     }
 
     private ObjectNode operation(String name, String table, String key) {
--- a/tarragonarch-standin/src/test/java/org/tarragonarch/standin/platform/ConfigurationStoreTest.java
+++ b/tarragonarch-standin/src/test/java/org/tarragonarch/standin/platform/ConfigurationStoreTest.java
@@ -48,12 +48,12 @@
 
     @Test
     public void testAccept_rowObjectAndAudit() throws Exception {
-        assertTrue(store.row().isEmpty());
+        assertTrue(store.readRow().isEmpty());
 
         ConfigurationRow first = accept(0, "ann", "{}");
         ConfigurationRow second = accept(1, "ben", "{\"teams\":{}}");
 
-        assertEquals(store.row().orElseThrow(), second);
+        assertEquals(store.readRow().orElseThrow(), second);
         assertEquals(new String(store.load(first.digest()), StandardCharsets.UTF_8), "{}");
         assertEquals(store.history(5), List.of(record(1, "ben", "{\"teams\":{}}"), record(0, "ann", "{}")));
         assertEquals(store.history(1).size(), 1);
@@ -70,7 +70,7 @@
                 expectThrows(ConfigurationConflictException.class, () -> accept(0, "ben", "{\"teams\":{}}"));
 
         assertEquals(conflict.accepted().operator(), OperatorName.of("ann"));
-        assertEquals(store.row().orElseThrow().version(), ConfigurationVersion.of(2));
+        assertEquals(store.readRow().orElseThrow().version(), ConfigurationVersion.of(2));
     }
 
     @Test
@@ -81,7 +81,7 @@
 
         ConfigurationRow accepted = accept(0, "ann", "{}");
 
-        assertEquals(store.row().orElseThrow(), accepted);
+        assertEquals(store.readRow().orElseThrow(), accepted);
         assertEquals(store.history(5).size(), 1);
     }
 
@@ -96,7 +96,7 @@
         ConfigurationRow accepted = accept(1, "ben", "{\"teams\":{}}");
 
         control.clearFaults();
-        assertEquals(store.row().orElseThrow(), accepted);
+        assertEquals(store.readRow().orElseThrow(), accepted);
         assertEquals(store.history(5).size(), 2);
     }
 
@@ -121,7 +121,7 @@
 
         assertFalse(out.mayHaveApplied());
         assertEquals(out.peer(), "object store");
-        assertTrue(store.row().isEmpty());
+        assertTrue(store.readRow().isEmpty());
     }
 
     @Test
@@ -130,7 +130,7 @@
 
         ConfigurationRow accepted = accept(0, "ann", "{}");
 
-        assertEquals(store.row().orElseThrow(), accepted);
+        assertEquals(store.readRow().orElseThrow(), accepted);
     }
 
     @Test
@@ -153,7 +153,7 @@
         PlatformException failed = expectThrows(PlatformException.class, () -> accept(0, "ann", "{}"));
 
         assertFalse(failed.mayHaveApplied());
-        assertTrue(store.row().isEmpty());
+        assertTrue(store.readRow().isEmpty());
     }
 
     @Test
--- a/tarragonarch-standin/src/test/java/org/tarragonarch/standin/soak/Fault.java
+++ b/tarragonarch-standin/src/test/java/org/tarragonarch/standin/soak/Fault.java
@@ -56,24 +56,24 @@
     STORE_AWAY {
         @Override
         void begin(SoakCluster cluster, int target) {
-            cluster.store().away(true);
+            cluster.store().setUnavailable(true);
         }
 
         @Override
         void end(SoakCluster cluster, int target) {
-            cluster.store().away(false);
+            cluster.store().setUnavailable(false);
         }
     },
     /** The store takes calls and never answers them; the configuration changes as it comes back. */
     STORE_SILENT {
         @Override
         void begin(SoakCluster cluster, int target) {
-            cluster.store().silent(true);
+            cluster.store().setUnresponsive(true);
         }
 
         @Override
         void end(SoakCluster cluster, int target) {
-            cluster.store().silent(false);
+            cluster.store().setUnresponsive(false);
             cluster.changeConfiguration();
         }
     },
@@ -101,12 +101,12 @@
     ENDPOINT_LATE {
         @Override
         void begin(SoakCluster cluster, int target) {
-            cluster.endpoint(target).late(LATE_SHARE);
+            cluster.endpoint(target).setDelayedShare(LATE_SHARE);
         }
 
         @Override
         void end(SoakCluster cluster, int target) {
-            cluster.endpoint(target).late(0);
+            cluster.endpoint(target).setDelayedShare(0);
         }
     },
     /** An endpoint crashes, and restarts under another id. */
--- a/tarragonarch-standin/src/test/java/org/tarragonarch/standin/soak/QueueWatcher.java
+++ b/tarragonarch-standin/src/test/java/org/tarragonarch/standin/soak/QueueWatcher.java
@@ -47,7 +47,7 @@
     void awaitLastQueueDue() throws InterruptedException {
         long round = cluster.nodeCount() * (PATIENCE.toMillis() + PAUSE_MILLIS);
         long until = cluster.newestQueue().addedAtMillis() + IN_FORCE_MILLIS + round;
-        Thread.sleep(Math.max(0, until - StandInEndpoint.clock()));
+        Thread.sleep(Math.max(0, until - StandInEndpoint.clockMillis()));
     }
 
     /** Asks nothing more. */
@@ -68,7 +68,7 @@
     }
 
     private void ask(int node, SoakCluster.AddedQueue queue) throws InterruptedException {
-        long sentAt = StandInEndpoint.clock();
+        long sentAt = StandInEndpoint.clockMillis();
         URI uri = URI.create("http://" + cluster.clientAddress(node) + queue.prefix());
         HttpRequest request = HttpRequest.newBuilder(uri).timeout(PATIENCE).build();
         try {
--- a/tarragonarch-standin/src/test/java/org/tarragonarch/standin/soak/SoakClient.java
+++ b/tarragonarch-standin/src/test/java/org/tarragonarch/standin/soak/SoakClient.java
@@ -75,7 +75,7 @@
     private void sendUntilAnswered(SentJob job, int firstNode) throws InterruptedException {
         for (int attempt = 0; attempt < TRIES; attempt++) {
             SentJob.Answer answer = send(job, firstNode + attempt);
-            job.answered(answer, StandInEndpoint.clock());
+            job.answered(answer, StandInEndpoint.clockMillis());
             if (answer != SentJob.Answer.UNKNOWN) {
                 return;
             }
--- a/tarragonarch-standin/src/test/java/org/tarragonarch/standin/soak/SoakCluster.java
+++ b/tarragonarch-standin/src/test/java/org/tarragonarch/standin/soak/SoakCluster.java
@@ -108,11 +108,11 @@
 
     /** Ends every fault, and starts what is not running. */
     void heal() throws IOException, InterruptedException {
-        store.away(false);
-        store.silent(false);
+        store.setUnavailable(false);
+        store.setUnresponsive(false);
         storeLinks.forEach(link -> link.mode(FaultyLink.Mode.CLEAR));
         endpointLinks.forEach(link -> link.mode(FaultyLink.Mode.CLEAR));
-        endpoints.forEach(endpoint -> endpoint.late(0));
+        endpoints.forEach(endpoint -> endpoint.setDelayedShare(0));
         for (JvmProcess node : nodes) {
             if (node.alive()) {
                 node.thaw();
@@ -126,14 +126,14 @@
         int index = endpoint % endpoints.size();
         lives++;
         store.unregister(id(index));
-        endpoints.get(index).restart("i-" + index + "-" + lives);
+        endpoints.get(index).restartWithId("i-" + index + "-" + lives);
         register(index);
     }
 
     /** Lets an endpoint come back under its id; its entry tells of the new incarnation. */
     synchronized void restartEndpointUnderId(int endpoint) {
         int index = endpoint % endpoints.size();
-        endpoints.get(index).restartUnderId();
+        endpoints.get(index).restartWithSameId();
         register(index);
     }
 
@@ -145,7 +145,7 @@
                 .map(SoakCluster::route)
                 .collect(Collectors.joining(","));
         store.configure("{\"Version\":" + version + ",\"Routes\":[" + routes + "]}");
-        added.add(new AddedQueue(prefix, StandInEndpoint.clock()));
+        added.add(new AddedQueue(prefix, StandInEndpoint.clockMillis()));
     }
 
     /** Returns the queue that was added last. */
@@ -179,13 +179,13 @@
     }
 
     private String id(int endpoint) {
-        String life = endpoints.get(endpoint).life();
+        String life = endpoints.get(endpoint).instanceId();
         return life.isEmpty() ? "i-" + endpoint : life;
     }
 
     private void register(int endpoint) {
         String address = endpointLinks.get(endpoint).address();
-        store.register(id(endpoint), endpoints.get(endpoint).startedEntry("board", domain(endpoint), address));
+        store.register(id(endpoint), endpoints.get(endpoint).entryWithStart("board", domain(endpoint), address));
     }
 
     private static String domain(int number) {
--- a/tarragonarch-standin/src/test/java/org/tarragonarch/standin/soak/SoakRun.java
+++ b/tarragonarch-standin/src/test/java/org/tarragonarch/standin/soak/SoakRun.java
@@ -112,10 +112,10 @@
 
     /** Every client has to have another job done from now on. */
     private void awaitServed(List<String> broken, String when) throws InterruptedException {
-        long from = StandInEndpoint.clock();
+        long from = StandInEndpoint.clockMillis();
         for (SoakClient client : clients) {
             while (!servedSince(client, from)) {
-                if (StandInEndpoint.clock() - from > PATIENCE.toMillis()) {
+                if (StandInEndpoint.clockMillis() - from > PATIENCE.toMillis()) {
                     broken.add("a client is not served " + when);
                     return;
                 }
@@ -129,9 +129,9 @@
     }
 
     private void carryOut(SoakCluster cluster, SoakPlan plan) throws IOException, InterruptedException {
-        long began = StandInEndpoint.clock();
+        long began = StandInEndpoint.clockMillis();
         for (SoakPlan.Step step : plan.steps()) {
-            long wait = began + step.atMillis() - StandInEndpoint.clock();
+            long wait = began + step.atMillis() - StandInEndpoint.clockMillis();
             if (wait > 0) {
                 TimeUnit.MILLISECONDS.sleep(wait);
             }
