--- a/tarragonarch-platform/src/main/java/org/tarragonarch/platform/AuditRecord.java
+++ b/tarragonarch-platform/src/main/java/org/tarragonarch/platform/AuditRecord.java
@@ -11,13 +11,13 @@
 /**
  * One accepted change of the configuration, written in the same transaction that accepted it.
  *
- * @param version the version that the change made
+ * @param version the version that the change created
  * @param from the version that it replaced
  * @param digest the digest of the new configuration, under which the object store keeps it
- * @param change the change's unique mark
- * @param operator who made it
- * @param when when, by the clock of the program that wrote it
- * @param summary what changed, in words
+ * @param change the unique id of the change
+ * @param operator the operator who made the change
+ * @param when the time of the change, by the clock of the program that wrote the record
+ * @param summary a description of what changed, for people
  */
 public record AuditRecord(
         ConfigurationVersion version,
@@ -27,7 +27,7 @@
         OperatorName operator,
         Instant when,
         String summary) {
-    /** Checks the parts. */
+    /** Checks that no component is null. */
     public AuditRecord {
         checkNotNull(version, "version");
         checkNotNull(from, "from");
--- a/tarragonarch-platform/src/main/java/org/tarragonarch/platform/ChangeJson.java
+++ b/tarragonarch-platform/src/main/java/org/tarragonarch/platform/ChangeJson.java
@@ -11,7 +11,7 @@
 import org.tarragonarch.model.id.OperatorName;
 import org.tarragonarch.model.platform.ConfigurationRow;
 
-/** The configuration row and audit records as JSON: in rows of the table service, and in the administration API. */
+/** Converts configuration rows and audit records to and from the JSON of the table service and administration API. */
 public final class ChangeJson {
     private ChangeJson() {}
 
@@ -31,7 +31,11 @@
         return writeRow(rowOf(record)).put("from", record.from().value()).put("summary", record.summary());
     }
 
-    /** Throws {@link IllegalArgumentException} if the value is no configuration row. */
+    /**
+     * Reads a configuration row.
+     *
+     * @throws IllegalArgumentException if the value is not a configuration row
+     */
     static ConfigurationRow readRow(JsonNode json) {
         return new ConfigurationRow(
                 ConfigurationVersion.of(JsonFields.number(json, "version")),
@@ -41,7 +45,11 @@
                 instant(JsonFields.text(json, "when")));
     }
 
-    /** Throws {@link IllegalArgumentException} if the value is no audit record. */
+    /**
+     * Reads an audit record.
+     *
+     * @throws IllegalArgumentException if the value is not an audit record
+     */
     static AuditRecord readRecord(JsonNode json) {
         ConfigurationRow row = readRow(json);
         return new AuditRecord(
@@ -54,7 +62,7 @@
                 JsonFields.text(json, "summary"));
     }
 
-    /** Returns the configuration row that the change puts in place. */
+    /** Returns the configuration row that the change writes. */
     static ConfigurationRow rowOf(AuditRecord record) {
         return new ConfigurationRow(
                 record.version(), record.digest(), record.change(), record.operator(), record.when());
@@ -64,7 +72,7 @@
         try {
             return Instant.parse(text);
         } catch (DateTimeException e) {
-            throw new IllegalArgumentException("'" + text + "' is no time", e);
+            throw new IllegalArgumentException("'" + text + "' is not an ISO 8601 instant", e);
         }
     }
 }
--- a/tarragonarch-platform/src/main/java/org/tarragonarch/platform/ClaimJson.java
+++ b/tarragonarch-platform/src/main/java/org/tarragonarch/platform/ClaimJson.java
@@ -13,7 +13,7 @@
 import org.tarragonarch.model.id.ServiceName;
 import org.tarragonarch.model.platform.Claim;
 
-/** A claim as the value of a row. */
+/** Converts claims to and from the JSON values of rows. */
 final class ClaimJson {
     private ClaimJson() {}
 
@@ -29,7 +29,11 @@
                 .put("content", claim.content().hex());
     }
 
-    /** Throws {@link IllegalArgumentException} if the value is no claim. */
+    /**
+     * Reads a claim.
+     *
+     * @throws IllegalArgumentException if the value is not a claim
+     */
     static Claim read(JsonNode json) {
         ClaimKey key = new ClaimKey(
                 ServiceName.of(JsonFields.text(json, "service")),
--- a/tarragonarch-platform/src/main/java/org/tarragonarch/platform/ClaimStore.java
+++ b/tarragonarch-platform/src/main/java/org/tarragonarch/platform/ClaimStore.java
@@ -10,33 +10,33 @@
 /** Claims on idempotency keys, kept as rows of the table service. Calls block for at most the client's timeout. */
 public interface ClaimStore {
     /**
-     * Inserts each claim if its key is absent, all in one write; one that finds its key taken does not hold up others.
+     * Inserts each claim whose key has none yet, all in one call; a claim whose key is taken doesn't affect the others.
      *
-     * @return for each key, the claim that stands there now
-     * @throws PlatformException if no reply came; see {@link PlatformException#mayHaveApplied}
+     * @return for each key, the claim that the store now has
+     * @throws PlatformException if the call fails; see {@link PlatformException#mayHaveApplied}
      */
     ImmutableMap<ClaimKey, Claim> insertIfAbsent(List<Claim> claims) throws PlatformException;
 
     /**
-     * Reads what stands under some keys, in one read.
+     * Reads the claims of the given keys in one call.
      *
-     * @return the claims that stand there; keys without one are missing
-     * @throws PlatformException if no reply came
+     * @return the claims by key, without the keys that have none
+     * @throws PlatformException if the call fails
      */
     ImmutableMap<ClaimKey, Claim> read(ImmutableList<ClaimKey> keys) throws PlatformException;
 
     /**
-     * Deletes a claim if it still carries the same token.
+     * Deletes a claim if the stored claim has the same token.
      *
-     * @throws PlatformException if no reply came
+     * @throws PlatformException if the call fails
      */
     void release(Claim claim) throws PlatformException;
 
     /**
-     * Deletes claims in bulk that were inserted longer ago than this.
+     * Deletes all claims inserted longer ago than the given time.
      *
-     * @return how many were deleted
-     * @throws PlatformException if no reply came
+     * @return the number of claims deleted
+     * @throws PlatformException if the call fails
      */
     int sweep(Duration olderThan) throws PlatformException;
 }
--- a/tarragonarch-platform/src/main/java/org/tarragonarch/platform/CompressedText.java
+++ b/tarragonarch-platform/src/main/java/org/tarragonarch/platform/CompressedText.java
@@ -8,37 +8,37 @@
 import java.util.zip.GZIPOutputStream;
 
 /**
- * Texts as the object store keeps them, compressed by gzip.
+ * Compresses texts for the object store with gzip.
  *
- * <p>A configuration of hundreds of teams is changed thousands of times a day, and every node loads each one; whole,
- * the texts alone would pass the bytes that control may cost a node.
+ * <p>A configuration of hundreds of teams is changed thousands of times a day, and every node loads each version.
+ * Uncompressed, the texts alone would exceed the control traffic that a node is allowed.
  */
 final class CompressedText {
-    /** No configuration is larger; a damaged object must not fill the memory of a node. */
-    private static final int MOST_BYTES = 16 << 20;
+    /** More than any configuration needs; limits the memory that a damaged object can take up on a node. */
+    private static final int MAX_BYTES = 16 << 20;
 
     private CompressedText() {}
 
     static byte[] compress(byte[] text) {
-        ByteArrayOutputStream packed = new ByteArrayOutputStream();
-        try (GZIPOutputStream gzip = new GZIPOutputStream(packed)) {
+        ByteArrayOutputStream compressed = new ByteArrayOutputStream();
+        try (GZIPOutputStream gzip = new GZIPOutputStream(compressed)) {
             gzip.write(text);
         } catch (IOException e) {
-            throw new UncheckedIOException("memory cannot be written", e);
+            throw new UncheckedIOException("cannot compress to a byte array", e);
         }
-        return packed.toByteArray();
+        return compressed.toByteArray();
     }
 
     /**
-     * Returns the text.
+     * Returns the original text.
      *
-     * @throws IOException if the bytes are not a packed text, or one that is too long
+     * @throws IOException if the bytes are not a compressed text or the text is too long
      */
-    static byte[] decompress(byte[] packed) throws IOException {
-        try (GZIPInputStream gzip = new GZIPInputStream(new ByteArrayInputStream(packed))) {
-            byte[] text = gzip.readNBytes(MOST_BYTES + 1);
-            if (text.length > MOST_BYTES) {
-                throw new IOException("the text is longer than " + MOST_BYTES + " bytes");
+    static byte[] decompress(byte[] compressed) throws IOException {
+        try (GZIPInputStream gzip = new GZIPInputStream(new ByteArrayInputStream(compressed))) {
+            byte[] text = gzip.readNBytes(MAX_BYTES + 1);
+            if (text.length > MAX_BYTES) {
+                throw new IOException("the text is longer than " + MAX_BYTES + " bytes");
             }
             return text;
         }
--- a/tarragonarch-platform/src/main/java/org/tarragonarch/platform/ConfigurationConflictException.java
+++ b/tarragonarch-platform/src/main/java/org/tarragonarch/platform/ConfigurationConflictException.java
@@ -4,13 +4,13 @@
 import org.tarragonarch.model.outcome.StepException;
 import org.tarragonarch.model.platform.ConfigurationRow;
 
-/** Another operator's change was accepted first. */
+/** Thrown when a configuration change conflicts with another change that was accepted first. */
 public final class ConfigurationConflictException extends StepException {
     private static final long serialVersionUID = 1L;
 
     private final transient ConfigurationRow accepted;
 
-    /** Creates an error that names the change that won. */
+    /** Creates an exception that describes the change accepted first. */
     public ConfigurationConflictException(ConfigurationRow accepted) {
         super(
                 Step.CONFIGURE,
--- a/tarragonarch-platform/src/main/java/org/tarragonarch/platform/ConfigurationStore.java
+++ b/tarragonarch-platform/src/main/java/org/tarragonarch/platform/ConfigurationStore.java
@@ -6,7 +6,7 @@
 import org.tarragonarch.model.platform.ConfigurationRow;
 
 /**
- * The accepted configurations: immutable objects, one row that names the newest, and the audit trail.
+ * The accepted configurations: their immutable texts, a row that names the newest, and the audit trail.
  *
  * <p>Calls block for at most the client's timeout.
  */
@@ -14,6 +14,7 @@
     /**
      * Reads the row that names the newest accepted configuration.
      *
+     * @return the row, or empty if no configuration has been accepted
      * @throws PlatformException if the row cannot be read
      */
     Optional<ConfigurationRow> readRow() throws PlatformException;
@@ -21,30 +22,31 @@
     /**
      * Loads the canonical text of a configuration and checks it against its digest.
      *
-     * @throws PlatformException if it cannot be had whole
+     * @throws PlatformException if the text cannot be loaded or does not match the digest
      */
     byte[] load(ContentDigest digest) throws PlatformException;
 
     /**
      * Accepts a configuration: stores its text, then replaces the row and adds the audit record in one transaction.
      *
-     * <p>A reply that is lost is settled by reading the row back and comparing the change's mark, so that a change is
-     * never reported as refused although it was accepted, nor made twice.
+     * <p>After a lost reply, the row is read again and its change id compared, so that an accepted change is neither
+     * reported as refused nor made twice.
      *
-     * @param record the change; its {@code from} must be the version in the row
-     * @param canonical the text whose digest the record names
+     * @param record the change, whose {@code from} must be the version in the row
+     * @param canonical the canonical text, whose digest must be that of the record
      * @return the row as accepted
      * @throws ConfigurationConflictException if another change was accepted first
-     * @throws PlatformException if it cannot be said whether the change was accepted
+     * @throws PlatformException if the change failed or its outcome is unknown; see
+     *     {@link PlatformException#mayHaveApplied}
      */
     ConfigurationRow accept(AuditRecord record, byte[] canonical)
             throws ConfigurationConflictException, PlatformException;
 
     /**
-     * Reads the audit trail, the newest change first.
+     * Reads the audit trail, newest change first.
      *
-     * @param limit the most records returned
-     * @throws PlatformException if it cannot be read
+     * @param limit the maximum number of records to return
+     * @throws PlatformException if the audit trail cannot be read
      */
     ImmutableList<AuditRecord> history(int limit) throws PlatformException;
 }
--- a/tarragonarch-platform/src/main/java/org/tarragonarch/platform/HttpClaimStore.java
+++ b/tarragonarch-platform/src/main/java/org/tarragonarch/platform/HttpClaimStore.java
@@ -11,7 +11,7 @@
 import org.tarragonarch.model.id.ClaimKey;
 import org.tarragonarch.model.platform.Claim;
 
-/** Claims as rows of the table {@code claims}, one row a key. */
+/** Stores claims over HTTP, as rows of the table {@code claims} with one row per key. */
 final class HttpClaimStore implements ClaimStore {
     private static final String TABLE = "claims";
 
@@ -32,15 +32,15 @@
             rows.addObject().put("key", claim.key().toString()).set("value", ClaimJson.write(claim));
         }
         PlatformReply reply = http.post(PlatformPart.TABLES, http.url("tables", TABLE, "insert"), message);
-        JsonNode results = results(reply, "results");
+        JsonNode results = readArray(reply, "results");
         if (results.size() != claims.size()) {
             throw reply.unusableBody(results.size() + " results for " + claims.size() + " rows", null);
         }
-        ImmutableMap.Builder<ClaimKey, Claim> standing = ImmutableMap.builder();
+        ImmutableMap.Builder<ClaimKey, Claim> claimsByKey = ImmutableMap.builder();
         for (JsonNode result : results) {
-            put(standing, reply, result.path("row"));
+            put(claimsByKey, reply, result.path("row"));
         }
-        return standing.buildKeepingLast();
+        return claimsByKey.buildKeepingLast();
     }
 
     @Override
@@ -52,11 +52,11 @@
         ArrayNode wanted = message.putArray("keys");
         keys.forEach(key -> wanted.add(key.toString()));
         PlatformReply reply = http.readByPost(PlatformPart.TABLES, http.url("tables", TABLE, "read"), message);
-        ImmutableMap.Builder<ClaimKey, Claim> standing = ImmutableMap.builder();
-        for (JsonNode row : results(reply, "rows")) {
-            put(standing, reply, row);
+        ImmutableMap.Builder<ClaimKey, Claim> claimsByKey = ImmutableMap.builder();
+        for (JsonNode row : readArray(reply, "rows")) {
+            put(claimsByKey, reply, row);
         }
-        return standing.buildKeepingLast();
+        return claimsByKey.buildKeepingLast();
     }
 
     @Override
@@ -64,7 +64,7 @@
         Transaction transaction =
                 new Transaction().deleteIfValue(TABLE, claim.key().toString(), ClaimJson.write(claim));
         PlatformReply reply = http.post(PlatformPart.TABLES, http.url("transactions"), transaction.toJson());
-        // A conflict means that the row is gone or another's by now: there is nothing of ours left to release.
+        // A conflict means that the row is gone or holds another claim, so there is nothing left to release.
         if (reply.status() != PlatformHttp.OK && reply.status() != PlatformHttp.CONFLICT) {
             throw reply.unexpectedStatus();
         }
@@ -79,28 +79,28 @@
         }
         JsonNode deleted = reply.json().path("deleted");
         if (!deleted.canConvertToInt()) {
-            throw reply.unusableBody("it lacks the number of rows deleted", null);
+            throw reply.unusableBody("field 'deleted' is missing or not an integer", null);
         }
         return deleted.intValue();
     }
 
-    private static JsonNode results(PlatformReply reply, String field) throws PlatformException {
+    private static JsonNode readArray(PlatformReply reply, String field) throws PlatformException {
         if (reply.status() != PlatformHttp.OK) {
             throw reply.unexpectedStatus();
         }
         JsonNode results = reply.json().path(field);
         if (!results.isArray()) {
-            throw reply.unusableBody("it lacks '" + field + "'", null);
+            throw reply.unusableBody("field '" + field + "' is missing or not an array", null);
         }
         return results;
     }
 
-    private static void put(ImmutableMap.Builder<ClaimKey, Claim> standing, PlatformReply reply, JsonNode row)
+    private static void put(ImmutableMap.Builder<ClaimKey, Claim> claimsByKey, PlatformReply reply, JsonNode row)
             throws PlatformException {
         JsonNode value = TableRow.of(reply, row).value();
         try {
             Claim claim = ClaimJson.read(value);
-            standing.put(claim.key(), claim);
+            claimsByKey.put(claim.key(), claim);
         } catch (IllegalArgumentException e) {
             throw reply.unusableBody("a claim is malformed", e);
         }
--- a/tarragonarch-platform/src/main/java/org/tarragonarch/platform/HttpConfigurationStore.java
+++ b/tarragonarch-platform/src/main/java/org/tarragonarch/platform/HttpConfigurationStore.java
@@ -13,8 +13,10 @@
 import org.tarragonarch.model.platform.ConfigurationRow;
 
 /**
- * The configuration as one row of the table {@code configuration}, texts as objects named by their digest, and the
- * audit trail as rows of the table {@code audit} in the order of their versions.
+ * Stores configurations over HTTP.
+ *
+ * <p>One row of the table {@code configuration} names the newest configuration. The text of each configuration is an
+ * object named by its digest. The audit trail consists of rows of the table {@code audit}, ordered by version.
  */
 final class HttpConfigurationStore implements ConfigurationStore {
     private static final String TABLE = "configuration";
@@ -24,8 +26,8 @@
     private static final String OBJECT_SUFFIX = ".gz";
     private static final int VERSION_DIGITS = 19;
 
-    /** How often the transaction is sent: once, again after a lost reply, and again after a stale read. */
-    private static final int MAX_TRIES = 3;
+    /** The first attempt, one more after a lost reply and one more after a stale read. */
+    private static final int MAX_ATTEMPTS = 3;
 
     private final PlatformHttp http;
 
@@ -35,7 +37,7 @@
 
     @Override
     public Optional<ConfigurationRow> readRow() throws PlatformException {
-        return read().map(Standing::row);
+        return read().map(StoredRow::row);
     }
 
     @Override
@@ -48,7 +50,7 @@
         try {
             text = CompressedText.decompress(reply.body());
         } catch (IOException e) {
-            throw reply.unusableBody("the object is no compressed text", e);
+            throw reply.unusableBody("the object is not a compressed text", e);
         }
         if (!ContentDigest.of(text).equals(digest)) {
             throw reply.unusableBody("the object does not have the digest " + digest, null);
@@ -59,8 +61,9 @@
     @Override
     public ConfigurationRow accept(AuditRecord record, byte[] canonical)
             throws ConfigurationConflictException, PlatformException {
-        checkArgument(record.version().equals(record.from().next()), "version %s is no next one", record.version());
-        checkArgument(ContentDigest.of(canonical).equals(record.digest()), "the digest is not the text's");
+        checkArgument(
+                record.version().equals(record.from().next()), "version %s is not the next version", record.version());
+        checkArgument(ContentDigest.of(canonical).equals(record.digest()), "the digest does not match the text");
         storeObject(record.digest(), canonical);
         return replaceRow(record);
     }
@@ -84,7 +87,7 @@
         return records.build();
     }
 
-    /** Stores the text; it is named by its digest, so that storing it twice changes nothing. */
+    /** Stores the text under its digest, so that a second attempt has no further effect. */
     private void storeObject(ContentDigest digest, byte[] canonical) throws PlatformException {
         PlatformReply reply;
         try {
@@ -106,7 +109,7 @@
         try {
             return putObject(digest, canonical);
         } catch (PlatformException e) {
-            // No row names the object yet, so the change itself certainly was not accepted.
+            // No row refers to the object yet, so the change cannot have been accepted.
             throw new PlatformException(e.peer(), e.getMessage(), false, e);
         }
     }
@@ -114,51 +117,54 @@
     /**
      * Replaces the row by compare-and-set on its version.
      *
-     * <p>A lost reply is settled by the change's mark. Where a reading shows neither our change nor another, the first
-     * copy of the transaction may still be on its way; the same transaction is then sent again, which is safe since the
-     * version lets only one of the copies through.
+     * <p>After a lost reply, the row is read again and its change id shows whether this change was accepted. If the row
+     * is unchanged, the lost transaction may still arrive. The same transaction is then sent again, which is safe
+     * because the check of the version lets only one of the copies succeed.
      */
     private ConfigurationRow replaceRow(AuditRecord record) throws ConfigurationConflictException, PlatformException {
         PlatformException lost = null;
-        Optional<Standing> standing = readForWrite(null);
-        for (int tries = 0; tries < MAX_TRIES; tries++) {
-            Optional<ConfigurationRow> settled = settle(record, standing, lost);
-            if (settled.isPresent()) {
-                return settled.get();
+        Optional<StoredRow> stored = readForWrite(null);
+        for (int attempt = 0; attempt < MAX_ATTEMPTS; attempt++) {
+            Optional<ConfigurationRow> accepted = findAccepted(record, stored, lost);
+            if (accepted.isPresent()) {
+                return accepted.get();
             }
             try {
                 PlatformReply reply = http.post(
                         PlatformPart.TABLES,
                         http.url("transactions"),
-                        transaction(record, standing).toJson());
+                        transaction(record, stored).toJson());
                 if (reply.status() == PlatformHttp.OK) {
                     return ChangeJson.rowOf(record);
                 }
                 if (reply.status() != PlatformHttp.CONFLICT) {
                     throw reply.unexpectedStatus();
                 }
-                // The row read before was stale or has been replaced since; the row of the conflict is the true one.
-                standing = conflicting(reply, standing);
+                // The row read before was stale or has been replaced since; the conflict reply has the current one.
+                stored = rowAfterConflict(reply, stored);
             } catch (PlatformException e) {
                 if (!e.mayHaveApplied()) {
                     throw lost == null ? e : lost;
                 }
                 lost = e;
-                standing = readForWrite(lost);
+                stored = readForWrite(lost);
             }
         }
-        Optional<ConfigurationRow> settled = settle(record, standing, lost);
-        if (settled.isPresent()) {
-            return settled.get();
+        Optional<ConfigurationRow> accepted = findAccepted(record, stored, lost);
+        if (accepted.isPresent()) {
+            return accepted.get();
         }
         throw lost != null
                 ? lost
                 : new PlatformException(
-                        PlatformPart.TABLES.word(), "the row is read stale time after time", false, null);
+                        PlatformPart.TABLES.word(),
+                        "every read of the configuration row returned a stale version",
+                        false,
+                        null);
     }
 
-    /** Reads the row; a failure after a lost reply leaves open what became of the change. */
-    private Optional<Standing> readForWrite(PlatformException lost) throws PlatformException {
+    /** Reads the row; if that fails after a lost reply, rethrows the loss, since the change may have been accepted. */
+    private Optional<StoredRow> readForWrite(PlatformException lost) throws PlatformException {
         try {
             return read();
         } catch (PlatformException e) {
@@ -166,33 +172,40 @@
         }
     }
 
-    /** Returns the accepted row if the change stands, nothing if it may still be made. */
-    private Optional<ConfigurationRow> settle(AuditRecord record, Optional<Standing> standing, PlatformException lost)
+    /**
+     * Returns the accepted row if this change was accepted, or empty if the version to be replaced is still current.
+     *
+     * @throws ConfigurationConflictException if another change was accepted first
+     * @throws PlatformException if the row read is older than the version to be replaced
+     */
+    private Optional<ConfigurationRow> findAccepted(
+            AuditRecord record, Optional<StoredRow> stored, PlatformException lost)
             throws ConfigurationConflictException, PlatformException {
         ConfigurationVersion current =
-                standing.map(found -> found.row().version()).orElse(ConfigurationVersion.NONE);
+                stored.map(found -> found.row().version()).orElse(ConfigurationVersion.NONE);
         if (current.equals(record.from())) {
             return Optional.empty();
         }
-        if (standing.isEmpty() || record.from().newerThan(current)) {
+        if (stored.isEmpty() || record.from().newerThan(current)) {
             throw lost != null
                     ? lost
                     : new PlatformException(
                             PlatformPart.TABLES.word(),
-                            "the row has version " + current + ", older than " + record.from() + " to be replaced",
+                            "the row has version " + current + ", older than version " + record.from()
+                                    + " to be replaced",
                             false,
                             null);
         }
-        ConfigurationRow row = standing.get().row();
-        ConfigurationRow first = row.version().equals(record.version()) ? row : made(record.version(), row, lost);
+        ConfigurationRow row = stored.get().row();
+        ConfigurationRow first = row.version().equals(record.version()) ? row : acceptedAs(record.version(), row, lost);
         if (first.change().equals(record.change())) {
             return Optional.of(first);
         }
         throw new ConfigurationConflictException(first);
     }
 
-    /** Returns the change that made a version which others have replaced since. */
-    private ConfigurationRow made(ConfigurationVersion version, ConfigurationRow newest, PlatformException lost)
+    /** Returns the row accepted as the given version, or the newest row if the audit trail lacks that version. */
+    private ConfigurationRow acceptedAs(ConfigurationVersion version, ConfigurationRow newest, PlatformException lost)
             throws PlatformException {
         try {
             PlatformReply reply = http.get(PlatformPart.TABLES, http.url("tables", AUDIT, "rows", auditKey(version)));
@@ -205,27 +218,28 @@
         }
     }
 
-    private static Transaction transaction(AuditRecord record, Optional<Standing> standing) {
+    private static Transaction transaction(AuditRecord record, Optional<StoredRow> stored) {
         JsonNode value = ChangeJson.writeRow(ChangeJson.rowOf(record));
         Transaction transaction = new Transaction();
-        if (standing.isPresent()) {
-            transaction.replaceIfVersion(TABLE, ROW, standing.get().rowVersion(), value);
+        if (stored.isPresent()) {
+            transaction.replaceIfVersion(TABLE, ROW, stored.get().rowVersion(), value);
         } else {
             transaction.insertIfAbsent(TABLE, ROW, value);
         }
         return transaction.insertIfAbsent(AUDIT, auditKey(record.version()), ChangeJson.writeRecord(record));
     }
 
-    private Optional<Standing> conflicting(PlatformReply reply, Optional<Standing> before) throws PlatformException {
+    private Optional<StoredRow> rowAfterConflict(PlatformReply reply, Optional<StoredRow> before)
+            throws PlatformException {
         JsonNode row = reply.json().path("row");
-        boolean ofConfiguration = reply.json().path("failed").asInt(-1) == 0;
-        if (!ofConfiguration) {
+        boolean configurationRowFailed = reply.json().path("failed").asInt(-1) == 0;
+        if (!configurationRowFailed) {
             return before;
         }
-        return row.isObject() ? Optional.of(Standing.of(reply, row)) : Optional.empty();
+        return row.isObject() ? Optional.of(StoredRow.of(reply, row)) : Optional.empty();
     }
 
-    private Optional<Standing> read() throws PlatformException {
+    private Optional<StoredRow> read() throws PlatformException {
         PlatformReply reply = http.get(PlatformPart.TABLES, http.url("tables", TABLE, "rows", ROW));
         if (reply.status() == PlatformHttp.NOT_FOUND) {
             return Optional.empty();
@@ -233,7 +247,7 @@
         if (reply.status() != PlatformHttp.OK) {
             throw reply.unexpectedStatus();
         }
-        return Optional.of(Standing.of(reply, reply.json()));
+        return Optional.of(StoredRow.of(reply, reply.json()));
     }
 
     private static AuditRecord auditRecord(PlatformReply reply, JsonNode json) throws PlatformException {
@@ -253,12 +267,12 @@
         return http.url("objects", OBJECT_PREFIX + digest + OBJECT_SUFFIX);
     }
 
-    /** The configuration row with the version by which the table service counts its writes. */
-    private record Standing(long rowVersion, ConfigurationRow row) {
-        static Standing of(PlatformReply reply, JsonNode json) throws PlatformException {
+    /** The configuration row with the version that the table service gives it. */
+    private record StoredRow(long rowVersion, ConfigurationRow row) {
+        static StoredRow of(PlatformReply reply, JsonNode json) throws PlatformException {
             TableRow row = TableRow.of(reply, json);
             try {
-                return new Standing(row.version(), ChangeJson.readRow(row.value()));
+                return new StoredRow(row.version(), ChangeJson.readRow(row.value()));
             } catch (IllegalArgumentException e) {
                 throw reply.unusableBody("the configuration row is malformed", e);
             }
--- a/tarragonarch-platform/src/main/java/org/tarragonarch/platform/HttpVmList.java
+++ b/tarragonarch-platform/src/main/java/org/tarragonarch/platform/HttpVmList.java
@@ -6,15 +6,16 @@
 import org.tarragonarch.model.platform.VmRecord;
 
 /**
- * The platform's list of VMs.
+ * Reads the list of VMs over HTTP.
  *
- * <p>A list of thousands of VMs read whole every few seconds would cost a node far more than all its other control
- * traffic, and it changes a few hundred times a day; so it is read by its tag, and whole only when it has changed. Safe
- * for use by many threads.
+ * <p>The list is transferred only if its entity tag has changed. It may have thousands of VMs and changes a few hundred
+ * times a day; transferring it every few seconds would cost a node far more than all its other control traffic.
+ *
+ * <p>Thread-safe.
  */
 final class HttpVmList implements VmListService {
     private final PlatformHttp http;
-    private volatile Optional<Tagged> last = Optional.empty();
+    private volatile Optional<TaggedList> lastRead = Optional.empty();
 
     HttpVmList(PlatformHttp http) {
         this.http = http;
@@ -22,34 +23,34 @@
 
     @Override
     public ImmutableList<VmRecord> list() throws PlatformException {
-        Optional<Tagged> known = last;
-        PlatformReply reply = http.getIfChanged(PlatformPart.VMS, http.url("vms"), known.map(Tagged::tag));
-        if (known.isPresent() && reply.status() == PlatformHttp.NOT_MODIFIED) {
-            return known.get().vms();
+        Optional<TaggedList> previous = lastRead;
+        PlatformReply reply = http.getIfChanged(PlatformPart.VMS, http.url("vms"), previous.map(TaggedList::tag));
+        if (previous.isPresent() && reply.status() == PlatformHttp.NOT_MODIFIED) {
+            return previous.get().vms();
         }
         if (reply.status() != PlatformHttp.OK) {
             throw reply.unexpectedStatus();
         }
         ImmutableList<VmRecord> vms = read(reply);
-        last = reply.tag().map(tag -> new Tagged(tag, vms));
+        lastRead = reply.tag().map(tag -> new TaggedList(tag, vms));
         return vms;
     }
 
     private static ImmutableList<VmRecord> read(PlatformReply reply) throws PlatformException {
-        JsonNode lines = reply.json().path("vms");
-        if (!lines.isArray()) {
-            throw reply.unusableBody("it lacks 'vms'", null);
+        JsonNode entries = reply.json().path("vms");
+        if (!entries.isArray()) {
+            throw reply.unusableBody("field 'vms' is missing or not an array", null);
         }
         ImmutableList.Builder<VmRecord> vms = ImmutableList.builder();
-        for (JsonNode line : lines) {
+        for (JsonNode entry : entries) {
             try {
-                vms.add(VmRecordJson.read(line));
+                vms.add(VmRecordJson.read(entry));
             } catch (IllegalArgumentException e) {
-                throw reply.unusableBody("a line is malformed", e);
+                throw reply.unusableBody("an entry of the VM list is malformed", e);
             }
         }
         return vms.build();
     }
 
-    private record Tagged(String tag, ImmutableList<VmRecord> vms) {}
+    private record TaggedList(String tag, ImmutableList<VmRecord> vms) {}
 }
--- a/tarragonarch-platform/src/main/java/org/tarragonarch/platform/PlatformClient.java
+++ b/tarragonarch-platform/src/main/java/org/tarragonarch/platform/PlatformClient.java
@@ -7,10 +7,10 @@
 import org.tarragonarch.model.id.Address;
 
 /**
- * The platform over HTTP and JSON, as docs/PLATFORM-PROTOCOL.md states it.
+ * A client of the platform over HTTP and JSON, as specified by docs/PLATFORM-PROTOCOL.md.
  *
- * <p>Safe for use by many threads. Every call blocks its thread for at most the timeout. No call is repeated behind the
- * caller's back: what a lost reply means is decided by the callers, who know which writes may be sent again.
+ * <p>Thread-safe. Every call blocks its thread for at most the timeout. A request that may have reached the platform is
+ * not sent again automatically: callers handle lost replies, since they know which writes can be repeated safely.
  */
 public final class PlatformClient implements AutoCloseable {
     private final PlatformHttp http;
@@ -26,10 +26,11 @@
     }
 
     /**
-     * Creates a client that sends the platform no name.
+     * Creates a client that sends no {@code Client-Name} header.
      *
-     * @param address where the platform listens
-     * @param timeout the most that one call may take, from connecting to the last byte of the reply
+     * @param address the address that the platform listens on
+     * @param timeout the limit on the duration of one call, from connecting to the last byte of the reply
+     * @throws IllegalArgumentException if the timeout is not positive
      */
     public static PlatformClient create(Address address, Duration timeout) {
         return create(address, "", timeout);
@@ -38,9 +39,10 @@
     /**
      * Creates a client; no connection is opened before the first call.
      *
-     * @param address where the platform listens
-     * @param name who calls, a node's name for instance; sent as the header {@code Client-Name}; may be empty
-     * @param timeout the most that one call may take, from connecting to the last byte of the reply
+     * @param address the address that the platform listens on
+     * @param name the caller's name, for instance that of a node; sent as the header {@code Client-Name} unless empty
+     * @param timeout the limit on the duration of one call, from connecting to the last byte of the reply
+     * @throws IllegalArgumentException if the timeout is not positive
      */
     public static PlatformClient create(Address address, String name, Duration timeout) {
         checkNotNull(address, "address");
@@ -49,12 +51,12 @@
         return new PlatformClient(new PlatformHttp(address, name, timeout));
     }
 
-    /** Returns the configurations kept by the platform. */
+    /** Returns the store of configurations. */
     public ConfigurationStore configurationStore() {
         return configurationStore;
     }
 
-    /** Returns the claims kept by the platform. */
+    /** Returns the store of claims. */
     public ClaimStore claimStore() {
         return claimStore;
     }
@@ -64,7 +66,7 @@
         return vmList;
     }
 
-    /** Breaks off running calls and closes all connections. */
+    /** Cancels calls in progress and closes all idle connections. */
     @Override
     public void close() {
         http.close();
--- a/tarragonarch-platform/src/main/java/org/tarragonarch/platform/PlatformHttp.java
+++ b/tarragonarch-platform/src/main/java/org/tarragonarch/platform/PlatformHttp.java
@@ -21,7 +21,7 @@
 import org.tarragonarch.platform.connection.ClosedConnectionCheck;
 import org.tarragonarch.platform.connection.ClosedConnectionException;
 
-/** Sends calls to the platform and says of each failed write whether it may have taken effect. */
+/** Sends calls to the platform; each failed call states whether it may have taken effect. */
 final class PlatformHttp implements AutoCloseable {
     static final int OK = 200;
     static final int CREATED = 201;
@@ -35,7 +35,7 @@
     private static final String CLIENT_NAME = "Client-Name";
     private static final MediaType JSON = MediaType.get("application/json");
     private static final MediaType BYTES = MediaType.get("application/octet-stream");
-    private static final int IDLE_CONNECTIONS = 4;
+    private static final int MAX_IDLE_CONNECTIONS = 4;
     private static final int IDLE_SECONDS = 30;
 
     private final ObjectMapper mapper = new ObjectMapper();
@@ -50,13 +50,13 @@
                 .port(address.port())
                 .build();
         this.name = name;
-        // OkHttp's own retry would send a write again whose first copy may have taken effect.
+        // OkHttp's retries could repeat a write that has already taken effect.
         this.client = ClosedConnectionCheck.addTo(new OkHttpClient.Builder())
                 .retryOnConnectionFailure(false)
                 .followRedirects(false)
                 .proxy(Proxy.NO_PROXY)
                 .protocols(List.of(Protocol.HTTP_1_1))
-                .connectionPool(new ConnectionPool(IDLE_CONNECTIONS, IDLE_SECONDS, TimeUnit.SECONDS))
+                .connectionPool(new ConnectionPool(MAX_IDLE_CONNECTIONS, IDLE_SECONDS, TimeUnit.SECONDS))
                 .callTimeout(timeout)
                 .connectTimeout(timeout)
                 .readTimeout(timeout)
@@ -65,34 +65,36 @@
                 .build();
     }
 
-    /** Reads; a failure never counts as one that may have taken effect. */
+    /** Sends a read. */
     PlatformReply get(PlatformPart part, HttpUrl url) throws PlatformException {
         return call(part, new Request.Builder().url(url).get(), false);
     }
 
-    /** Reads, unless what is there still has this tag; then the status is {@link #NOT_MODIFIED}. */
+    /** Sends a read; the reply has the status {@link #NOT_MODIFIED} if the resource still has the given entity tag. */
     PlatformReply getIfChanged(PlatformPart part, HttpUrl url, Optional<String> tag) throws PlatformException {
         Request.Builder request = new Request.Builder().url(url).get();
         tag.ifPresent(known -> request.header("If-None-Match", known));
         return call(part, request, false);
     }
 
-    /** Reads by a message that carries the keys wanted. */
+    /** Sends a read whose parameters are in the body. */
     PlatformReply readByPost(PlatformPart part, HttpUrl url, JsonNode body) throws PlatformException {
         return call(part, new Request.Builder().url(url).post(json(body)), false);
     }
 
+    /** Sends a write. */
     PlatformReply post(PlatformPart part, HttpUrl url, JsonNode body) throws PlatformException {
         return call(part, new Request.Builder().url(url).post(json(body)), true);
     }
 
+    /** Writes a resource; the reply has the status {@link #PRECONDITION_FAILED} if it exists already. */
     PlatformReply putIfAbsent(PlatformPart part, HttpUrl url, byte[] body) throws PlatformException {
         Request.Builder request =
                 new Request.Builder().url(url).header("If-None-Match", "*").put(RequestBody.create(body, BYTES));
         return call(part, request, true);
     }
 
-    /** Returns the URL of a path whose segments are escaped as needed. */
+    /** Returns the URL of a path, whose segments are escaped as needed. */
     HttpUrl url(String... segments) {
         HttpUrl.Builder url = base.newBuilder();
         for (String segment : segments) {
@@ -112,7 +114,7 @@
         try {
             return RequestBody.create(mapper.writeValueAsBytes(body), JSON);
         } catch (JsonProcessingException e) {
-            throw new IllegalStateException("a JSON tree cannot be written", e);
+            throw new IllegalStateException("cannot serialize a JSON tree", e);
         }
     }
 
@@ -127,30 +129,30 @@
             byte[] body = response.body().bytes();
             PlatformReply reply = new PlatformReply(
                     part, write, response.code(), Optional.ofNullable(response.header("ETag")), body, mapper);
-            check(reply, response.header(NOT_APPLIED) != null);
+            checkNoServerError(reply, response.header(NOT_APPLIED) != null);
             return reply;
         } catch (IOException e) {
-            throw lost(part, write && tracker.mayHaveSent(), e);
+            throw callFailed(part, write && tracker.mayHaveSent(), e);
         }
     }
 
-    /** Executes a call, on a new connection where the platform has closed the kept ones. */
+    /** Executes a call, on a new connection if the platform has closed the idle ones. */
     private Response execute(Request request) throws IOException {
-        for (int tries = 0; tries < IDLE_CONNECTIONS; tries++) {
+        for (int attempt = 0; attempt < MAX_IDLE_CONNECTIONS; attempt++) {
             try {
                 return client.newCall(request).execute();
             } catch (ClosedConnectionException e) {
-                // No byte has left, so the next try is no second sending.
+                // No byte of the request was sent, so a retry cannot repeat a write.
             }
         }
         return client.newCall(request).execute();
     }
 
-    private static void check(PlatformReply reply, boolean notApplied) throws PlatformException {
+    private static void checkNoServerError(PlatformReply reply, boolean notApplied) throws PlatformException {
         if (reply.status() < FIRST_SERVER_ERROR) {
             return;
         }
-        // A server error alone does not say how far the call came; only the explicit header does.
+        // A server error may come after the write took effect; only the Not-Applied header rules that out.
         throw new PlatformException(
                 reply.part().word(),
                 "the " + reply.part().word() + " answered " + reply.status(),
@@ -158,9 +160,9 @@
                 null);
     }
 
-    private static PlatformException lost(PlatformPart part, boolean mayHaveApplied, IOException cause) {
-        String what = mayHaveApplied ? "no reply came from the " : "cannot reach the ";
+    private static PlatformException callFailed(PlatformPart part, boolean mayHaveApplied, IOException cause) {
+        String failure = mayHaveApplied ? "no reply from the " : "cannot reach the ";
         return new PlatformException(
-                part.word(), what + part.word() + ": " + cause.getMessage(), mayHaveApplied, cause);
+                part.word(), failure + part.word() + ": " + cause.getMessage(), mayHaveApplied, cause);
     }
 }
--- a/tarragonarch-platform/src/main/java/org/tarragonarch/platform/PlatformPart.java
+++ b/tarragonarch-platform/src/main/java/org/tarragonarch/platform/PlatformPart.java
@@ -1,6 +1,6 @@
 package org.tarragonarch.platform;
 
-/** The parts of the platform that a call may go to. */
+/** The parts of the platform that receive calls. */
 enum PlatformPart {
     TABLES("table service"),
     OBJECTS("object store"),
--- a/tarragonarch-platform/src/main/java/org/tarragonarch/platform/SendTracker.java
+++ b/tarragonarch-platform/src/main/java/org/tarragonarch/platform/SendTracker.java
@@ -4,13 +4,13 @@
 import okhttp3.EventListener;
 
 /**
- * Notes whether any byte of one call may have left this process.
+ * Records whether any byte of a call may have been sent.
  *
- * <p>A refused or timed-out connection never gets as far as the request's first header, so such a write certainly had
- * no effect. From the first header on, a broken connection leaves it open.
+ * <p>If the connection is refused or times out while opening, no header is written and a write cannot have taken
+ * effect. If it breaks after the first header was begun, the write may have taken effect.
  */
 final class SendTracker extends EventListener {
-    private volatile boolean started;
+    private volatile boolean headersStarted;
 
     static EventListener of(Call call) {
         SendTracker tracker = call.request().tag(SendTracker.class);
@@ -19,10 +19,10 @@
 
     @Override
     public void requestHeadersStart(Call call) {
-        started = true;
+        headersStarted = true;
     }
 
     boolean mayHaveSent() {
-        return started;
+        return headersStarted;
     }
 }
--- a/tarragonarch-platform/src/main/java/org/tarragonarch/platform/Transaction.java
+++ b/tarragonarch-platform/src/main/java/org/tarragonarch/platform/Transaction.java
@@ -5,10 +5,10 @@
 import com.fasterxml.jackson.databind.node.JsonNodeFactory;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 
-/** Collects the operations of one transaction of the table service, which takes effect whole or not at all. */
+/** Builds a transaction of the table service, whose operations are applied atomically. */
 final class Transaction {
-    private final ObjectNode toJson = JsonNodeFactory.instance.objectNode();
-    private final ArrayNode operations = toJson.putArray("operations");
+    private final ObjectNode json = JsonNodeFactory.instance.objectNode();
+    private final ArrayNode operations = json.putArray("operations");
 
     Transaction insertIfAbsent(String table, String key, JsonNode value) {
         operation("insert-if-absent", table, key).set("value", value);
@@ -26,7 +26,7 @@
     }
 
     JsonNode toJson() {
-        return toJson;
+        return json;
     }
 
     private ObjectNode operation(String name, String table, String key) {
--- a/tarragonarch-platform/src/main/java/org/tarragonarch/platform/VmRecordJson.java
+++ b/tarragonarch-platform/src/main/java/org/tarragonarch/platform/VmRecordJson.java
@@ -12,11 +12,11 @@
 import org.tarragonarch.model.platform.VmRole;
 import org.tarragonarch.model.platform.VmState;
 
-/** A line of the list of VMs as JSON. */
+/** Converts entries of the list of VMs to and from JSON. */
 public final class VmRecordJson {
     private VmRecordJson() {}
 
-    /** Returns the JSON form of a line of the list. */
+    /** Returns an entry of the list as JSON. */
     public static ObjectNode write(VmRecord vm) {
         ObjectNode json = JsonNodeFactory.instance
                 .objectNode()
@@ -31,9 +31,9 @@
     }
 
     /**
-     * Reads the JSON form back.
+     * Reads an entry of the list.
      *
-     * @throws IllegalArgumentException if it is no line of the list
+     * @throws IllegalArgumentException if the value is not an entry of the list
      */
     public static VmRecord read(JsonNode json) {
         ImmutableSet.Builder<ServiceName> services = ImmutableSet.builder();
@@ -54,7 +54,7 @@
                 return role;
             }
         }
-        throw new IllegalArgumentException("'" + word + "' is no role of a VM");
+        throw new IllegalArgumentException("'" + word + "' is not the role of a VM");
     }
 
     private static VmState state(String word) {
@@ -63,6 +63,6 @@
                 return state;
             }
         }
-        throw new IllegalArgumentException("'" + word + "' is no state of a VM");
+        throw new IllegalArgumentException("'" + word + "' is not the state of a VM");
     }
 }
--- a/tarragonarch-platform/src/main/java/org/tarragonarch/platform/connection/ChannelSocketFactory.java
+++ b/tarragonarch-platform/src/main/java/org/tarragonarch/platform/connection/ChannelSocketFactory.java
@@ -7,7 +7,7 @@
 import java.nio.channels.SocketChannel;
 import javax.net.SocketFactory;
 
-/** Makes sockets that belong to a channel, so that they can be asked for what has arrived without waiting. */
+/** Creates sockets that have a channel, which allows non-blocking reads; OkHttp connects them itself. */
 final class ChannelSocketFactory extends SocketFactory {
     @Override
     public Socket createSocket() throws IOException {
@@ -36,6 +36,6 @@
     }
 
     private static SocketException unconnectedOnly() {
-        return new SocketException("OkHttp connects its sockets itself");
+        return new SocketException("this factory creates unconnected sockets only");
     }
 }
--- a/tarragonarch-platform/src/main/java/org/tarragonarch/platform/connection/ClosedConnectionCheck.java
+++ b/tarragonarch-platform/src/main/java/org/tarragonarch/platform/connection/ClosedConnectionCheck.java
@@ -9,18 +9,18 @@
 import okhttp3.Response;
 
 /**
- * Fails a call with {@link ClosedConnectionException} if the peer has closed the kept connection that it was given.
+ * Fails a call with {@link ClosedConnectionException} if the server has closed the persistent connection chosen for it.
  *
- * <p>The failure it guards against: a worker dies and is replaced, and each connection kept to it swallows one request,
- * which is then answered as unknown although no one read it. The guard holds since it runs before the request's first
- * byte: HTTP/1.1 gives the client nothing to read between two exchanges, so anything but silence means that the
- * connection cannot be used. What closes between the check and the write still ends as a lost answer. It costs one read
- * that does not wait.
+ * <p>Guards against lost requests after a server has died and been replaced: one request is written to each connection
+ * that was open to it, and its outcome is reported as unknown although nobody read it. The check runs before the first
+ * byte of the request. In HTTP/1.1 a server sends nothing between two exchanges, so a connection on which data or the
+ * end of the stream has arrived is unusable. A connection that closes between the check and the write still results in
+ * a lost answer. The check costs one non-blocking read.
  */
 public final class ClosedConnectionCheck implements Interceptor {
     private ClosedConnectionCheck() {}
 
-    /** Adds the check to a client; the client's connections must be without TLS and HTTP/1.1. */
+    /** Adds the check to a client, which must use HTTP/1.1 without TLS. */
     public static OkHttpClient.Builder addTo(OkHttpClient.Builder client) {
         return client.socketFactory(new ChannelSocketFactory()).addNetworkInterceptor(new ClosedConnectionCheck());
     }
@@ -28,17 +28,17 @@
     @Override
     public Response intercept(Chain chain) throws IOException {
         Socket socket = chain.connection().socket();
-        if (!silent(socket.getChannel())) {
-            // The pool finds a closed socket unusable, so the next call gets another connection.
+        if (!isOpenAndSilent(socket.getChannel())) {
+            // The connection pool discards a connection whose socket is closed, so the next call gets another one.
             socket.close();
-            throw new ClosedConnectionException("the kept connection to "
+            throw new ClosedConnectionException("the persistent connection to "
                     + chain.request().url().host() + ":" + chain.request().url().port() + " was closed");
         }
         return chain.proceed(chain.request());
     }
 
     /** Returns whether the connection is open and nothing has arrived on it. */
-    private static boolean silent(SocketChannel channel) {
+    private static boolean isOpenAndSilent(SocketChannel channel) {
         try {
             channel.configureBlocking(false);
             int read = channel.read(ByteBuffer.allocate(1));
--- a/tarragonarch-platform/src/main/java/org/tarragonarch/platform/connection/ClosedConnectionException.java
+++ b/tarragonarch-platform/src/main/java/org/tarragonarch/platform/connection/ClosedConnectionException.java
@@ -2,7 +2,7 @@
 
 import java.io.IOException;
 
-/** A kept connection turned out to be closed before any byte of the request was written to it. */
+/** Thrown when a persistent connection is found closed before any byte of the request was written to it. */
 public final class ClosedConnectionException extends IOException {
     private static final long serialVersionUID = 1L;
 
