--- a/tarragonarch-entry/src/main/java/org/tarragonarch/entry/cluster/ArchiveWarmUp.java
+++ b/tarragonarch-entry/src/main/java/org/tarragonarch/entry/cluster/ArchiveWarmUp.java
@@ -100,11 +100,11 @@
 
     private static String settings(String name, Address platform, List<Integer> ports) {
         return """
-            { "node": "%s", "failure-domain": "a", "failure-domains": { "a": "b" }, "ip": "127.0.0.1",
-              "peer-port": %d, "metrics-port": %d, "client-address": "127.0.0.1:%d",
-              "readiness-address": "127.0.0.1:%d", "store-address": "%s",
-              "processor-share": 1.0, "processor-speed": 1,
-              "lease-millis": 1000, "stop-millis": 50, "shutdown-seconds": 6 }
-            """.formatted(name, ports.get(0), ports.get(1), ports.get(2), ports.get(3), platform);
+                { "node": "%s", "failure-domain": "a", "failure-domains": { "a": "b" }, "ip": "127.0.0.1",
+                  "peer-port": %d, "metrics-port": %d, "client-address": "127.0.0.1:%d",
+                  "readiness-address": "127.0.0.1:%d", "store-address": "%s",
+                  "processor-share": 1.0, "processor-speed": 1,
+                  "lease-millis": 1000, "stop-millis": 50, "shutdown-seconds": 6 }
+                """.formatted(name, ports.get(0), ports.get(1), ports.get(2), ports.get(3), platform);
     }
 }
--- a/tarragonarch-entry/src/test/java/org/tarragonarch/entry/cluster/WholePathTest.java
+++ b/tarragonarch-entry/src/test/java/org/tarragonarch/entry/cluster/WholePathTest.java
@@ -27,12 +27,12 @@
     private static final Duration PATIENCE = Duration.ofSeconds(30);
     private static final int PORTS_A_NODE = 4;
     private static final String QUEUES = """
-        {"Version":%d,"Routes":[{"Name":"q","Host":"127.0.0.1","Prefix":"/%s/","Service":"board",
-         "Attempts":3,"Stretch":1.6,"SloMs":5000}]}
-        """;
+            {"Version":%d,"Routes":[{"Name":"q","Host":"127.0.0.1","Prefix":"/%s/","Service":"board",
+             "Attempts":3,"Stretch":1.6,"SloMs":5000}]}
+            """;
     private static final String JOB = """
-        {"Spec":"s","BestEffort":true,"Steps":[{"Count":4,"Cpu":7000,"MemMb":64,"EstMs":60}]}
-        """;
+            {"Spec":"s","BestEffort":true,"Steps":[{"Count":4,"Cpu":7000,"MemMb":64,"EstMs":60}]}
+            """;
 
     private final HttpClient client = HttpClient.newHttpClient();
     private final List<ClusterNode> nodes = new ArrayList<>();
@@ -145,13 +145,13 @@
         try {
             Files.writeString(
                     file, """
-                        { "node": "%s", "failure-domain": "hobart", "failure-domains": { "hobart": "south" },
-                          "ip": "127.0.0.1",
-                          "peer-port": %d, "metrics-port": %d, "client-address": "127.0.0.1:%d",
-                          "readiness-address": "127.0.0.1:%d", "store-address": "%s",
-                          "processor-share": 1.0, "processor-speed": 1,
-                          "lease-millis": 1000, "stop-millis": 50, "shutdown-seconds": 6 }
-                        """.formatted(name, ports.get(0), ports.get(1), ports.get(2), ports.get(3), store.address()));
+                    { "node": "%s", "failure-domain": "hobart", "failure-domains": { "hobart": "south" },
+                      "ip": "127.0.0.1",
+                      "peer-port": %d, "metrics-port": %d, "client-address": "127.0.0.1:%d",
+                      "readiness-address": "127.0.0.1:%d", "store-address": "%s",
+                      "processor-share": 1.0, "processor-speed": 1,
+                      "lease-millis": 1000, "stop-millis": 50, "shutdown-seconds": 6 }
+                    """.formatted(name, ports.get(0), ports.get(1), ports.get(2), ports.get(3), store.address()));
             ClusterSettings settings = ClusterSettings.read(file);
             ClusterNode node = new ClusterNode(settings, new DecisionLog(name, System.err));
             nodes.add(node);
--- a/tarragonarch-standin/src/test/java/org/tarragonarch/standin/soak/SoakCluster.java
+++ b/tarragonarch-standin/src/test/java/org/tarragonarch/standin/soak/SoakCluster.java
@@ -155,9 +155,8 @@
 
     private static String route(String prefix) {
         return """
-            {"Name":"q","Host":"127.0.0.1","Prefix":"%s","Service":"board",
-             "Attempts":3,"Stretch":1.6,"SloMs":200}\
-            """.formatted(prefix);
+                {"Name":"q","Host":"127.0.0.1","Prefix":"%s","Service":"board",
+                 "Attempts":3,"Stretch":1.6,"SloMs":200}""".formatted(prefix);
     }
 
     /** Returns what a node wrote. */
@@ -205,13 +204,13 @@
         Path file = folder.resolve("node-" + node + ".jsonc");
         NodePorts own = ports.get(node);
         Files.writeString(file, """
-            { "node": "n%02d", "failure-domain": "%s", "failure-domains": {"%s": "r", "%s": "r"},
-              "ip": "%s",
-              "processor-share": 1.0, "processor-speed": 1,
-              "peer-port": %d, "metrics-port": %d, "client-address": "127.0.0.1:%d",
-              "readiness-address": "127.0.0.1:%d", "store-address": "%s",
-              "lease-millis": 1000, "stop-millis": 50, "shutdown-seconds": 6 }
-            """.formatted(
+                { "node": "n%02d", "failure-domain": "%s", "failure-domains": {"%s": "r", "%s": "r"},
+                  "ip": "%s",
+                  "processor-share": 1.0, "processor-speed": 1,
+                  "peer-port": %d, "metrics-port": %d, "client-address": "127.0.0.1:%d",
+                  "readiness-address": "127.0.0.1:%d", "store-address": "%s",
+                  "lease-millis": 1000, "stop-millis": 50, "shutdown-seconds": 6 }
+                """.formatted(
                         node,
                         domain(node),
                         DOMAINS[0],
