--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/admission/AdmissionControl.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/admission/AdmissionControl.java
@@ -10,7 +10,7 @@
 import org.tarragonarch.core.event.SubmissionArrived;
 import org.tarragonarch.core.event.TaskShape;
 import org.tarragonarch.core.queue.JobQueue;
-import org.tarragonarch.core.submission.ComeBack;
+import org.tarragonarch.core.submission.RetryAfterBounds;
 import org.tarragonarch.core.submission.ServiceLanes;
 import org.tarragonarch.core.submission.Submission;
 import org.tarragonarch.core.submission.WaitEstimates;
@@ -117,7 +117,7 @@
         if (isQueueFull(submission)) {
             return refuseUntilDrained(submission, ProblemCode.QUEUE_FULL, "the queue of " + service + " is full");
         }
-        if (estimates.cannotFinish(submission, submission.arrivedNanos()) || wouldMissDeadline(submission)) {
+        if (estimates.cannotMeetDeadline(submission, submission.arrivedNanos()) || wouldMissDeadline(submission)) {
             return refuseUntilDrained(
                     submission, ProblemCode.WOULD_MISS_DEADLINE, "the wait for slots would pass the deadline");
         }
@@ -152,13 +152,13 @@
     }
 
     private Refused refuseUntilDrained(Submission submission, ProblemCode code, String detail) {
-        Duration wait = estimates.comeBackAfter(submission.service().name(), submission.team());
+        Duration wait = estimates.retryAfter(submission.service().name(), submission.team());
         return new Refused(Problem.of(code, Step.ADMIT, CALLER, detail).withRetryAfter(wait));
     }
 
     private static Refused refuseForNow(ProblemCode code, String detail) {
-        return new Refused(
-                Problem.of(code, Step.ADMIT, CALLER, detail).withRetryAfter(ComeBack.within(Duration.ofSeconds(1))));
+        return new Refused(Problem.of(code, Step.ADMIT, CALLER, detail)
+                .withRetryAfter(RetryAfterBounds.clamp(Duration.ofSeconds(1))));
     }
 
     private static Refused refuse(ProblemCode code, String detail) {
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/claim/IdempotencyKeys.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/claim/IdempotencyKeys.java
@@ -21,9 +21,9 @@
 import org.tarragonarch.core.node.NodeIdentity;
 import org.tarragonarch.core.node.NodePolicy;
 import org.tarragonarch.core.submission.Dispatcher;
-import org.tarragonarch.core.submission.EndListener;
 import org.tarragonarch.core.submission.Stage;
 import org.tarragonarch.core.submission.Submission;
+import org.tarragonarch.core.submission.SubmissionEndListener;
 import org.tarragonarch.model.id.ClaimKey;
 import org.tarragonarch.model.id.ClaimToken;
 import org.tarragonarch.model.id.NodeId;
@@ -39,7 +39,7 @@
  * needs no claim: running it on two nodes does no harm, and so it lives through an outage of the store. Not safe for
  * use by several threads.
  */
-public final class IdempotencyKeys implements EndListener {
+public final class IdempotencyKeys implements SubmissionEndListener {
     private final NodeIdentity self;
     private final Duration claimTimeout;
     private final Map<ClaimKey, KeyEntry> entries = new HashMap<>();
@@ -98,7 +98,7 @@
     }
 
     @Override
-    public void ended(Submission submission, Optional<Problem> problem, long nowNanos, ActionSink sink) {
+    public void submissionEnded(Submission submission, Optional<Problem> problem, long nowNanos, ActionSink sink) {
         asking.ended(submission);
         KeyEntry entry = submission.claimKey().map(entries::get).orElse(null);
         if (entry == null || !entry.isRunBy(submission)) {
@@ -149,7 +149,7 @@
             return;
         }
         switch (arrived.outcome()) {
-            case COMPLETE -> dispatcher.endFromPeer(waiting, nowNanos, sink);
+            case COMPLETE -> dispatcher.endWithPeerAnswer(waiting, nowNanos, sink);
             case PROBLEM -> dispatcher.end(waiting, arrived.problem(), nowNanos, sink);
             case NOT_TO_BE_HAD -> heldElsewhere(waiting, "the node that holds the key gives no answer", nowNanos, sink);
             default -> throw new AssertionError(arrived.outcome());
@@ -272,7 +272,7 @@
 
     private void answerLike(KeyEntry entry, Submission submission, long nowNanos, ActionSink sink) {
         if (entry.complete()) {
-            dispatcher.endSameAs(submission, entry.holderId(), nowNanos, sink);
+            dispatcher.endWithAnswerOf(submission, entry.holderId(), nowNanos, sink);
         } else {
             dispatcher.end(submission, entry.problem(), nowNanos, sink);
         }
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/claim/KeyProblems.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/claim/KeyProblems.java
@@ -1,7 +1,7 @@
 package org.tarragonarch.core.claim;
 
 import java.time.Duration;
-import org.tarragonarch.core.submission.ComeBack;
+import org.tarragonarch.core.submission.RetryAfterBounds;
 import org.tarragonarch.model.id.ClaimKey;
 import org.tarragonarch.model.outcome.Problem;
 import org.tarragonarch.model.outcome.ProblemCode;
@@ -20,7 +20,7 @@
                         Step.CLAIM,
                         TABLE_SERVICE,
                         "the idempotency key could not be claimed")
-                .withRetryAfter(ComeBack.within(claimTimeout));
+                .withRetryAfter(RetryAfterBounds.clamp(claimTimeout));
     }
 
     /** Another node, or an earlier run of this one, holds the key and gives no answer. */
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/node/ConfigurationHandler.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/node/ConfigurationHandler.java
@@ -37,7 +37,7 @@
                 .inForce()
                 .ifPresent(catalog -> parts.endpoints.drainDomains(catalog.drainedDomains(), nowNanos, sink));
         lifecycle.configurationLoaded(sink);
-        parts.dispatcher.everythingChanged();
+        parts.dispatcher.markAllServicesChanged();
         parts.peers.reportNow(nowNanos, parts.reportSource, sink);
     }
 
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/node/EndpointHandler.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/node/EndpointHandler.java
@@ -20,19 +20,19 @@
     void timePassed(long nowNanos, ActionSink sink) {
         if (parts.endpoints.nextWakeNanos() <= nowNanos) {
             // Any event may be the one at which an endpoint's wait is over; tasks of every service may wait for it.
-            parts.dispatcher.everythingChanged();
+            parts.dispatcher.markAllServicesChanged();
         }
         parts.endpoints.timePassed(nowNanos, sink);
     }
 
     private void probeEnded(ProbeEnded ended, long nowNanos, ActionSink sink) {
         parts.endpoints.probeEnded(ended, nowNanos, sink);
-        parts.dispatcher.everythingChanged();
+        parts.dispatcher.markAllServicesChanged();
     }
 
     private void drain(EndpointDrainRequested drain, long nowNanos, ActionSink sink) {
         parts.endpoints.drain(drain.endpoint(), drain.out(), nowNanos, sink);
-        parts.dispatcher.everythingChanged();
+        parts.dispatcher.markAllServicesChanged();
         parts.peers.reportNow(nowNanos, parts.reportSource, sink);
     }
 }
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/node/EntryNode.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/node/EntryNode.java
@@ -20,7 +20,7 @@
  * events at the same times always give the same actions. Not safe for use by several threads.
  */
 public final class EntryNode {
-    private static final long LEAST_WAKE_NANOS = 1_000_000;
+    private static final long MIN_WAKE_DELAY_NANOS = 1_000_000;
 
     private final NodeIdentity identity;
     private final NodeParts parts;
@@ -28,7 +28,7 @@
     private final EndpointHandler endpoints;
     private final LifecycleHandler lifecycle;
     private final MembershipHandler membership;
-    private long wakeNanos = Long.MAX_VALUE;
+    private long requestedWakeNanos = Long.MAX_VALUE;
 
     private EntryNode(NodeIdentity identity, NodePolicy policy, long seed) {
         this.identity = checkNotNull(identity, "identity");
@@ -42,7 +42,7 @@
         new SubmissionHandler(parts).register(handlers);
         new ClaimHandler(parts).register(handlers);
         new ConfigurationHandler(parts, lifecycle).register(handlers);
-        handlers.register(TimePassed.class, (passed, nowNanos, sink) -> parts.dispatcher.everythingChanged());
+        handlers.register(TimePassed.class, (passed, nowNanos, sink) -> parts.dispatcher.markAllServicesChanged());
         handlers.checkComplete();
     }
 
@@ -68,11 +68,11 @@
      */
     public void handle(long nowNanos, Event event, ActionSink sink) {
         handlers.handle(event, nowNanos, sink);
-        parts.dispatcher.expire(nowNanos, sink);
+        parts.dispatcher.endExpired(nowNanos, sink);
         timePassed(nowNanos, sink);
-        parts.dispatcher.startWaiting(nowNanos, sink);
-        lifecycle.leaveWhenDone(nowNanos, sink);
-        wake(nowNanos, sink);
+        parts.dispatcher.startWaitingTasks(nowNanos, sink);
+        lifecycle.leaveIfDone(nowNanos, sink);
+        requestWake(nowNanos, sink);
     }
 
     /** Returns a snapshot for the administration API; costs time in proportion to what it shows. */
@@ -105,7 +105,7 @@
      * for again, and every deadline would wait for whatever event comes next. So a past time counts as a moment from
      * now, which differs each time.
      */
-    private void wake(long nowNanos, ActionSink sink) {
+    private void requestWake(long nowNanos, ActionSink sink) {
         long next = Longs.min(
                 membership.nextWakeNanos(),
                 parts.configuration.nextWakeNanos(),
@@ -113,9 +113,9 @@
                 parts.keys.nextWakeNanos(),
                 parts.submissions.nextDeadlineNanos(),
                 parts.lifecycle.nextWakeNanos());
-        long wake = next > nowNanos ? next : nowNanos + LEAST_WAKE_NANOS;
-        if (wake != wakeNanos) {
-            wakeNanos = wake;
+        long wake = next > nowNanos ? next : nowNanos + MIN_WAKE_DELAY_NANOS;
+        if (wake != requestedWakeNanos) {
+            requestedWakeNanos = wake;
             sink.emit(new WakeAt(wake));
         }
     }
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/node/LifecycleHandler.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/node/LifecycleHandler.java
@@ -13,7 +13,7 @@
 /** Decides when the node is ready for work, and ends its work when it leaves. */
 final class LifecycleHandler {
     private final NodeParts parts;
-    private boolean vmListSeen;
+    private boolean vmListKnown;
 
     LifecycleHandler(NodeParts parts) {
         this.parts = parts;
@@ -25,23 +25,23 @@
 
     /** Records that the platform's list of VMs was read. */
     void vmListRead(ActionSink sink) {
-        vmListSeen = true;
-        equip(sink);
+        vmListKnown = true;
+        serveIfReady(sink);
     }
 
     /** Records that a configuration came into force. */
     void configurationLoaded(ActionSink sink) {
-        equip(sink);
+        serveIfReady(sink);
     }
 
     /** Ends what is left of the work when the drain took too long, and leaves when nothing is left. */
-    void leaveWhenDone(long nowNanos, ActionSink sink) {
+    void leaveIfDone(long nowNanos, ActionSink sink) {
         if (parts.lifecycle.mustCut(nowNanos) && parts.submissions.size() > 0) {
             sink.emit(Note.of(
                     NoteEvent.DRAIN_CUT_SHORT, Step.LIFECYCLE, "caller", "submissions", parts.submissions.size()));
-            for (Submission submission : parts.submissions.all()) {
+            for (Submission submission : parts.submissions.openSubmissions()) {
                 ProblemCode code = submission.mayHaveRun() ? ProblemCode.SHUT_DOWN : ProblemCode.DRAINING;
-                Problem problem = parts.dispatcher.giveUp(submission, code, "the node stopped");
+                Problem problem = parts.dispatcher.problemFor(submission, code, "the node stopped");
                 parts.dispatcher.end(submission, Optional.of(problem), nowNanos, sink);
             }
         }
@@ -53,8 +53,8 @@
         parts.peers.reportNow(nowNanos, parts.reportSource, sink);
     }
 
-    private void equip(ActionSink sink) {
-        if (vmListSeen && parts.configuration.inForce().isPresent()) {
+    private void serveIfReady(ActionSink sink) {
+        if (vmListKnown && parts.configuration.inForce().isPresent()) {
             parts.lifecycle.equipped(sink);
         }
     }
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/node/MembershipHandler.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/node/MembershipHandler.java
@@ -16,7 +16,7 @@
     private final NodeParts parts;
     private final LifecycleHandler lifecycle;
     private final Duration vmListInterval;
-    private ImmutableSet<NodeId> alive = ImmutableSet.of();
+    private ImmutableSet<NodeId> aliveNodes = ImmutableSet.of();
     private long nextVmListNanos = Long.MIN_VALUE;
 
     MembershipHandler(NodeParts parts, LifecycleHandler lifecycle, Duration vmListInterval) {
@@ -57,7 +57,7 @@
         parts.endpoints.peerReported(report, nowNanos, sink);
         parts.configuration.peerHas(report.from(), report.configuration(), nowNanos, sink);
         membershipChanged(nowNanos, sink);
-        parts.dispatcher.everythingChanged();
+        parts.dispatcher.markAllServicesChanged();
     }
 
     private void vmListRead(VmListRead read, long nowNanos, ActionSink sink) {
@@ -67,14 +67,14 @@
         parts.keys.writers(Math.toIntExact(nodes));
         membershipChanged(nowNanos, sink);
         lifecycle.vmListRead(sink);
-        parts.dispatcher.everythingChanged();
+        parts.dispatcher.markAllServicesChanged();
     }
 
     private void membershipChanged(long nowNanos, ActionSink sink) {
         ImmutableSet<NodeId> now = parts.peers.aliveInDomain();
-        if (!now.equals(alive)) {
-            ImmutableSet<NodeId> before = alive;
-            alive = now;
+        if (!now.equals(aliveNodes)) {
+            ImmutableSet<NodeId> before = aliveNodes;
+            aliveNodes = now;
             parts.endpoints.aliveNodes(now, nowNanos, sink);
             Sets.difference(before, now).forEach(gone -> parts.keys.silent(gone, nowNanos, sink));
         }
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/node/NodeParts.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/node/NodeParts.java
@@ -39,8 +39,8 @@
         this.configuration = ConfigurationReplica.create(policy);
         this.endpoints = EndpointDirectory.create(identity.node(), identity.domain(), random, policy.placement());
         this.peers = PeerDirectory.create(identity, policy);
-        this.quotas = SharedLimits.create(identity.node(), this::quotaOf);
-        this.services = SharedLimits.create(identity.node(), this::limitOf);
+        this.quotas = SharedLimits.create(identity.node(), this::maxRunningTasks);
+        this.services = SharedLimits.create(identity.node(), this::maxRunningTasks);
         this.keys = IdempotencyKeys.create(identity, policy, random);
         RunTimeEstimator runTimes = RunTimeEstimator.create();
         WaitEstimates estimates = WaitEstimates.create(lanes, endpoints, quotas, services, runTimes);
@@ -48,10 +48,10 @@
         this.keys.connect(dispatcher);
         this.admission = AdmissionControl.create(lanes, estimates, endpoints);
         this.lifecycle = Lifecycle.create(policy);
-        this.reportSource = new OwnReport(lifecycle, configuration, endpoints.views());
+        this.reportSource = new NodeReportSource(lifecycle, configuration, endpoints.views());
     }
 
-    private int quotaOf(TeamName team) {
+    private int maxRunningTasks(TeamName team) {
         return configuration
                 .inForce()
                 .flatMap(catalog -> catalog.team(team))
@@ -59,7 +59,7 @@
                 .orElse(1);
     }
 
-    private int limitOf(ServiceName service) {
+    private int maxRunningTasks(ServiceName service) {
         return configuration
                 .inForce()
                 .flatMap(catalog -> catalog.service(service))
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/node/OwnReport.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/node/NodeReportSource.java
@@ -12,12 +12,12 @@
 import org.tarragonarch.model.report.NodePhase;
 
 /** What this node reports to its peers. */
-final class OwnReport implements ReportSource {
+final class NodeReportSource implements ReportSource {
     private final Lifecycle lifecycle;
     private final ConfigurationReplica configuration;
     private final EndpointViews endpoints;
 
-    OwnReport(Lifecycle lifecycle, ConfigurationReplica configuration, EndpointViews endpoints) {
+    NodeReportSource(Lifecycle lifecycle, ConfigurationReplica configuration, EndpointViews endpoints) {
         this.lifecycle = lifecycle;
         this.configuration = configuration;
         this.endpoints = endpoints;
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/node/SubmissionHandler.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/node/SubmissionHandler.java
@@ -58,17 +58,17 @@
             return;
         }
         Submission submission = found.get();
-        if (cancel.cause() == CancelCause.HANG_UP && runsOnWithoutCaller(submission)) {
+        if (cancel.cause() == CancelCause.HANG_UP && continuesWithoutCaller(submission)) {
             return;
         }
-        ProblemCode code = submission.stage().cancelled(submission.mayHaveRun());
-        Problem problem = parts.dispatcher.giveUp(submission, code, "cancelled by " + cancel.cause());
+        ProblemCode code = submission.stage().cancellationCode(submission.mayHaveRun());
+        Problem problem = parts.dispatcher.problemFor(submission, code, "cancelled by " + cancel.cause());
         parts.dispatcher.end(submission, Optional.of(problem), nowNanos, sink);
     }
 
     // A caller that lost its connection comes back with the same key for the answer. Work that may have run is worth
     // finishing for it, and so is work that others wait for.
-    private boolean runsOnWithoutCaller(Submission submission) {
+    private boolean continuesWithoutCaller(Submission submission) {
         return submission.claimKey().isPresent() && (submission.mayHaveRun() || parts.keys.awaited(submission));
     }
 }
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/submission/Dispatcher.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/submission/Dispatcher.java
@@ -36,11 +36,11 @@
 public final class Dispatcher {
     private final SubmissionTable submissions;
     private final EndpointDirectory endpoints;
-    private final EndListener endListener;
+    private final SubmissionEndListener endListener;
     private final ServiceLanes lanes;
     private final WaitEstimates estimates;
-    private final InFlightTasks inFlight;
-    private final Set<ServiceName> changed = new LinkedHashSet<>();
+    private final InFlightTasks inFlightTasks;
+    private final Set<ServiceName> changedServices = new LinkedHashSet<>();
     private final RetryBudget retryBudget = new RetryBudget();
     private final TaskFeedback feedback;
 
@@ -52,12 +52,12 @@
             SharedLimits<TeamName> quotas,
             SharedLimits<ServiceName> services,
             RunTimeEstimator runTimes,
-            EndListener endListener) {
+            SubmissionEndListener endListener) {
         this.submissions = submissions;
         this.lanes = lanes;
         this.estimates = estimates;
         this.endpoints = endpoints;
-        this.inFlight = new InFlightTasks(lanes, quotas, services);
+        this.inFlightTasks = new InFlightTasks(lanes, quotas, services);
         this.feedback = new TaskFeedback(endpoints, runTimes, retryBudget);
         this.endListener = endListener;
     }
@@ -71,40 +71,40 @@
             SharedLimits<TeamName> quotas,
             SharedLimits<ServiceName> services,
             RunTimeEstimator runTimes,
-            EndListener endListener) {
+            SubmissionEndListener endListener) {
         return new Dispatcher(submissions, lanes, estimates, endpoints, quotas, services, runTimes, endListener);
     }
 
     /** Queues every task of a submission. */
     public void dispatch(Submission submission) {
         submission.stage(Stage.DISPATCHED);
-        queue(submission, submission.tasks().size());
+        enqueue(submission, submission.tasks().size());
     }
 
     /** Marks every service for another look, because endpoints or shares may have changed. */
-    public void everythingChanged() {
-        changed.addAll(lanes.services());
+    public void markAllServicesChanged() {
+        changedServices.addAll(lanes.services());
     }
 
     /**
      * Starts waiting tasks of the services marked for a look, as far as slots and quotas go.
      *
-     * <p>{@link #expire} must have run at the same time: a node that was paused wakes with queued tasks whose time is
+     * <p>{@link #endExpired} must have run at the same time: a node that was paused wakes with queued tasks whose time is
      * over, and starting one would run work that its caller has given up on.
      */
-    public void startWaiting(long nowNanos, ActionSink sink) {
-        for (ServiceName service : ImmutableList.copyOf(changed)) {
+    public void startWaitingTasks(long nowNanos, ActionSink sink) {
+        for (ServiceName service : ImmutableList.copyOf(changedServices)) {
             ServiceLane lane = lanes.of(service);
             while (startNext(lane, nowNanos, sink)) {
                 // Each round starts one task.
             }
         }
-        changed.clear();
+        changedServices.clear();
     }
 
     /** Processes the end of a sent task. */
     public void taskEnded(TaskEnded ended, long nowNanos, ActionSink sink) {
-        Optional<InFlightTask> flight = inFlight.end(ended);
+        Optional<InFlightTask> flight = inFlightTasks.remove(ended);
         if (flight.isEmpty()) {
             // A second or late end must not touch the task: its answer may be another attempt's.
             sink.emit(Note.of(
@@ -115,10 +115,12 @@
                     ended.task()));
             return;
         }
-        feedback.ended(flight.get(), ended, nowNanos, sink);
+        feedback.taskEnded(flight.get(), ended, nowNanos, sink);
         // A freed team share may let tasks of another service start too.
-        everythingChanged();
-        submissions.find(ended.task().submission()).ifPresent(submission -> judge(submission, ended, nowNanos, sink));
+        markAllServicesChanged();
+        submissions
+                .find(ended.task().submission())
+                .ifPresent(submission -> applyResult(submission, ended, nowNanos, sink));
     }
 
     /**
@@ -133,35 +135,34 @@
     }
 
     /** Answers a submission with the complete results of another one of this node under the same key. */
-    public void endSameAs(Submission submission, SubmissionId original, long nowNanos, ActionSink sink) {
+    public void endWithAnswerOf(Submission submission, SubmissionId original, long nowNanos, ActionSink sink) {
         close(submission, new AnswerSameAs(submission.id(), original), Optional.empty(), nowNanos, sink);
     }
 
     /** Answers a submission with the complete results that the holder of its key gave. */
-    public void endFromPeer(Submission submission, long nowNanos, ActionSink sink) {
+    public void endWithPeerAnswer(Submission submission, long nowNanos, ActionSink sink) {
         close(submission, new AnswerFromPeer(submission.id()), Optional.empty(), nowNanos, sink);
     }
 
     /** Ends every submission whose deadline has passed. */
-    public void expire(long nowNanos, ActionSink sink) {
-        Optional<Submission> expired = submissions.expired(nowNanos);
+    public void endExpired(long nowNanos, ActionSink sink) {
+        Optional<Submission> expired = submissions.firstExpired(nowNanos);
         while (expired.isPresent()) {
             Submission submission = expired.get();
-            ProblemCode code = submission.stage().expired(submission.mayHaveRun());
-            end(submission, Optional.of(giveUp(submission, code, "the deadline passed")), nowNanos, sink);
-            expired = submissions.expired(nowNanos);
+            ProblemCode code = submission.stage().expiryCode(submission.mayHaveRun());
+            end(submission, Optional.of(problemFor(submission, code, "the deadline passed")), nowNanos, sink);
+            expired = submissions.firstExpired(nowNanos);
         }
     }
 
     /** Returns the problem of a submission that is given up on, with a time to come back where that may help. */
-    public Problem giveUp(Submission submission, ProblemCode code, String detail) {
+    public Problem problemFor(Submission submission, ProblemCode code, String detail) {
         Step step = submission.mayHaveRun() ? Step.RUN : submission.stage().step();
-        Problem problem = Problem.of(code, step, peer(submission), detail);
+        Problem problem = Problem.of(code, step, peerName(submission), detail);
         if (!code.worthReturning()) {
             return problem;
         }
-        return problem.withRetryAfter(
-                estimates.comeBackAfter(submission.service().name(), submission.team()));
+        return problem.withRetryAfter(estimates.retryAfter(submission.service().name(), submission.team()));
     }
 
     private void close(
@@ -171,94 +172,94 @@
         }
         lanes.of(submission.service().name()).queue().remove(submission.id());
         submission.tasks().forEach(task -> dropOrStop(submission, task, sink));
-        changed.add(submission.service().name());
+        changedServices.add(submission.service().name());
         sink.emit(answer);
-        endListener.ended(submission, problem, nowNanos, sink);
+        endListener.submissionEnded(submission, problem, nowNanos, sink);
     }
 
-    private void queue(Submission submission, int tasks) {
+    private void enqueue(Submission submission, int tasks) {
         ServiceName service = submission.service().name();
         TeamDefinition team = submission.team();
         lanes.of(service)
                 .queue()
                 .add(submission.id(), team.name(), team.weight(), tasks, estimates.expectedNanos(submission));
-        changed.add(service);
+        changedServices.add(service);
     }
 
     private boolean startNext(ServiceLane lane, long nowNanos, ActionSink sink) {
-        Optional<SubmissionId> next = lane.queue().next(team -> inFlight.mayStart(team));
+        Optional<SubmissionId> next = lane.queue().next(team -> inFlightTasks.mayStart(team));
         if (next.isEmpty()) {
             return false;
         }
         Submission submission = submissions.find(next.get()).orElseThrow();
-        if (!inFlight.mayStart(submission.service().name())) {
+        if (!inFlightTasks.mayStart(submission.service().name())) {
             return false;
         }
-        if (estimates.cannotFinish(submission, nowNanos) && !submission.mayHaveRun()) {
-            Problem problem = giveUp(
+        if (estimates.cannotMeetDeadline(submission, nowNanos) && !submission.mayHaveRun()) {
+            Problem problem = problemFor(
                     submission, ProblemCode.WOULD_MISS_DEADLINE, "its tasks can no longer all run before the deadline");
             end(submission, Optional.of(problem), nowNanos, sink);
             return true;
         }
-        Task task = submission.nextQueued().orElseThrow();
-        Optional<Endpoint> endpoint = reserve(submission, task, nowNanos);
+        Task task = submission.nextQueuedTask().orElseThrow();
+        Optional<Endpoint> endpoint = reserveEndpoint(submission, task, nowNanos);
         endpoint.ifPresent(reserved -> send(submission, task, reserved, nowNanos, sink));
         return endpoint.isPresent();
     }
 
     // Endpoints that failed the task are avoided, but one of them is better than none.
-    private Optional<Endpoint> reserve(Submission submission, Task task, long nowNanos) {
+    private Optional<Endpoint> reserveEndpoint(Submission submission, Task task, long nowNanos) {
         ServiceName service = submission.service().name();
         Optional<Endpoint> fresh =
-                endpoints.reserve(service, submission.service().favours(), task.avoid(), nowNanos);
-        if (fresh.isPresent() || task.avoid().isEmpty()) {
+                endpoints.reserve(service, submission.service().favours(), task.avoidedEndpoints(), nowNanos);
+        if (fresh.isPresent() || task.avoidedEndpoints().isEmpty()) {
             return fresh;
         }
         return endpoints.reserve(service, submission.service().favours(), Set.of(), nowNanos);
     }
 
     private void send(Submission submission, Task task, Endpoint endpoint, long nowNanos, ActionSink sink) {
-        task.send();
+        task.markSent();
         lanes.of(submission.service().name()).queue().taskStarted(submission.id());
-        inFlight.start(submission, task, endpoint, nowNanos);
+        inFlightTasks.add(submission, task, endpoint, nowNanos);
         Duration allowed = Duration.ofNanos(submission.deadlineNanos() - nowNanos);
         sink.emit(new SendTask(task.id(), task.attempt(), endpoint.id(), endpoint.address(), allowed));
     }
 
-    private void judge(Submission submission, TaskEnded ended, long nowNanos, ActionSink sink) {
+    private void applyResult(Submission submission, TaskEnded ended, long nowNanos, ActionSink sink) {
         Task task = submission.task(ended.task().index());
         switch (ended.result()) {
             case SUCCEEDED -> {
                 task.end(TaskState.SUCCEEDED);
-                if (submission.allSucceeded()) {
+                if (submission.allTasksSucceeded()) {
                     end(submission, Optional.empty(), nowNanos, sink);
                 }
             }
             case TASK_FAILED -> {
                 task.end(TaskState.FAILED);
-                end(submission, Optional.of(problem(ProblemCode.TASK_FAILED, Step.RUN, ended)), nowNanos, sink);
+                end(submission, Optional.of(taskProblem(ProblemCode.TASK_FAILED, Step.RUN, ended)), nowNanos, sink);
             }
             case REFUSED_BUSY, REFUSED_DRAINING, CONNECT_FAILED -> {
                 String refusal = ended.result().name();
                 sink.emit(Note.of(
                         NoteEvent.SEND_REFUSED, Step.SEND, ended.endpoint().value(), "refusal", refusal));
                 task.requeue(ended.endpoint());
-                queue(submission, 1);
+                enqueue(submission, 1);
             }
-            case LOST -> lost(submission, task, ended, nowNanos, sink);
+            case LOST -> retryOrEnd(submission, task, ended, nowNanos, sink);
             default -> throw new AssertionError(ended.result());
         }
     }
 
-    private void lost(Submission submission, Task task, TaskEnded ended, long nowNanos, ActionSink sink) {
+    private void retryOrEnd(Submission submission, Task task, TaskEnded ended, long nowNanos, ActionSink sink) {
         boolean mayRetry =
                 submission.arrived().form().mayRetry(submission.kind().idempotent());
         if (mayRetry && nowNanos < submission.deadlineNanos()) {
-            if (retryBudget.spend()) {
+            if (retryBudget.trySpend()) {
                 sink.emit(Note.of(
                         NoteEvent.TASK_RETRIED, Step.SEND, ended.endpoint().value(), "task", task.id()));
                 task.requeueAfterLoss(ended.endpoint());
-                queue(submission, 1);
+                enqueue(submission, 1);
                 return;
             }
             sink.emit(Note.of(
@@ -267,15 +268,16 @@
         task.end(TaskState.LOST);
         ProblemCode code =
                 nowNanos < submission.deadlineNanos() ? ProblemCode.ANSWER_LOST : ProblemCode.DEADLINE_PASSED;
-        end(submission, Optional.of(problem(code, Step.COLLECT, ended)), nowNanos, sink);
+        end(submission, Optional.of(taskProblem(code, Step.COLLECT, ended)), nowNanos, sink);
     }
 
-    private static Problem problem(ProblemCode code, Step step, TaskEnded ended) {
+    private static Problem taskProblem(ProblemCode code, Step step, TaskEnded ended) {
         return Problem.of(code, step, ended.endpoint().value(), ended.detail()).withTask(ended.task());
     }
 
-    private String peer(Submission submission) {
-        return inFlight.endpointOf(submission)
+    private String peerName(Submission submission) {
+        return inFlightTasks
+                .endpointOf(submission)
                 .map(endpoint -> endpoint.id().value())
                 .orElse("caller");
     }
@@ -284,7 +286,7 @@
         if (task.state() == TaskState.QUEUED) {
             task.end(TaskState.DROPPED);
         } else if (task.state() == TaskState.SENT) {
-            inFlight.stop(submission, task, sink);
+            inFlightTasks.stop(submission, task, sink);
         }
     }
 }
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/submission/InFlightTask.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/submission/InFlightTask.java
@@ -24,7 +24,7 @@
         int attempt,
         long sentNanos,
         boolean stopped) {
-    InFlightTask stop() {
+    InFlightTask asStopped() {
         return new InFlightTask(service, kind, team, endpoint, attempt, sentNanos, true);
     }
 }
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/submission/InFlightTasks.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/submission/InFlightTasks.java
@@ -36,10 +36,10 @@
     }
 
     /** Counts a task that is sent to an endpoint. */
-    void start(Submission submission, Task task, Endpoint endpoint, long nowNanos) {
+    void add(Submission submission, Task task, Endpoint endpoint, long nowNanos) {
         ServiceName service = submission.service().name();
         TeamName team = submission.team().name();
-        lanes.of(service).started(team);
+        lanes.of(service).taskStarted(team);
         quotas.started(team);
         services.started(service);
         inFlight.put(
@@ -48,13 +48,13 @@
     }
 
     /** Takes out the task that has ended; returns nothing if it is not this attempt that is in flight. */
-    Optional<InFlightTask> end(TaskEnded ended) {
+    Optional<InFlightTask> remove(TaskEnded ended) {
         InFlightTask flight = inFlight.get(ended.task());
         if (flight == null || flight.attempt() != ended.attempt()) {
             return Optional.empty();
         }
         inFlight.remove(ended.task());
-        lanes.of(flight.service()).ended(flight.team());
+        lanes.of(flight.service()).taskEnded(flight.team());
         quotas.ended(flight.team());
         services.ended(flight.service());
         return Optional.of(flight);
@@ -70,7 +70,7 @@
         InFlightTask flight = inFlight.get(task.id());
         boolean sendStop = submission.service().favours().stopsStartedTasks();
         Endpoint endpoint = flight.endpoint();
-        inFlight.put(task.id(), flight.stop());
+        inFlight.put(task.id(), flight.asStopped());
         sink.emit(new StopTask(task.id(), flight.attempt(), endpoint.id(), endpoint.address(), sendStop));
     }
 
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/submission/RetryBudget.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/submission/RetryBudget.java
@@ -10,19 +10,19 @@
     private static final double EARNED_PER_SUCCESS = 0.1;
     private static final double RESERVE = 10;
 
-    private double retries = RESERVE;
+    private double available = RESERVE;
 
     /** Records a task that succeeded. */
-    void succeeded() {
-        retries = Math.min(RESERVE, retries + EARNED_PER_SUCCESS);
+    void recordSuccess() {
+        available = Math.min(RESERVE, available + EARNED_PER_SUCCESS);
     }
 
     /** Spends one retry; returns false, and spends nothing, if there is none left. */
-    boolean spend() {
-        if (retries < 1) {
+    boolean trySpend() {
+        if (available < 1) {
             return false;
         }
-        retries--;
+        available--;
         return true;
     }
 }
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/submission/ServiceLane.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/submission/ServiceLane.java
@@ -27,11 +27,11 @@
         return queue;
     }
 
-    void started(TeamName team) {
+    void taskStarted(TeamName team) {
         running.add(team);
     }
 
-    void ended(TeamName team) {
+    void taskEnded(TeamName team) {
         running.remove(team);
     }
 
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/submission/Stage.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/submission/Stage.java
@@ -8,48 +8,48 @@
     /** Its key is being claimed, so nothing of it can have left this node. */
     CLAIMING(Step.CLAIM) {
         @Override
-        public ProblemCode expired(boolean mayHaveRun) {
+        public ProblemCode expiryCode(boolean mayHaveRun) {
             return ProblemCode.CLAIM_UNAVAILABLE;
         }
 
         @Override
-        public ProblemCode cancelled(boolean mayHaveRun) {
+        public ProblemCode cancellationCode(boolean mayHaveRun) {
             return ProblemCode.CANCELLED;
         }
     },
     /** Another node holds its key and was asked for the answer. */
     ASKING_HOLDER(Step.PEER) {
         @Override
-        public ProblemCode expired(boolean mayHaveRun) {
+        public ProblemCode expiryCode(boolean mayHaveRun) {
             return ProblemCode.HELD_ELSEWHERE;
         }
 
         @Override
-        public ProblemCode cancelled(boolean mayHaveRun) {
+        public ProblemCode cancellationCode(boolean mayHaveRun) {
             return ProblemCode.CANCELLED_WHILE_RUNNING;
         }
     },
     /** An earlier submission of this node under the same key is running, and will answer this one too. */
     JOINED(Step.RUN) {
         @Override
-        public ProblemCode expired(boolean mayHaveRun) {
+        public ProblemCode expiryCode(boolean mayHaveRun) {
             return ProblemCode.DEADLINE_PASSED;
         }
 
         @Override
-        public ProblemCode cancelled(boolean mayHaveRun) {
+        public ProblemCode cancellationCode(boolean mayHaveRun) {
             return ProblemCode.CANCELLED_WHILE_RUNNING;
         }
     },
     /** Its tasks wait for slots or run. */
     DISPATCHED(Step.QUEUE) {
         @Override
-        public ProblemCode expired(boolean mayHaveRun) {
+        public ProblemCode expiryCode(boolean mayHaveRun) {
             return mayHaveRun ? ProblemCode.DEADLINE_PASSED : ProblemCode.EXPIRED_IN_QUEUE;
         }
 
         @Override
-        public ProblemCode cancelled(boolean mayHaveRun) {
+        public ProblemCode cancellationCode(boolean mayHaveRun) {
             return mayHaveRun ? ProblemCode.CANCELLED_WHILE_RUNNING : ProblemCode.CANCELLED;
         }
     };
@@ -66,8 +66,8 @@
     }
 
     /** Returns the problem of a submission whose deadline passes at this stage. */
-    public abstract ProblemCode expired(boolean mayHaveRun);
+    public abstract ProblemCode expiryCode(boolean mayHaveRun);
 
     /** Returns the problem of a submission that is cancelled at this stage. */
-    public abstract ProblemCode cancelled(boolean mayHaveRun);
+    public abstract ProblemCode cancellationCode(boolean mayHaveRun);
 }
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/submission/Submission.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/submission/Submission.java
@@ -119,11 +119,11 @@
         return tasks.get(index);
     }
 
-    Optional<Task> nextQueued() {
+    Optional<Task> nextQueuedTask() {
         return tasks.stream().filter(task -> task.state() == TaskState.QUEUED).findFirst();
     }
 
-    boolean allSucceeded() {
+    boolean allTasksSucceeded() {
         return tasks.stream().allMatch(task -> task.state() == TaskState.SUCCEEDED);
     }
 }
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/submission/EndListener.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/submission/SubmissionEndListener.java
@@ -6,7 +6,7 @@
 
 /** Notified of every submission that has ended, after its caller was answered. */
 @FunctionalInterface
-public interface EndListener {
+public interface SubmissionEndListener {
     /**
      * Records an end.
      *
@@ -15,5 +15,5 @@
      * @param nowNanos when it ended
      * @param sink takes the actions that follow
      */
-    void ended(Submission submission, Optional<Problem> problem, long nowNanos, ActionSink sink);
+    void submissionEnded(Submission submission, Optional<Problem> problem, long nowNanos, ActionSink sink);
 }
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/submission/SubmissionTable.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/submission/SubmissionTable.java
@@ -48,12 +48,12 @@
     }
 
     /** Returns every submission without an answer, as a copy. */
-    public ImmutableList<Submission> all() {
+    public ImmutableList<Submission> openSubmissions() {
         return ImmutableList.copyOf(open.values());
     }
 
     /** Returns a submission whose deadline has passed, the earliest first. */
-    public Optional<Submission> expired(long nowNanos) {
+    public Optional<Submission> firstExpired(long nowNanos) {
         dropAnswered();
         return Optional.ofNullable(byDeadline.peek())
                 .filter(first -> first.nanos() <= nowNanos)
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/submission/Task.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/submission/Task.java
@@ -9,10 +9,10 @@
 /** One task of a submission and how far it has come. */
 final class Task {
     private final TaskId id;
-    private ImmutableSet<EndpointId> avoid = ImmutableSet.of();
+    private ImmutableSet<EndpointId> avoidedEndpoints = ImmutableSet.of();
     private TaskState state = TaskState.QUEUED;
     private int attempt;
-    private boolean lostBefore;
+    private boolean earlierAttemptLost;
 
     Task(TaskId id) {
         this.id = id;
@@ -32,11 +32,11 @@
     }
 
     /** Returns the endpoints that refused or lost this task. */
-    ImmutableSet<EndpointId> avoid() {
-        return avoid;
+    ImmutableSet<EndpointId> avoidedEndpoints() {
+        return avoidedEndpoints;
     }
 
-    void send() {
+    void markSent() {
         checkState(state == TaskState.QUEUED, "task %s is %s and must not be sent", id, state);
         state = TaskState.SENT;
         attempt++;
@@ -48,24 +48,27 @@
      * <p>A task that waits for a retry counts: its first attempt may have run, and to call it not-run would be false.
      */
     boolean mayHaveRun() {
-        return lostBefore || state.mayHaveRun();
+        return earlierAttemptLost || state.mayHaveRun();
     }
 
     /** Puts the task back because its newest attempt did not start. */
     void requeue(EndpointId failedAt) {
         checkState(state == TaskState.SENT, "task %s is %s and was not sent", id, state);
         state = TaskState.QUEUED;
-        avoid = ImmutableSet.<EndpointId>builder().addAll(avoid).add(failedAt).build();
+        avoidedEndpoints = ImmutableSet.<EndpointId>builder()
+                .addAll(avoidedEndpoints)
+                .add(failedAt)
+                .build();
     }
 
     /** Puts the task back for a retry although its newest attempt may have run. */
     void requeueAfterLoss(EndpointId lostAt) {
         requeue(lostAt);
-        lostBefore = true;
+        earlierAttemptLost = true;
     }
 
     void end(TaskState end) {
-        checkState(end.ended() && !state.ended(), "task %s cannot go from %s to %s", id, state, end);
+        checkState(end.isFinal() && !state.isFinal(), "task %s cannot go from %s to %s", id, state, end);
         state = end;
     }
 }
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/submission/TaskFeedback.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/submission/TaskFeedback.java
@@ -18,7 +18,7 @@
         this.retryBudget = retryBudget;
     }
 
-    void ended(InFlightTask flight, TaskEnded ended, long nowNanos, ActionSink sink) {
+    void taskEnded(InFlightTask flight, TaskEnded ended, long nowNanos, ActionSink sink) {
         if (flight.stopped()) {
             endpoints.endedAfterStop(ended, nowNanos, sink);
             return;
@@ -27,7 +27,7 @@
         endpoints.ended(ended, flight.service(), flight.kind(), runNanos, nowNanos, sink);
         if (ended.result() == SendResult.SUCCEEDED) {
             runTimes.observe(flight.service(), flight.kind(), runNanos);
-            retryBudget.succeeded();
+            retryBudget.recordSuccess();
         }
     }
 }
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/submission/TaskState.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/submission/TaskState.java
@@ -16,11 +16,11 @@
     DROPPED(false, true);
 
     private final boolean mayHaveRun;
-    private final boolean ended;
+    private final boolean isFinal;
 
     TaskState(boolean mayHaveRun, boolean ended) {
         this.mayHaveRun = mayHaveRun;
-        this.ended = ended;
+        this.isFinal = ended;
     }
 
     /** Returns whether the task may have run, so that its submission can no longer be called not-run. */
@@ -29,7 +29,7 @@
     }
 
     /** Returns whether the task stays in this state. */
-    public boolean ended() {
-        return ended;
+    public boolean isFinal() {
+        return isFinal;
     }
 }
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/submission/WaitEstimates.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/submission/WaitEstimates.java
@@ -60,8 +60,8 @@
     }
 
     /** Returns after how long a team's caller should come back to a service: the wait behind all, within bounds. */
-    public Duration comeBackAfter(ServiceName service, TeamDefinition team) {
-        return ComeBack.within(expectedWait(service, team, Long.MAX_VALUE));
+    public Duration retryAfter(ServiceName service, TeamDefinition team) {
+        return RetryAfterBounds.clamp(expectedWait(service, team, Long.MAX_VALUE));
     }
 
     private Duration expectedWait(ServiceName service, TeamDefinition team, long jobNanos) {
@@ -86,7 +86,7 @@
      * times predict well how long a job takes that needs each slot more than once, and little of a single task; so only
      * the former is judged, and only by run times that were learnt.
      */
-    public boolean cannotFinish(Submission submission, long nowNanos) {
+    public boolean cannotMeetDeadline(Submission submission, long nowNanos) {
         ServiceName service = submission.service().name();
         int tasks = submission.tasks().size();
         int slots = Math.max(1, endpoints.slotsOfAllNodes(service));
--- a/tarragonarch-core/src/test/java/org/tarragonarch/core/node/EntryNodeTest.java
+++ b/tarragonarch-core/src/test/java/org/tarragonarch/core/node/EntryNodeTest.java
@@ -40,60 +40,60 @@
 
 public final class EntryNodeTest {
     @Test
-    public void testJob_answeredWholeAfterItsLastTask() {
+    public void testJob_answeredAfterItsLastTask() {
         NodeFixture node = NodeFixture.serving(8);
-        SubmissionId job = node.submit(SubmissionForm.JOB, NodeFixture.ONCE, 3);
-        List<SendTask> sends = node.all(SendTask.class);
+        SubmissionId job = node.submit(SubmissionForm.JOB, NodeFixture.NOT_IDEMPOTENT, 3);
+        List<SendTask> sends = node.allActions(SendTask.class);
         assertEquals(sends.size(), 3);
-        node.end(sends.get(2), SendResult.SUCCEEDED);
-        node.end(sends.get(0), SendResult.SUCCEEDED);
-        assertTrue(node.all(AnswerComplete.class).isEmpty());
-        node.end(sends.get(1), SendResult.SUCCEEDED);
-        assertEquals(node.all(AnswerComplete.class), List.of(new AnswerComplete(job)));
+        node.endTask(sends.get(2), SendResult.SUCCEEDED);
+        node.endTask(sends.get(0), SendResult.SUCCEEDED);
+        assertTrue(node.allActions(AnswerComplete.class).isEmpty());
+        node.endTask(sends.get(1), SendResult.SUCCEEDED);
+        assertEquals(node.allActions(AnswerComplete.class), List.of(new AnswerComplete(job)));
     }
 
     /** Guards against a job that may have run and is run again, or answered late, when an endpoint dies. */
     @Test
-    public void testJob_lostAnswerIsUnknownAtOnce() {
+    public void testJob_lostAnswerEndsJobAtOnce() {
         NodeFixture node = NodeFixture.serving(1);
         SubmissionId job = node.submit(SubmissionForm.JOB, NodeFixture.IDEMPOTENT, 3);
-        node.end(node.last(SendTask.class), SendResult.LOST);
+        node.endTask(node.lastAction(SendTask.class), SendResult.LOST);
         assertEquals(node.problemOf(job).code(), ProblemCode.ANSWER_LOST);
-        node.pass(Duration.ofSeconds(1));
-        assertEquals(node.all(SendTask.class).size(), 1);
+        node.advance(Duration.ofSeconds(1));
+        assertEquals(node.allActions(SendTask.class).size(), 1);
     }
 
     /** Guards against overrunning tasks of a failed job that are taken for nearly done and keep their slots. */
     @Test
     public void testJob_tasksThatOverrunAreStoppedAfterALoss() {
         NodeFixture node = NodeFixture.serving(2);
-        node.submit(SubmissionForm.JOB, NodeFixture.ONCE, 2);
-        List<SendTask> sends = node.all(SendTask.class);
-        node.pass(Duration.ofSeconds(1));
-        node.end(sends.get(0), SendResult.LOST);
-        assertTrue(node.last(StopTask.class).sendStop());
+        node.submit(SubmissionForm.JOB, NodeFixture.NOT_IDEMPOTENT, 2);
+        List<SendTask> sends = node.allActions(SendTask.class);
+        node.advance(Duration.ofSeconds(1));
+        node.endTask(sends.get(0), SendResult.LOST);
+        assertTrue(node.lastAction(StopTask.class).sendStop());
     }
 
     /** Guards against tasks of a failed job that are left to run since their expected end is now. */
     @Test
     public void testJob_tasksAtTheirExpectedEndAreStoppedAfterALoss() {
         NodeFixture node = NodeFixture.serving(2);
-        node.submit(SubmissionForm.JOB, NodeFixture.ONCE, 2);
-        List<SendTask> sends = node.all(SendTask.class);
-        node.pass(NodeFixture.EXPECTED_RUN_TIME);
-        node.end(sends.get(0), SendResult.LOST);
-        assertTrue(node.last(StopTask.class).sendStop());
+        node.submit(SubmissionForm.JOB, NodeFixture.NOT_IDEMPOTENT, 2);
+        List<SendTask> sends = node.allActions(SendTask.class);
+        node.advance(NodeFixture.EXPECTED_RUN_TIME);
+        node.endTask(sends.get(0), SendResult.LOST);
+        assertTrue(node.lastAction(StopTask.class).sendStop());
     }
 
     @Test
-    public void testRequest_idempotentIsTriedAgain() {
+    public void testRequest_idempotentIsRetried() {
         NodeFixture node = NodeFixture.serving(8);
         SubmissionId request = node.submit(SubmissionForm.REQUEST, NodeFixture.IDEMPOTENT, 1);
-        node.end(node.last(SendTask.class), SendResult.LOST);
-        SendTask second = node.last(SendTask.class);
+        node.endTask(node.lastAction(SendTask.class), SendResult.LOST);
+        SendTask second = node.lastAction(SendTask.class);
         assertEquals(second.attempt(), 2);
-        node.end(second, SendResult.SUCCEEDED);
-        assertEquals(node.last(AnswerComplete.class).submission(), request);
+        node.endTask(second, SendResult.SUCCEEDED);
+        assertEquals(node.lastAction(AnswerComplete.class).submission(), request);
     }
 
     /** Guards against a request answered not-run while it waits for a retry of an attempt that may have run. */
@@ -101,111 +101,114 @@
     public void testRequest_deadlineWhileWaitingForRetryIsUnknown() {
         NodeFixture node = NodeFixture.serving(1);
         SubmissionId request = node.submit(SubmissionForm.REQUEST, NodeFixture.IDEMPOTENT, 1);
-        SendTask first = node.last(SendTask.class);
-        node.submit(SubmissionForm.JOB, NodeFixture.ONCE, 1);
-        node.end(first, SendResult.LOST);
-        node.pass(NodeFixture.DEADLINE);
+        SendTask first = node.lastAction(SendTask.class);
+        node.submit(SubmissionForm.JOB, NodeFixture.NOT_IDEMPOTENT, 1);
+        node.endTask(first, SendResult.LOST);
+        node.advance(NodeFixture.DEADLINE);
         assertEquals(node.problemOf(request).code().outcome(), Outcome.UNKNOWN);
     }
 
     /** Guards against a queued job answered unknown, or without a time to come back, at its deadline. */
     @Test
-    public void testDeadline_inQueueIsNotRunWithTimeToComeBack() {
+    public void testDeadline_inQueueIsNotRunWithRetryAfter() {
         NodeFixture node = NodeFixture.serving(1);
-        node.submit(SubmissionForm.JOB, NodeFixture.ONCE, 1);
-        SubmissionId waiting = node.submit(SubmissionForm.JOB, NodeFixture.ONCE, 1);
-        node.pass(NodeFixture.DEADLINE);
+        node.submit(SubmissionForm.JOB, NodeFixture.NOT_IDEMPOTENT, 1);
+        SubmissionId waiting = node.submit(SubmissionForm.JOB, NodeFixture.NOT_IDEMPOTENT, 1);
+        node.advance(NodeFixture.DEADLINE);
         assertEquals(node.problemOf(waiting).code(), ProblemCode.EXPIRED_IN_QUEUE);
         assertTrue(node.problemOf(waiting).retryAfter().isPresent());
     }
 
     /** Guards against a repeated end that frees a slot twice or starts a task of a job again. */
     @Test
-    public void testTaskEnded_secondReportIsDropped() {
+    public void testTaskEnded_repeatedEventIsDropped() {
         NodeFixture node = NodeFixture.serving(1);
-        node.submit(SubmissionForm.JOB, NodeFixture.ONCE, 1);
-        SendTask first = node.last(SendTask.class);
-        node.end(first, SendResult.REFUSED_BUSY);
-        node.pass(Duration.ofSeconds(1));
-        SendTask second = node.last(SendTask.class);
+        node.submit(SubmissionForm.JOB, NodeFixture.NOT_IDEMPOTENT, 1);
+        SendTask first = node.lastAction(SendTask.class);
+        node.endTask(first, SendResult.REFUSED_BUSY);
+        node.advance(Duration.ofSeconds(1));
+        SendTask second = node.lastAction(SendTask.class);
         assertEquals(second.attempt(), 2);
-        node.end(first, SendResult.REFUSED_BUSY);
-        node.pass(Duration.ofSeconds(1));
-        assertEquals(node.last(SendTask.class), second);
+        node.endTask(first, SendResult.REFUSED_BUSY);
+        node.advance(Duration.ofSeconds(1));
+        assertEquals(node.lastAction(SendTask.class), second);
     }
 
     /** Guards against a task refused as busy that waits on since another event replaced its wake-up. */
     @Test
-    public void testRefused_waitThatEndsWithAnotherEvent() {
+    public void testSendRefused_waitEndsAtAnotherEvent() {
         NodeFixture node = NodeFixture.serving(1);
-        node.submit(SubmissionForm.JOB, NodeFixture.ONCE, 1);
-        node.end(node.last(SendTask.class), SendResult.REFUSED_BUSY);
-        node.passUntil(Duration.ofSeconds(1), new PlatformFailed(PlatformPart.VM_LIST, "out"));
-        assertEquals(node.all(SendTask.class).size(), 2);
+        node.submit(SubmissionForm.JOB, NodeFixture.NOT_IDEMPOTENT, 1);
+        node.endTask(node.lastAction(SendTask.class), SendResult.REFUSED_BUSY);
+        node.advanceAndHandle(Duration.ofSeconds(1), new PlatformFailed(PlatformPart.VM_LIST, "out"));
+        assertEquals(node.allActions(SendTask.class).size(), 2);
     }
 
     /** Guards against one team that fills the queue and has the other teams refused. */
     @Test
-    public void testAdmission_fullQueueLeavesOtherTeamsTheirPart() {
+    public void testAdmission_fullQueueLeavesOtherTeamsTheirShare() {
         NodeFixture node = NodeFixture.serving(1, 10);
-        node.submit("members", SubmissionForm.JOB, NodeFixture.ONCE, 9, Optional.empty());
-        SubmissionId refused = node.submit("members", SubmissionForm.JOB, NodeFixture.ONCE, 5, Optional.empty());
+        node.submit("members", SubmissionForm.JOB, NodeFixture.NOT_IDEMPOTENT, 9, Optional.empty());
+        SubmissionId refused =
+                node.submit("members", SubmissionForm.JOB, NodeFixture.NOT_IDEMPOTENT, 5, Optional.empty());
         assertEquals(node.problemOf(refused).code(), ProblemCode.QUEUE_FULL);
-        SubmissionId taken = node.submit("authors", SubmissionForm.JOB, NodeFixture.ONCE, 5, Optional.empty());
-        assertTrue(node.all(AnswerProblem.class).stream()
+        SubmissionId taken =
+                node.submit("authors", SubmissionForm.JOB, NodeFixture.NOT_IDEMPOTENT, 5, Optional.empty());
+        assertTrue(node.allActions(AnswerProblem.class).stream()
                 .noneMatch(answer -> answer.submission().equals(taken)));
     }
 
     /** Guards against healthy endpoints put into quarantine by a wave of cancels. */
     @Test
-    public void testCancelWave_putsNoEndpointIntoQuarantine() {
+    public void testCancel_manyCancelsQuarantineNoEndpoint() {
         NodeFixture node = NodeFixture.servingWithTwoEndpoints(8);
         for (int wave = 0; wave < 10; wave++) {
-            SubmissionId job = node.submit(SubmissionForm.JOB, NodeFixture.ONCE, 2);
-            List<SendTask> sends = node.all(SendTask.class);
-            node.hand(new CancelRequested(job, CancelCause.CALLER));
-            node.end(sends.get(sends.size() - 1), SendResult.TASK_FAILED);
-            node.end(sends.get(sends.size() - 2), SendResult.LOST);
+            SubmissionId job = node.submit(SubmissionForm.JOB, NodeFixture.NOT_IDEMPOTENT, 2);
+            List<SendTask> sends = node.allActions(SendTask.class);
+            node.handle(new CancelRequested(job, CancelCause.CALLER));
+            node.endTask(sends.get(sends.size() - 1), SendResult.TASK_FAILED);
+            node.endTask(sends.get(sends.size() - 2), SendResult.LOST);
         }
-        assertTrue(node.all(Note.class).stream().noneMatch(note -> note.event() == NoteEvent.ENDPOINT_QUARANTINED));
-        assertEquals(node.all(SendTask.class).size(), 20);
+        assertTrue(
+                node.allActions(Note.class).stream().noneMatch(note -> note.event() == NoteEvent.ENDPOINT_QUARANTINED));
+        assertEquals(node.allActions(SendTask.class).size(), 20);
     }
 
     /** Guards against a job that takes slots although it can no longer finish before its deadline. */
     @Test
-    public void testJob_thatCanNoLongerFinishIsNotStarted() {
+    public void testJob_thatWouldMissItsDeadlineIsNotStarted() {
         NodeFixture node = NodeFixture.serving(2);
-        teachRunTime(node, Duration.ofMillis(1_500));
-        SubmissionId first = node.submit(SubmissionForm.JOB, NodeFixture.ONCE, 8);
-        SubmissionId second = node.submit(SubmissionForm.JOB, NodeFixture.ONCE, 8);
+        recordRunTimes(node, Duration.ofMillis(1_500));
+        SubmissionId first = node.submit(SubmissionForm.JOB, NodeFixture.NOT_IDEMPOTENT, 8);
+        SubmissionId second = node.submit(SubmissionForm.JOB, NodeFixture.NOT_IDEMPOTENT, 8);
         for (int round = 0; round < 4; round++) {
-            node.pass(Duration.ofMillis(1_500));
-            List<SendTask> sends = node.all(SendTask.class);
-            node.end(sends.get(sends.size() - 2), SendResult.SUCCEEDED);
-            node.end(sends.get(sends.size() - 1), SendResult.SUCCEEDED);
+            node.advance(Duration.ofMillis(1_500));
+            List<SendTask> sends = node.allActions(SendTask.class);
+            node.endTask(sends.get(sends.size() - 2), SendResult.SUCCEEDED);
+            node.endTask(sends.get(sends.size() - 1), SendResult.SUCCEEDED);
         }
-        assertEquals(node.last(AnswerComplete.class).submission(), first);
+        assertEquals(node.lastAction(AnswerComplete.class).submission(), first);
         assertEquals(node.problemOf(second).code(), ProblemCode.WOULD_MISS_DEADLINE);
         assertTrue(node.problemOf(second).retryAfter().isPresent());
         assertEquals(
-                node.problemOf(node.submit(SubmissionForm.JOB, NodeFixture.ONCE, 16))
+                node.problemOf(node.submit(SubmissionForm.JOB, NodeFixture.NOT_IDEMPOTENT, 16))
                         .code(),
                 ProblemCode.WOULD_MISS_DEADLINE);
     }
 
-    private static void teachRunTime(NodeFixture node, Duration runTime) {
+    private static void recordRunTimes(NodeFixture node, Duration runTime) {
         for (int round = 0; round < 10; round++) {
-            node.submit(SubmissionForm.REQUEST, NodeFixture.ONCE, 1);
-            SendTask send = node.last(SendTask.class);
-            node.pass(runTime);
-            node.end(send, SendResult.SUCCEEDED);
+            node.submit(SubmissionForm.REQUEST, NodeFixture.NOT_IDEMPOTENT, 1);
+            SendTask send = node.lastAction(SendTask.class);
+            node.advance(runTime);
+            node.endTask(send, SendResult.SUCCEEDED);
         }
     }
 
     @Test
-    public void testAdmission_jobThatCanNeverRun() {
+    public void testAdmission_jobOverTheTaskLimit() {
         NodeFixture node = NodeFixture.serving(8);
-        SubmissionId job = node.submit(SubmissionForm.JOB, NodeFixture.ONCE, 111);
+        SubmissionId job = node.submit(SubmissionForm.JOB, NodeFixture.NOT_IDEMPOTENT, 111);
         assertEquals(node.problemOf(job).code(), ProblemCode.OVER_LIMIT);
         assertFalse(node.problemOf(job).retryAfter().isPresent());
     }
@@ -213,128 +216,129 @@
     @Test
     public void testKey_secondSubmissionGetsTheSameAnswer() {
         NodeFixture node = NodeFixture.serving(8);
-        SubmissionId first = node.submitKeyed(NodeFixture.ONCE, "k");
-        win(node);
-        SubmissionId joined = node.submitKeyed(NodeFixture.ONCE, "k");
-        node.end(node.last(SendTask.class), SendResult.SUCCEEDED);
-        SubmissionId late = node.submitKeyed(NodeFixture.ONCE, "k");
-        assertEquals(node.all(SendTask.class).size(), 1);
+        SubmissionId first = node.submitKeyed(NodeFixture.NOT_IDEMPOTENT, "k");
+        winClaims(node);
+        SubmissionId joined = node.submitKeyed(NodeFixture.NOT_IDEMPOTENT, "k");
+        node.endTask(node.lastAction(SendTask.class), SendResult.SUCCEEDED);
+        SubmissionId late = node.submitKeyed(NodeFixture.NOT_IDEMPOTENT, "k");
+        assertEquals(node.allActions(SendTask.class).size(), 1);
         assertEquals(
-                node.all(AnswerSameAs.class), List.of(new AnswerSameAs(joined, first), new AnswerSameAs(late, first)));
+                node.allActions(AnswerSameAs.class),
+                List.of(new AnswerSameAs(joined, first), new AnswerSameAs(late, first)));
     }
 
     /** Guards against lost idempotent work that is answered unknown while its key is kept, not run again. */
     @Test
-    public void testKey_lostWorkRunsAgainOnlyIfIdempotent() {
+    public void testKey_lostTaskRunsAgainOnlyIfIdempotent() {
         NodeFixture node = NodeFixture.serving(8);
         node.submitKeyed(NodeFixture.IDEMPOTENT, "pass");
-        node.end(node.last(SendTask.class), SendResult.LOST);
+        node.endTask(node.lastAction(SendTask.class), SendResult.LOST);
         node.submitKeyed(NodeFixture.IDEMPOTENT, "pass");
-        assertEquals(node.all(SendTask.class).size(), 2);
-        node.submitKeyed(NodeFixture.ONCE, "count");
-        win(node);
-        node.end(node.last(SendTask.class), SendResult.LOST);
-        SubmissionId again = node.submitKeyed(NodeFixture.ONCE, "count");
+        assertEquals(node.allActions(SendTask.class).size(), 2);
+        node.submitKeyed(NodeFixture.NOT_IDEMPOTENT, "count");
+        winClaims(node);
+        node.endTask(node.lastAction(SendTask.class), SendResult.LOST);
+        SubmissionId again = node.submitKeyed(NodeFixture.NOT_IDEMPOTENT, "count");
         assertEquals(node.problemOf(again).code(), ProblemCode.ANSWER_LOST);
-        assertEquals(node.all(SendTask.class).size(), 3);
+        assertEquals(node.allActions(SendTask.class).size(), 3);
     }
 
     /** Guards against a node's own claim taken for another's after the reply to its write was lost. */
     @Test
     public void testKey_lostReplyIsReadBack() {
         NodeFixture node = NodeFixture.serving(8);
-        node.submitKeyed(NodeFixture.ONCE, "k");
-        WriteClaims write = node.last(WriteClaims.class);
-        node.hand(new ClaimsUncertain(write.batch(), true, "reply lost"));
-        ReadClaims read = node.last(ReadClaims.class);
-        assertTrue(node.all(SendTask.class).isEmpty());
+        node.submitKeyed(NodeFixture.NOT_IDEMPOTENT, "k");
+        WriteClaims write = node.lastAction(WriteClaims.class);
+        node.handle(new ClaimsUncertain(write.batch(), true, "reply lost"));
+        ReadClaims read = node.lastAction(ReadClaims.class);
+        assertTrue(node.allActions(SendTask.class).isEmpty());
         Claim own = read.claims().get(0);
-        node.hand(new ClaimsRead(read.batch(), ImmutableList.of(new ClaimResult(own, Optional.of(own)))));
-        assertEquals(node.all(SendTask.class).size(), 1);
-        assertEquals(node.all(WriteClaims.class).size(), 1);
+        node.handle(new ClaimsRead(read.batch(), ImmutableList.of(new ClaimResult(own, Optional.of(own)))));
+        assertEquals(node.allActions(SendTask.class).size(), 1);
+        assertEquals(node.allActions(WriteClaims.class).size(), 1);
     }
 
     /** Guards against work refused during an outage of the table service although it needs no claim. */
     @Test
-    public void testKey_storeOutRefusesOnlyWhatNeedsIt() {
+    public void testKey_storeOutageRefusesOnlySubmissionsWithClaims() {
         NodeFixture node = NodeFixture.serving(8);
-        SubmissionId keyed = node.submitKeyed(NodeFixture.ONCE, "k");
-        node.hand(new ClaimsUncertain(node.last(WriteClaims.class).batch(), false, "refused"));
+        SubmissionId keyed = node.submitKeyed(NodeFixture.NOT_IDEMPOTENT, "k");
+        node.handle(new ClaimsUncertain(node.lastAction(WriteClaims.class).batch(), false, "refused"));
         assertEquals(node.problemOf(keyed).code(), ProblemCode.CLAIM_UNAVAILABLE);
         assertTrue(node.problemOf(keyed).retryAfter().isPresent());
         node.submitKeyed(NodeFixture.IDEMPOTENT, "l");
-        node.submit(SubmissionForm.JOB, NodeFixture.ONCE, 1);
-        assertEquals(node.all(SendTask.class).size(), 2);
+        node.submit(SubmissionForm.JOB, NodeFixture.NOT_IDEMPOTENT, 1);
+        assertEquals(node.allActions(SendTask.class).size(), 2);
     }
 
     /** Guards against a claim written after its submission was cancelled that blocks the key. */
     @Test
-    public void testKey_claimWonAfterTheEndIsReleased() {
+    public void testKey_claimWonAfterCancelIsReleased() {
         NodeFixture node = NodeFixture.serving(8);
-        SubmissionId keyed = node.submitKeyed(NodeFixture.ONCE, "k");
-        node.hand(new CancelRequested(keyed, CancelCause.CALLER));
+        SubmissionId keyed = node.submitKeyed(NodeFixture.NOT_IDEMPOTENT, "k");
+        node.handle(new CancelRequested(keyed, CancelCause.CALLER));
         assertEquals(node.problemOf(keyed).code(), ProblemCode.CANCELLED);
-        win(node);
-        assertTrue(node.all(SendTask.class).isEmpty());
+        winClaims(node);
+        assertTrue(node.allActions(SendTask.class).isEmpty());
         assertEquals(
-                node.last(ReleaseClaim.class).claim(),
-                node.last(WriteClaims.class).claims().get(0));
+                node.lastAction(ReleaseClaim.class).claim(),
+                node.lastAction(WriteClaims.class).claims().get(0));
     }
 
     /** Claims that nobody deletes would fill the table within weeks; each node has old ones deleted now and then. */
     @Test
-    public void testSweep_oldClaimsOnly() {
+    public void testSweepClaims_oldClaimsOnly() {
         NodeFixture node = NodeFixture.serving(8);
-        node.pass(Duration.ofHours(4));
-        assertEquals(node.all(SweepClaims.class), List.of(new SweepClaims(Duration.ofHours(24))));
+        node.advance(Duration.ofHours(4));
+        assertEquals(node.allActions(SweepClaims.class), List.of(new SweepClaims(Duration.ofHours(24))));
     }
 
     /** Guards against keyed work stopped as its caller loses the connection, or unkeyed work that runs on. */
     @Test
-    public void testHangUp_keyedWorkRunsOn() {
+    public void testHangUp_keyedWorkContinues() {
         NodeFixture node = NodeFixture.serving(8);
-        SubmissionId keyed = node.submitKeyed(NodeFixture.ONCE, "k");
-        win(node);
-        node.hand(new CancelRequested(keyed, CancelCause.HANG_UP));
-        SubmissionId again = node.submitKeyed(NodeFixture.ONCE, "k");
-        node.end(node.last(SendTask.class), SendResult.SUCCEEDED);
-        assertEquals(node.last(AnswerSameAs.class), new AnswerSameAs(again, keyed));
+        SubmissionId keyed = node.submitKeyed(NodeFixture.NOT_IDEMPOTENT, "k");
+        winClaims(node);
+        node.handle(new CancelRequested(keyed, CancelCause.HANG_UP));
+        SubmissionId again = node.submitKeyed(NodeFixture.NOT_IDEMPOTENT, "k");
+        node.endTask(node.lastAction(SendTask.class), SendResult.SUCCEEDED);
+        assertEquals(node.lastAction(AnswerSameAs.class), new AnswerSameAs(again, keyed));
     }
 
     /** Guards against requests cut off, or refused too early, on a node that is stopped under load. */
     @Test
-    public void testDrain_finishesWhatItHas() {
+    public void testDrain_finishesOpenSubmissions() {
         NodeFixture node = NodeFixture.serving(8);
-        node.submit(SubmissionForm.JOB, NodeFixture.ONCE, 1);
-        SendTask running = node.last(SendTask.class);
-        node.hand(new DrainRequested("test"));
-        node.submit(SubmissionForm.JOB, NodeFixture.ONCE, 1);
-        assertEquals(node.all(SendTask.class).size(), 2);
-        node.pass(NodePolicy.DEFAULT.drainDelay());
-        SubmissionId refused = node.submit(SubmissionForm.JOB, NodeFixture.ONCE, 1);
+        node.submit(SubmissionForm.JOB, NodeFixture.NOT_IDEMPOTENT, 1);
+        SendTask running = node.lastAction(SendTask.class);
+        node.handle(new DrainRequested("test"));
+        node.submit(SubmissionForm.JOB, NodeFixture.NOT_IDEMPOTENT, 1);
+        assertEquals(node.allActions(SendTask.class).size(), 2);
+        node.advance(NodePolicy.DEFAULT.drainDelay());
+        SubmissionId refused = node.submit(SubmissionForm.JOB, NodeFixture.NOT_IDEMPOTENT, 1);
         assertEquals(node.problemOf(refused).code(), ProblemCode.DRAINING);
-        node.end(running, SendResult.SUCCEEDED);
-        assertEquals(node.last(PhaseChanged.class).phase(), NodePhase.FINISHING);
-        node.end(node.last(SendTask.class), SendResult.SUCCEEDED);
-        assertEquals(node.last(PhaseChanged.class).phase(), NodePhase.LEFT);
+        node.endTask(running, SendResult.SUCCEEDED);
+        assertEquals(node.lastAction(PhaseChanged.class).phase(), NodePhase.FINISHING);
+        node.endTask(node.lastAction(SendTask.class), SendResult.SUCCEEDED);
+        assertEquals(node.lastAction(PhaseChanged.class).phase(), NodePhase.LEFT);
     }
 
     @Test
-    public void testDrain_deadlineCutsTheRest() {
+    public void testDrain_deadlineEndsOpenSubmissions() {
         NodeFixture node = NodeFixture.serving(8);
-        SubmissionId job = node.submit(SubmissionForm.JOB, NodeFixture.ONCE, 1);
-        node.hand(new DrainRequested("test"));
-        node.pass(NodeFixture.DEADLINE.minusSeconds(1));
-        node.pass(NodePolicy.DEFAULT.drainDeadline());
+        SubmissionId job = node.submit(SubmissionForm.JOB, NodeFixture.NOT_IDEMPOTENT, 1);
+        node.handle(new DrainRequested("test"));
+        node.advance(NodeFixture.DEADLINE.minusSeconds(1));
+        node.advance(NodePolicy.DEFAULT.drainDeadline());
         assertEquals(node.problemOf(job).code().outcome(), Outcome.UNKNOWN);
-        assertEquals(node.last(PhaseChanged.class).phase(), NodePhase.LEFT);
+        assertEquals(node.lastAction(PhaseChanged.class).phase(), NodePhase.LEFT);
     }
 
-    private static void win(NodeFixture node) {
-        WriteClaims write = node.last(WriteClaims.class);
+    private static void winClaims(NodeFixture node) {
+        WriteClaims write = node.lastAction(WriteClaims.class);
         ImmutableList<ClaimResult> won = write.claims().stream()
                 .map(claim -> new ClaimResult(claim, Optional.of(claim)))
                 .collect(ImmutableList.toImmutableList());
-        node.hand(new ClaimsWritten(write.batch(), won));
+        node.handle(new ClaimsWritten(write.batch(), won));
     }
 }
--- a/tarragonarch-core/src/test/java/org/tarragonarch/core/node/NodeFixture.java
+++ b/tarragonarch-core/src/test/java/org/tarragonarch/core/node/NodeFixture.java
@@ -48,7 +48,7 @@
 
 /** One serving node with an endpoint or two, on a clock that the test moves. */
 public final class NodeFixture {
-    public static final KindName ONCE = KindName.of("word-count");
+    public static final KindName NOT_IDEMPOTENT = KindName.of("word-count");
     public static final KindName IDEMPOTENT = KindName.of("spelling");
     public static final Duration DEADLINE = Duration.ofSeconds(10);
     static final Duration EXPECTED_RUN_TIME = Duration.ofMillis(100);
@@ -67,11 +67,11 @@
         NodeIdentity identity = new NodeIdentity(
                 NodeId.of("hobart-1"), Incarnation.of(1), FailureDomain.of("hobart"), new Address("127.0.0.1", 1));
         this.node = EntryNode.create(identity, NodePolicy.DEFAULT, 7);
-        hand(new TimePassed());
-        hand(new VmListRead(IntStream.rangeClosed(1, endpoints)
+        handle(new TimePassed());
+        handle(new VmListRead(IntStream.rangeClosed(1, endpoints)
                 .mapToObj(number -> endpoint(number, slots))
                 .collect(ImmutableList.toImmutableList())));
-        hand(new ConfigurationLoaded(catalog(maxQueuedTasks), "test"));
+        handle(new ConfigurationLoaded(catalog(maxQueuedTasks), "test"));
         actions.clear();
     }
 
@@ -109,7 +109,7 @@
         ServiceDefinition service = new ServiceDefinition(
                 SERVICE,
                 ServiceObjective.RESPONSE_TIME,
-                ImmutableMap.of(ONCE, kind(ONCE, false), IDEMPOTENT, kind(IDEMPOTENT, true)),
+                ImmutableMap.of(NOT_IDEMPOTENT, kind(NOT_IDEMPOTENT, false), IDEMPOTENT, kind(IDEMPOTENT, true)),
                 ImmutableSet.of(CallerName.of("authors"), CallerName.of("members")),
                 1_000,
                 maxQueuedTasks);
@@ -127,18 +127,18 @@
         return new KindDefinition(name, idempotent, MAX_TASKS, MAX_BODY_BYTES, DEADLINE, EXPECTED_RUN_TIME);
     }
 
-    void hand(Event event) {
+    void handle(Event event) {
         node.handle(nowNanos, event, actions::add);
     }
 
-    void pass(Duration time) {
-        passUntil(time, new TimePassed());
+    void advance(Duration time) {
+        advanceAndHandle(time, new TimePassed());
     }
 
     /** Lets time pass until an event comes, without a wake-up in between. */
-    void passUntil(Duration time, Event event) {
+    void advanceAndHandle(Duration time, Event event) {
         nowNanos += time.toNanos();
-        hand(event);
+        handle(event);
     }
 
     SubmissionId submit(SubmissionForm form, KindName kind, int tasks) {
@@ -151,7 +151,7 @@
 
     SubmissionId submit(String caller, SubmissionForm form, KindName kind, int tasks, Optional<String> key) {
         SubmissionId id = new SubmissionId(NodeId.of("hobart-1"), Incarnation.of(1), sequence++);
-        hand(new SubmissionArrived(
+        handle(new SubmissionArrived(
                 id,
                 form,
                 CallerName.of(caller),
@@ -166,21 +166,21 @@
         return id;
     }
 
-    void end(SendTask send, SendResult result) {
-        hand(new TaskEnded(send.task(), send.attempt(), send.endpoint(), result, false, "test"));
+    void endTask(SendTask send, SendResult result) {
+        handle(new TaskEnded(send.task(), send.attempt(), send.endpoint(), result, false, "test"));
     }
 
-    <A extends Action> List<A> all(Class<A> type) {
+    <A extends Action> List<A> allActions(Class<A> type) {
         return actions.stream().filter(type::isInstance).map(type::cast).toList();
     }
 
-    <A extends Action> A last(Class<A> type) {
-        List<A> found = all(type);
+    <A extends Action> A lastAction(Class<A> type) {
+        List<A> found = allActions(type);
         return found.get(found.size() - 1);
     }
 
     Problem problemOf(SubmissionId submission) {
-        List<Problem> found = all(AnswerProblem.class).stream()
+        List<Problem> found = allActions(AnswerProblem.class).stream()
                 .filter(answer -> answer.submission().equals(submission))
                 .map(AnswerProblem::problem)
                 .toList();
