--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/node/ClaimHandler.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/node/ClaimHandler.java
@@ -9,7 +9,7 @@
 import org.tarragonarch.core.event.PeerAnswerAsked;
 import org.tarragonarch.core.submission.SubmissionTable;
 
-/** Decides upon the replies of the table service to claims, and upon the answers that nodes ask one another for. */
+/** Handles the replies of the table service to claims, and the answers that nodes request from one another. */
 final class ClaimHandler {
     private final IdempotencyKeys keys;
     private final SubmissionTable submissions;
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/node/ConfigurationHandler.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/node/ConfigurationHandler.java
@@ -10,7 +10,7 @@
 import org.tarragonarch.core.event.PlatformPart;
 import org.tarragonarch.model.outcome.Step;
 
-/** Decides upon what the platform and the peers say of the configuration. */
+/** Handles configurations loaded from the platform or from peers, and failed reads of the platform. */
 final class ConfigurationHandler {
     private final NodeParts parts;
     private final LifecycleHandler lifecycle;
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/node/EndpointHandler.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/node/EndpointHandler.java
@@ -4,7 +4,7 @@
 import org.tarragonarch.core.event.EndpointDrainRequested;
 import org.tarragonarch.core.event.ProbeEnded;
 
-/** Decides upon the ends of probes and the drains of single endpoints. */
+/** Handles the ends of probes and requests to drain single endpoints. */
 final class EndpointHandler {
     private final NodeParts parts;
 
@@ -19,7 +19,7 @@
 
     void timePassed(long nowNanos, ActionSink sink) {
         if (parts.endpoints.nextWakeNanos() <= nowNanos) {
-            // Any event may be the one at which an endpoint's wait is over; tasks of every service may wait for it.
+            // The wait of an endpoint may end at any event, and tasks of any service may be queued for it.
             parts.dispatcher.markAllServicesChanged();
         }
         parts.endpoints.timePassed(nowNanos, sink);
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/node/EntryNode.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/node/EntryNode.java
@@ -14,10 +14,10 @@
 import org.tarragonarch.core.status.QuotaStatus;
 
 /**
- * The decisions of one entry node: a deterministic state machine with one entry point.
+ * A deterministic state machine that turns the events of one entry node into actions.
  *
- * <p>Holds no clock, thread, lock or input and output of its own: time, seed and identity are handed in, so the same
- * events at the same times always give the same actions. Not safe for use by several threads.
+ * <p>It uses no clock, threads, locks or I/O. Time, seed and identity are passed in, so the same events at the same
+ * times always give the same actions. Not safe for use by several threads.
  */
 public final class EntryNode {
     private static final long MIN_WAKE_DELAY_NANOS = 1_000_000;
@@ -49,8 +49,8 @@
     /**
      * Returns a node that has just started.
      *
-     * @param identity who the node is
-     * @param policy the times and bounds it works by
+     * @param identity the identity of the node
+     * @param policy the intervals, timeouts and limits of the node
      * @param seed the seed of its random choices
      */
     public static EntryNode create(NodeIdentity identity, NodePolicy policy, long seed) {
@@ -58,12 +58,12 @@
     }
 
     /**
-     * Decides upon one event.
+     * Handles one event.
      *
-     * <p>The shell hands in {@code TimePassed} once at start and then whenever a {@code WakeAt} falls due.
+     * <p>The caller passes {@code TimePassed} once at the start and then whenever a {@code WakeAt} is due.
      *
-     * @param nowNanos the time on a clock that never runs backwards, in nanoseconds
-     * @param event what happened
+     * @param nowNanos the time of a monotonic clock, in nanoseconds
+     * @param event the event
      * @param sink takes the actions, in order
      */
     public void handle(long nowNanos, Event event, ActionSink sink) {
@@ -75,7 +75,7 @@
         requestWake(nowNanos, sink);
     }
 
-    /** Returns a snapshot for the administration API; costs time in proportion to what it shows. */
+    /** Returns a snapshot for the administration API, in time linear in the size of the snapshot. */
     public NodeStatus status() {
         return new NodeStatus(
                 identity.node(),
@@ -99,11 +99,11 @@
     }
 
     /**
-     * Asks to be woken when the next thing is due.
+     * Requests a wake-up for the earliest due time, unless the last request was for the same time.
      *
-     * <p>Guards against a part that names a time already past and goes on to name it: the same time would not be asked
-     * for again, and every deadline would wait for whatever event comes next. So a past time counts as a moment from
-     * now, which differs each time.
+     * <p>A due time that has passed is replaced by {@code MIN_WAKE_DELAY_NANOS} from now. Without this, a component
+     * that keeps returning the same past time would suppress further requests, and deadlines would be noticed only
+     * at the next event.
      */
     private void requestWake(long nowNanos, ActionSink sink) {
         long next = Longs.min(
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/node/EventHandler.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/node/EventHandler.java
@@ -3,7 +3,7 @@
 import org.tarragonarch.core.action.ActionSink;
 
 /**
- * Decides upon the events of one type.
+ * Handles the events of one type.
  *
  * @param <E> the type of event
  */
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/node/EventHandlers.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/node/EventHandlers.java
@@ -8,7 +8,7 @@
 import org.tarragonarch.core.action.ActionSink;
 import org.tarragonarch.core.event.Event;
 
-/** The handler of each type of event. */
+/** Dispatches each event to the handler registered for its type. */
 final class EventHandlers {
     private final Map<Class<? extends Event>, EventHandler<Event>> handlers = new HashMap<>();
 
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/node/LifecycleHandler.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/node/LifecycleHandler.java
@@ -10,7 +10,7 @@
 import org.tarragonarch.model.outcome.ProblemCode;
 import org.tarragonarch.model.outcome.Step;
 
-/** Decides when the node is ready for work, and ends its work when it leaves. */
+/** Decides when the node starts to serve, and ends its open submissions when it leaves. */
 final class LifecycleHandler {
     private final NodeParts parts;
     private boolean vmListKnown;
@@ -23,18 +23,18 @@
         handlers.register(DrainRequested.class, this::drain);
     }
 
-    /** Records that the platform's list of VMs was read. */
+    /** Records that the list of VMs was read from the platform. */
     void vmListRead(ActionSink sink) {
         vmListKnown = true;
         serveIfReady(sink);
     }
 
-    /** Records that a configuration came into force. */
+    /** Handles a configuration that came into force. */
     void configurationLoaded(ActionSink sink) {
         serveIfReady(sink);
     }
 
-    /** Ends what is left of the work when the drain took too long, and leaves when nothing is left. */
+    /** Ends the open submissions once the drain deadline has passed, and leaves when none is open. */
     void leaveIfDone(long nowNanos, ActionSink sink) {
         if (parts.lifecycle.mustCut(nowNanos) && parts.submissions.size() > 0) {
             sink.emit(Note.of(
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/node/MembershipHandler.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/node/MembershipHandler.java
@@ -11,7 +11,7 @@
 import org.tarragonarch.model.platform.VmRole;
 import org.tarragonarch.model.report.PeerReport;
 
-/** Decides which nodes and endpoints there are, from the platform's list and the reports of peers. */
+/** Tracks the nodes and endpoints, from the platform's list of VMs and the reports of peers. */
 final class MembershipHandler {
     private final NodeParts parts;
     private final LifecycleHandler lifecycle;
@@ -30,7 +30,7 @@
         handlers.register(VmListRead.class, this::vmListRead);
     }
 
-    /** Asks for the platform's list when that is due. */
+    /** Requests the platform's list of VMs if it is due. */
     void readVmListIfDue(long nowNanos, ActionSink sink) {
         if (nowNanos >= nextVmListNanos) {
             nextVmListNanos = nowNanos + vmListInterval.toNanos();
@@ -38,7 +38,7 @@
         }
     }
 
-    /** Sends the reports that are due, and gives up on peers that fell silent. */
+    /** Sends the reports that are due, and treats peers that have been silent for too long as gone. */
     void timePassed(long nowNanos, ActionSink sink) {
         parts.peers.timePassed(nowNanos, parts.reportSource, sink);
         membershipChanged(nowNanos, sink);
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/node/NodeIdentity.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/node/NodeIdentity.java
@@ -8,15 +8,19 @@
 import org.tarragonarch.model.id.NodeId;
 
 /**
- * Who a node is, as its settings say.
+ * The identity of a node.
  *
  * @param node the node's name
- * @param incarnation this run of the node
- * @param domain the failure domain it stands in
- * @param peerAddress where it listens for other nodes
+ * @param incarnation the incarnation of this process of the node
+ * @param domain the failure domain of the node
+ * @param peerAddress the address at which the node listens for other nodes
  */
 public record NodeIdentity(NodeId node, Incarnation incarnation, FailureDomain domain, Address peerAddress) {
-    /** Checks the parts. */
+    /**
+     * Creates an identity.
+     *
+     * @throws NullPointerException if an argument is null
+     */
     public NodeIdentity {
         checkNotNull(node, "node");
         checkNotNull(incarnation, "incarnation");
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/node/NodeParts.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/node/NodeParts.java
@@ -19,7 +19,7 @@
 import org.tarragonarch.model.service.ServiceDefinition;
 import org.tarragonarch.model.service.TeamDefinition;
 
-/** The parts that a node's decisions are made of, connected with one another. */
+/** Creates and connects the components of a node. */
 final class NodeParts {
     final ConfigurationReplica configuration;
     final EndpointDirectory endpoints;
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/node/NodePolicy.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/node/NodePolicy.java
@@ -7,19 +7,19 @@
 import org.tarragonarch.core.placement.PlacementStrategy;
 
 /**
- * The times and bounds that a node works by; every one has a default that suits the sizes of the brief.
+ * The intervals, timeouts and limits of a node, and its placement strategy.
  *
- * @param vmListInterval how often the platform's list of VMs is read
- * @param configurationInterval how often the configuration row is read
- * @param reportInterval how often peers get a report while work goes on
- * @param peerSilence how long a peer of the own failure domain may be silent before it counts as gone; one of another
- *     domain may be so three times as long
- * @param claimTimeout how long a submission waits for its key to be claimed
- * @param keptAnswer how long the answer of a keyed submission is kept for a second one
- * @param maxKeptAnswers the most answers kept
- * @param drainDelay how long a leaving node still takes work, while the balancer learns of it
- * @param drainDeadline how long a leaving node works at what it has before it cuts the rest
- * @param placement how endpoints are chosen; the others than the default are for comparison
+ * @param vmListInterval the interval between reads of the platform's list of VMs
+ * @param configurationInterval the interval between reads of the configuration row
+ * @param reportInterval the interval between reports to peers while tasks are running
+ * @param peerSilence how long a peer of this failure domain may be silent before it counts as gone; for a peer of
+ *     another domain, the time is three times as long
+ * @param claimTimeout how long a submission waits for the claim on its idempotency key
+ * @param keptAnswer how long the answer of a submission is kept for later submissions with the same idempotency key
+ * @param maxKeptAnswers the maximum number of answers kept
+ * @param drainDelay how long a leaving node still accepts work, until the load balancer has noticed that it is leaving
+ * @param drainDeadline how long a leaving node may take to finish its open submissions before it ends them
+ * @param placement the strategy for choosing endpoints; strategies other than the default are for comparison
  */
 public record NodePolicy(
         Duration vmListInterval,
@@ -32,7 +32,7 @@
         Duration drainDelay,
         Duration drainDeadline,
         PlacementStrategy placement) {
-    /** The policy that a node has when its settings name no other. */
+    /** The policy of a node whose settings specify no other values. */
     public static final NodePolicy DEFAULT = new NodePolicy(
             Duration.ofSeconds(2),
             Duration.ofSeconds(2),
@@ -45,7 +45,12 @@
             Duration.ofSeconds(30),
             PlacementStrategy.SLOT_SHARES);
 
-    /** Checks that every time is positive. */
+    /**
+     * Creates a policy.
+     *
+     * @throws IllegalArgumentException if {@code drainDelay} or {@code maxKeptAnswers} is negative or another time is
+     *     not positive
+     */
     public NodePolicy {
         checkPositive("vm-list-interval", vmListInterval);
         checkPositive("configuration-interval", configurationInterval);
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/node/NodeReportSource.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/node/NodeReportSource.java
@@ -11,7 +11,7 @@
 import org.tarragonarch.model.report.EndpointLoad;
 import org.tarragonarch.model.report.NodePhase;
 
-/** What this node reports to its peers. */
+/** Supplies the content of the reports that this node sends to its peers. */
 final class NodeReportSource implements ReportSource {
     private final Lifecycle lifecycle;
     private final ConfigurationReplica configuration;
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/node/SubmissionHandler.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/node/SubmissionHandler.java
@@ -14,7 +14,7 @@
 import org.tarragonarch.model.outcome.Problem;
 import org.tarragonarch.model.outcome.ProblemCode;
 
-/** Decides upon the submissions of callers and the ends of their tasks. */
+/** Handles the arrival and cancellation of submissions and the ends of their tasks. */
 final class SubmissionHandler {
     private final NodeParts parts;
 
@@ -47,7 +47,7 @@
     private void taskEnded(TaskEnded ended, long nowNanos, ActionSink sink) {
         parts.dispatcher.taskEnded(ended, nowNanos, sink);
         if (ended.endpointLeaving()) {
-            // Peers must stop sending to it within seconds, also while the platform's list lags or is out.
+            // Peers must stop sending to it within seconds, even if the platform's list lags or is unavailable.
             parts.peers.reportNow(nowNanos, parts.reportSource, sink);
         }
     }
@@ -66,8 +66,8 @@
         parts.dispatcher.end(submission, Optional.of(problem), nowNanos, sink);
     }
 
-    // A caller that lost its connection comes back with the same key for the answer. Work that may have run is worth
-    // finishing for it, and so is work that others wait for.
+    // A caller that lost its connection can fetch the answer with the same idempotency key. So a keyed submission
+    // continues if a task may have run or if other submissions wait for its answer.
     private boolean continuesWithoutCaller(Submission submission) {
         return submission.claimKey().isPresent() && (submission.mayHaveRun() || parts.keys.awaited(submission));
     }
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/node/package-info.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/node/package-info.java
@@ -1,2 +1,2 @@
-/** The node: the single entry point that turns events into actions. */
+/** The state machine of an entry node, which turns events into actions. */
 package org.tarragonarch.core.node;
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/submission/Dispatcher.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/submission/Dispatcher.java
@@ -28,10 +28,10 @@
 import org.tarragonarch.model.service.TeamDefinition;
 
 /**
- * Starts waiting tasks, processes their ends, and gives every submission its one answer.
+ * Starts queued tasks, processes their ends, and answers every submission exactly once.
  *
- * <p>This is where a task's start is decided, and the only place that says not-run of a submission that was taken: it
- * says so from the task states alone. Not safe for use by several threads.
+ * <p>Only this class decides when a task starts. It is also the only one that answers an admitted submission as
+ * not-run, which it decides by the task states alone. Not safe for use by several threads.
  */
 public final class Dispatcher {
     private final SubmissionTable submissions;
@@ -62,7 +62,7 @@
         this.endListener = endListener;
     }
 
-    /** Returns a dispatcher with nothing waiting. */
+    /** Returns a dispatcher without queued tasks. */
     public static Dispatcher create(
             SubmissionTable submissions,
             ServiceLanes lanes,
@@ -81,22 +81,22 @@
         enqueue(submission, submission.tasks().size());
     }
 
-    /** Marks every service for another look, because endpoints or shares may have changed. */
+    /** Lets {@link #startWaitingTasks} consider every service, because endpoints or shares may have changed. */
     public void markAllServicesChanged() {
         changedServices.addAll(lanes.services());
     }
 
     /**
-     * Starts waiting tasks of the services marked for a look, as far as slots and quotas go.
+     * Starts queued tasks of the changed services, as far as slots and quotas allow.
      *
-     * <p>{@link #endExpired} must have run at the same time: a node that was paused wakes with queued tasks whose time is
-     * over, and starting one would run work that its caller has given up on.
+     * <p>{@link #endExpired} must be called first with the same time. Otherwise a node that resumes after a pause would
+     * start queued tasks whose deadline has passed, and nobody waits for their results.
      */
     public void startWaitingTasks(long nowNanos, ActionSink sink) {
         for (ServiceName service : ImmutableList.copyOf(changedServices)) {
             ServiceLane lane = lanes.of(service);
             while (startNext(lane, nowNanos, sink)) {
-                // Each round starts one task.
+                // Each call starts one task, or ends a submission that would miss its deadline.
             }
         }
         changedServices.clear();
@@ -104,9 +104,9 @@
 
     /** Processes the end of a sent task. */
     public void taskEnded(TaskEnded ended, long nowNanos, ActionSink sink) {
-        Optional<InFlightTask> flight = inFlightTasks.remove(ended);
-        if (flight.isEmpty()) {
-            // A second or late end must not touch the task: its answer may be another attempt's.
+        Optional<InFlightTask> sent = inFlightTasks.remove(ended);
+        if (sent.isEmpty()) {
+            // A repeated or late end must not change the task: a newer attempt may be in flight or have ended.
             sink.emit(Note.of(
                     NoteEvent.LATE_ANSWER_DROPPED,
                     Step.COLLECT,
@@ -115,8 +115,8 @@
                     ended.task()));
             return;
         }
-        feedback.taskEnded(flight.get(), ended, nowNanos, sink);
-        // A freed team share may let tasks of another service start too.
+        feedback.taskEnded(sent.get(), ended, nowNanos, sink);
+        // Free capacity in a team's share may let tasks of another service start too.
         markAllServicesChanged();
         submissions
                 .find(ended.task().submission())
@@ -124,9 +124,9 @@
     }
 
     /**
-     * Gives a submission its one answer and drops what has not started; one that was answered before is left alone.
+     * Answers a submission, drops its queued tasks and stops its started ones; does nothing if it was answered before.
      *
-     * @param problem why it has no results; empty if every task succeeded
+     * @param problem why there are no results; empty if every task succeeded
      */
     public void end(Submission submission, Optional<Problem> problem, long nowNanos, ActionSink sink) {
         Action answer = problem.<Action>map(why -> new AnswerProblem(submission.id(), why))
@@ -134,12 +134,12 @@
         close(submission, answer, problem, nowNanos, sink);
     }
 
-    /** Answers a submission with the complete results of another one of this node under the same key. */
+    /** Answers a submission with the complete results of this node's {@code original} submission of the same key. */
     public void endWithAnswerOf(Submission submission, SubmissionId original, long nowNanos, ActionSink sink) {
         close(submission, new AnswerSameAs(submission.id(), original), Optional.empty(), nowNanos, sink);
     }
 
-    /** Answers a submission with the complete results that the holder of its key gave. */
+    /** Answers a submission with the complete results received from the node that holds the claim on its key. */
     public void endWithPeerAnswer(Submission submission, long nowNanos, ActionSink sink) {
         close(submission, new AnswerFromPeer(submission.id()), Optional.empty(), nowNanos, sink);
     }
@@ -155,7 +155,7 @@
         }
     }
 
-    /** Returns the problem of a submission that is given up on, with a time to come back where that may help. */
+    /** Returns the problem to end a submission with, including a retry-after time if a retry may succeed. */
     public Problem problemFor(Submission submission, ProblemCode code, String detail) {
         Step step = submission.mayHaveRun() ? Step.RUN : submission.stage().step();
         Problem problem = Problem.of(code, step, peerName(submission), detail);
@@ -207,7 +207,7 @@
         return endpoint.isPresent();
     }
 
-    // Endpoints that failed the task are avoided, but one of them is better than none.
+    // Endpoints that refused or lost the task are used only if no other endpoint can be reserved.
     private Optional<Endpoint> reserveEndpoint(Submission submission, Task task, long nowNanos) {
         ServiceName service = submission.service().name();
         Optional<Endpoint> fresh =
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/submission/InFlightTask.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/submission/InFlightTask.java
@@ -6,15 +6,17 @@
 import org.tarragonarch.model.id.TeamName;
 
 /**
- * A task that was sent and whose end was not yet reported; outlives its submission, because the endpoint's slot does.
+ * A task that was sent and whose end has not been reported.
  *
- * @param service the service whose task it is
- * @param kind the task's kind
- * @param team the team it counts against
- * @param endpoint where it was sent
- * @param attempt which attempt it is
- * @param sentNanos when it was sent
- * @param stopped whether this node stopped it, so that its end says nothing of the endpoint
+ * <p>It outlives its submission, because it takes the endpoint's slot until its end.
+ *
+ * @param service the service of the task
+ * @param kind the kind of the task
+ * @param team the team whose quota it counts against
+ * @param endpoint the endpoint it was sent to
+ * @param attempt the number of the attempt, from 1
+ * @param sentNanos the time at which it was sent
+ * @param stopped whether this node stopped it, so that its end is no sign of the endpoint's health
  */
 record InFlightTask(
         ServiceName service,
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/submission/InFlightTasks.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/submission/InFlightTasks.java
@@ -12,7 +12,7 @@
 import org.tarragonarch.model.id.TaskId;
 import org.tarragonarch.model.id.TeamName;
 
-/** The tasks that were sent and have not ended, counted against the limits of their team and service. */
+/** The tasks that were sent and whose end has not been reported, counted against their team and service. */
 final class InFlightTasks {
     private final Map<TaskId, InFlightTask> inFlight = new HashMap<>();
     private final ServiceLanes lanes;
@@ -25,17 +25,17 @@
         this.services = services;
     }
 
-    /** Returns whether the limit of the service lets one more task start. */
+    /** Returns whether the limit of the service allows one more task. */
     boolean mayStart(ServiceName service) {
         return services.mayStart(service);
     }
 
-    /** Returns whether the quota of the team lets one more task start. */
+    /** Returns whether the quota of the team allows one more task. */
     boolean mayStart(TeamName team) {
         return quotas.mayStart(team);
     }
 
-    /** Counts a task that is sent to an endpoint. */
+    /** Adds a task that is sent to an endpoint and counts it against its team and service. */
     void add(Submission submission, Task task, Endpoint endpoint, long nowNanos) {
         ServiceName service = submission.service().name();
         TeamName team = submission.team().name();
@@ -47,38 +47,38 @@
                 new InFlightTask(service, submission.kind().name(), team, endpoint, task.attempt(), nowNanos, false));
     }
 
-    /** Takes out the task that has ended; returns nothing if it is not this attempt that is in flight. */
+    /** Removes and returns the task that ended; returns empty if the ended attempt is not in flight. */
     Optional<InFlightTask> remove(TaskEnded ended) {
-        InFlightTask flight = inFlight.get(ended.task());
-        if (flight == null || flight.attempt() != ended.attempt()) {
+        InFlightTask sent = inFlight.get(ended.task());
+        if (sent == null || sent.attempt() != ended.attempt()) {
             return Optional.empty();
         }
         inFlight.remove(ended.task());
-        lanes.of(flight.service()).taskEnded(flight.team());
-        quotas.ended(flight.team());
-        services.ended(flight.service());
-        return Optional.of(flight);
+        lanes.of(sent.service()).taskEnded(sent.team());
+        quotas.ended(sent.team());
+        services.ended(sent.service());
+        return Optional.of(sent);
     }
 
     /**
-     * Stops a task of a submission that is answered; it counts until its end is reported.
+     * Stops a task of an answered submission; it stays counted until its end is reported.
      *
-     * <p>Guards against a started task that runs on for nobody and keeps its slot from the next caller. No estimate of
-     * its end spares the stop: a task that overruns its estimate would keep the slot for as long as it runs.
+     * <p>Without the stop, a task whose result nobody needs would keep its slot. It is stopped even if it is estimated
+     * to end soon, because a task that overruns its estimate would keep the slot for as long as it runs.
      */
     void stop(Submission submission, Task task, ActionSink sink) {
-        InFlightTask flight = inFlight.get(task.id());
+        InFlightTask sent = inFlight.get(task.id());
         boolean sendStop = submission.service().favours().stopsStartedTasks();
-        Endpoint endpoint = flight.endpoint();
-        inFlight.put(task.id(), flight.asStopped());
-        sink.emit(new StopTask(task.id(), flight.attempt(), endpoint.id(), endpoint.address(), sendStop));
+        Endpoint endpoint = sent.endpoint();
+        inFlight.put(task.id(), sent.asStopped());
+        sink.emit(new StopTask(task.id(), sent.attempt(), endpoint.id(), endpoint.address(), sendStop));
     }
 
-    /** Returns the endpoint at which a task of the submission is in flight, if there is one. */
+    /** Returns an endpoint at which a task of the submission is in flight, if any. */
     Optional<Endpoint> endpointOf(Submission submission) {
         return submission.tasks().stream()
                 .map(task -> inFlight.get(task.id()))
-                .filter(flight -> flight != null)
+                .filter(sent -> sent != null)
                 .map(InFlightTask::endpoint)
                 .findFirst();
     }
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/submission/RetryAfterBounds.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/submission/RetryAfterBounds.java
@@ -2,16 +2,16 @@
 
 import java.time.Duration;
 
-/** The bounds within which a caller is asked to come back. */
+/** The bounds of the time after which a refused caller is asked to retry. */
 public final class RetryAfterBounds {
-    /** Sooner would only meet the same queue. */
+    /** A shorter wait would bring the caller back to the same queue. */
     private static final Duration MIN = Duration.ofMillis(100);
-    /** Later would leave a recovered service idle. */
+    /** A longer wait would leave a recovered service idle. */
     private static final Duration MAX = Duration.ofSeconds(30);
 
     private RetryAfterBounds() {}
 
-    /** Returns the estimate, raised or lowered into the bounds. */
+    /** Returns the estimate, raised or lowered to the nearest bound. */
     public static Duration clamp(Duration estimate) {
         if (estimate.compareTo(MIN) < 0) {
             return MIN;
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/submission/RetryBudget.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/submission/RetryBudget.java
@@ -1,10 +1,10 @@
 package org.tarragonarch.core.submission;
 
 /**
- * Bounds retries to a share of the successes, so that retries cannot amplify an outage.
+ * Limits retries to a fraction of the successes, so that retries cannot amplify an outage.
  *
- * <p>Each success earns a tenth of a retry, up to a small reserve that also stands at the start. When endpoints fail
- * one after the other, successes dry up, the reserve is spent, and load falls back to one send per task.
+ * <p>The budget starts with a small reserve; each success adds a tenth of a retry, up to the size of the reserve. When
+ * most tasks fail, the reserve is soon spent and each task is sent only once.
  */
 final class RetryBudget {
     private static final double EARNED_PER_SUCCESS = 0.1;
@@ -17,7 +17,7 @@
         available = Math.min(RESERVE, available + EARNED_PER_SUCCESS);
     }
 
-    /** Spends one retry; returns false, and spends nothing, if there is none left. */
+    /** Spends one retry; returns false and spends nothing if less than one is available. */
     boolean trySpend() {
         if (available < 1) {
             return false;
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/submission/ServiceLane.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/submission/ServiceLane.java
@@ -9,7 +9,7 @@
 import org.tarragonarch.model.id.TeamName;
 
 /**
- * One service's waiting tasks and the count of those that run.
+ * The queued tasks of one service and the number of its running tasks by team.
  *
  * <p>Not safe for use by several threads.
  */
@@ -22,7 +22,7 @@
         this.service = service;
     }
 
-    /** Returns the waiting tasks. */
+    /** Returns the queue of the tasks that wait for a slot. */
     public JobQueue<SubmissionId> queue() {
         return queue;
     }
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/submission/ServiceLanes.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/submission/ServiceLanes.java
@@ -10,7 +10,7 @@
 import org.tarragonarch.model.service.TeamDefinition;
 
 /**
- * The lane of each service that ever had work on this node.
+ * The lanes of the services that this node has received work for.
  *
  * <p>Not safe for use by several threads.
  */
@@ -19,12 +19,12 @@
 
     private ServiceLanes() {}
 
-    /** Returns lanes without work. */
+    /** Returns an instance without lanes. */
     public static ServiceLanes create() {
         return new ServiceLanes();
     }
 
-    /** Returns the lane of a service. */
+    /** Returns the lane of a service, creating it if necessary. */
     public ServiceLane of(ServiceName service) {
         return lanes.computeIfAbsent(service, ServiceLane::new);
     }
@@ -34,11 +34,11 @@
         return lanes.keySet();
     }
 
-    /** Returns a line for each team that waits or runs at a service. */
+    /** Returns one status for each service and team with queued or running tasks. */
     public ImmutableList<QueueStatus> status(ImmutableSet<TeamDefinition> teams) {
         return lanes.values().stream()
                 .flatMap(lane -> teams.stream().map(team -> lane.status(team.name())))
-                .filter(line -> line.queuedTasks() + line.runningTasks() > 0)
+                .filter(status -> status.queuedTasks() + status.runningTasks() > 0)
                 .collect(ImmutableList.toImmutableList());
     }
 }
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/submission/Stage.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/submission/Stage.java
@@ -3,9 +3,9 @@
 import org.tarragonarch.model.outcome.ProblemCode;
 import org.tarragonarch.model.outcome.Step;
 
-/** How far a submission is on its way; the stage decides what a deadline or a cancel means for it. */
+/** The stages of an open submission; the stage determines the problem it ends with at its deadline or a cancel. */
 public enum Stage {
-    /** Its key is being claimed, so nothing of it can have left this node. */
+    /** The idempotency key is being claimed; no task has been sent. */
     CLAIMING(Step.CLAIM) {
         @Override
         public ProblemCode expiryCode(boolean mayHaveRun) {
@@ -17,7 +17,7 @@
             return ProblemCode.CANCELLED;
         }
     },
-    /** Another node holds its key and was asked for the answer. */
+    /** Another node holds the claim on the idempotency key and was asked for the answer. */
     ASKING_HOLDER(Step.PEER) {
         @Override
         public ProblemCode expiryCode(boolean mayHaveRun) {
@@ -29,7 +29,7 @@
             return ProblemCode.CANCELLED_WHILE_RUNNING;
         }
     },
-    /** An earlier submission of this node under the same key is running, and will answer this one too. */
+    /** An earlier submission of this node with the same key is open; its answer will answer this one too. */
     JOINED(Step.RUN) {
         @Override
         public ProblemCode expiryCode(boolean mayHaveRun) {
@@ -41,7 +41,7 @@
             return ProblemCode.CANCELLED_WHILE_RUNNING;
         }
     },
-    /** Its tasks wait for slots or run. */
+    /** The tasks wait for slots or run. */
     DISPATCHED(Step.QUEUE) {
         @Override
         public ProblemCode expiryCode(boolean mayHaveRun) {
@@ -60,14 +60,14 @@
         this.step = step;
     }
 
-    /** Returns the step that a problem at this stage names. */
+    /** Returns the step named in problems that arise at this stage. */
     public Step step() {
         return step;
     }
 
-    /** Returns the problem of a submission whose deadline passes at this stage. */
+    /** Returns the code of the problem of a submission whose deadline passes at this stage. */
     public abstract ProblemCode expiryCode(boolean mayHaveRun);
 
-    /** Returns the problem of a submission that is cancelled at this stage. */
+    /** Returns the code of the problem of a submission that is cancelled at this stage. */
     public abstract ProblemCode cancellationCode(boolean mayHaveRun);
 }
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/submission/Submission.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/submission/Submission.java
@@ -14,7 +14,7 @@
 import org.tarragonarch.model.service.TeamDefinition;
 
 /**
- * One submission from arrival to its answer, with the definitions that were in force when it was taken.
+ * A submission from its arrival to its answer, with the definitions that were in force when it arrived.
  *
  * <p>Not safe for use by several threads.
  */
@@ -46,7 +46,11 @@
                 .collect(ImmutableList.toImmutableList());
     }
 
-    /** Returns a submission that was just taken. */
+    /**
+     * Returns a submission that has just arrived.
+     *
+     * <p>Its deadline follows from the time that the caller allows, or from the kind's deadline if that is earlier.
+     */
     public static Submission create(
             SubmissionArrived arrived,
             ServiceDefinition service,
@@ -61,42 +65,42 @@
         return arrived.id();
     }
 
-    /** Returns what arrived. */
+    /** Returns the event of the submission's arrival. */
     public SubmissionArrived arrived() {
         return arrived;
     }
 
-    /** Returns the service as defined when the submission was taken. */
+    /** Returns the service as defined when the submission arrived. */
     public ServiceDefinition service() {
         return service;
     }
 
-    /** Returns the kind as defined when the submission was taken. */
+    /** Returns the kind as defined when the submission arrived. */
     public KindDefinition kind() {
         return kind;
     }
 
-    /** Returns the team that the work counts against. */
+    /** Returns the team whose quota the tasks count against. */
     public TeamDefinition team() {
         return team;
     }
 
-    /** Returns when the submission arrived. */
+    /** Returns the time of arrival, in nanoseconds. */
     public long arrivedNanos() {
         return arrivedNanos;
     }
 
-    /** Returns when the submission is given up on. */
+    /** Returns the time at which the submission is ended if it is still open, in nanoseconds. */
     public long deadlineNanos() {
         return deadlineNanos;
     }
 
-    /** Returns the scoped key, if the caller gave one. */
+    /** Returns the idempotency key with the service and caller it belongs to, if the caller gave one. */
     public Optional<ClaimKey> claimKey() {
         return arrived.key().map(key -> new ClaimKey(service.name(), arrived.caller(), key));
     }
 
-    /** Returns how far the submission is. */
+    /** Returns the current stage. */
     public Stage stage() {
         return stage;
     }
@@ -106,7 +110,7 @@
         stage = next;
     }
 
-    /** Returns whether any task may have run, so that the submission can no longer be called not-run. */
+    /** Returns whether any task may have run, so that the submission must not be answered as not-run. */
     public boolean mayHaveRun() {
         return tasks.stream().anyMatch(Task::mayHaveRun);
     }
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/submission/SubmissionEndListener.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/submission/SubmissionEndListener.java
@@ -4,16 +4,16 @@
 import org.tarragonarch.core.action.ActionSink;
 import org.tarragonarch.model.outcome.Problem;
 
-/** Notified of every submission that has ended, after its caller was answered. */
+/** Listens for the end of submissions. */
 @FunctionalInterface
 public interface SubmissionEndListener {
     /**
-     * Records an end.
+     * Called once for each submission that ends, after the action that answers its caller.
      *
-     * @param submission the submission
-     * @param problem why it has no results; empty if it is complete
-     * @param nowNanos when it ended
-     * @param sink takes the actions that follow
+     * @param submission the submission that ended
+     * @param problem why there are no results; empty if the submission is complete
+     * @param nowNanos the time of the end
+     * @param sink takes the actions that follow from the end
      */
     void submissionEnded(Submission submission, Optional<Problem> problem, long nowNanos, ActionSink sink);
 }
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/submission/SubmissionTable.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/submission/SubmissionTable.java
@@ -11,9 +11,9 @@
 import org.tarragonarch.model.id.SubmissionId;
 
 /**
- * The submissions that have no answer yet, found by id and by deadline.
+ * The open (not yet answered) submissions, indexed by id and by deadline.
  *
- * <p>Each call takes time logarithmic in the number of submissions at most. Not safe for use by several threads.
+ * <p>Finding, adding and removing take amortized logarithmic time at most. Not safe for use by several threads.
  */
 public final class SubmissionTable {
     private final Map<SubmissionId, Submission> open = new HashMap<>();
@@ -26,33 +26,37 @@
         return new SubmissionTable();
     }
 
-    /** Records a submission that has no answer yet. */
+    /**
+     * Adds a submission.
+     *
+     * @throws IllegalStateException if a submission with this id is open already
+     */
     public void add(Submission submission) {
-        checkState(open.put(submission.id(), submission) == null, "%s was taken in before", submission.id());
+        checkState(open.put(submission.id(), submission) == null, "submission %s is already open", submission.id());
         byDeadline.add(new Deadline(submission.deadlineNanos(), submission.id()));
     }
 
-    /** Returns the submission with this id if it has no answer yet. */
+    /** Returns the submission with this id if it is open. */
     public Optional<Submission> find(SubmissionId id) {
         return Optional.ofNullable(open.get(id));
     }
 
-    /** Takes a submission out because it is about to be answered; returns false if it had been answered before. */
+    /** Removes a submission that is about to be answered; returns false if it was not open. */
     public boolean remove(Submission submission) {
         return open.remove(submission.id()) != null;
     }
 
-    /** Returns how many submissions have no answer yet. */
+    /** Returns the number of open submissions. */
     public int size() {
         return open.size();
     }
 
-    /** Returns every submission without an answer, as a copy. */
+    /** Returns a copy of the open submissions, in no particular order. */
     public ImmutableList<Submission> openSubmissions() {
         return ImmutableList.copyOf(open.values());
     }
 
-    /** Returns a submission whose deadline has passed, the earliest first. */
+    /** Returns the open submission with the earliest deadline if that deadline has passed. */
     public Optional<Submission> firstExpired(long nowNanos) {
         dropAnswered();
         return Optional.ofNullable(byDeadline.peek())
@@ -60,14 +64,14 @@
                 .map(first -> open.get(first.submission()));
     }
 
-    /** Returns the earliest deadline; {@code Long.MAX_VALUE} for none. */
+    /** Returns the earliest deadline of an open submission, or {@code Long.MAX_VALUE} if there is none. */
     public long nextDeadlineNanos() {
         dropAnswered();
         return byDeadline.isEmpty() ? Long.MAX_VALUE : byDeadline.peek().nanos();
     }
 
-    // The deadline of an answered submission stays until it comes to the top: taking it out at once would cost a scan.
-    // So the heap holds ids, and no submission beyond its answer.
+    // The deadline of an answered submission stays in the heap until it is the earliest, because removing it at once
+    // would take linear time. The heap holds ids, so that it does not keep answered submissions in memory.
     private void dropAnswered() {
         while (!byDeadline.isEmpty() && !open.containsKey(byDeadline.peek().submission())) {
             byDeadline.remove();
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/submission/Task.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/submission/Task.java
@@ -6,7 +6,7 @@
 import org.tarragonarch.model.id.EndpointId;
 import org.tarragonarch.model.id.TaskId;
 
-/** One task of a submission and how far it has come. */
+/** A task of a submission, with its state and attempts. */
 final class Task {
     private final TaskId id;
     private ImmutableSet<EndpointId> avoidedEndpoints = ImmutableSet.of();
@@ -26,7 +26,7 @@
         return state;
     }
 
-    /** Returns the number of the newest attempt, from 1; 0 before the first. */
+    /** Returns the number of the latest attempt, from 1; 0 if the task was never sent. */
     int attempt() {
         return attempt;
     }
@@ -37,7 +37,7 @@
     }
 
     void markSent() {
-        checkState(state == TaskState.QUEUED, "task %s is %s and must not be sent", id, state);
+        checkState(state == TaskState.QUEUED, "task %s cannot be sent in state %s", id, state);
         state = TaskState.SENT;
         attempt++;
     }
@@ -45,15 +45,15 @@
     /**
      * Returns whether the task may have run.
      *
-     * <p>A task that waits for a retry counts: its first attempt may have run, and to call it not-run would be false.
+     * <p>This includes a task that waits for a retry after a lost attempt, because the lost attempt may have run.
      */
     boolean mayHaveRun() {
         return earlierAttemptLost || state.mayHaveRun();
     }
 
-    /** Puts the task back because its newest attempt did not start. */
+    /** Returns the task to the queued state after an attempt that was not started. */
     void requeue(EndpointId failedAt) {
-        checkState(state == TaskState.SENT, "task %s is %s and was not sent", id, state);
+        checkState(state == TaskState.SENT, "task %s cannot be requeued in state %s", id, state);
         state = TaskState.QUEUED;
         avoidedEndpoints = ImmutableSet.<EndpointId>builder()
                 .addAll(avoidedEndpoints)
@@ -61,14 +61,14 @@
                 .build();
     }
 
-    /** Puts the task back for a retry although its newest attempt may have run. */
+    /** Returns the task to the queued state for a retry after an attempt that may have run. */
     void requeueAfterLoss(EndpointId lostAt) {
         requeue(lostAt);
         earlierAttemptLost = true;
     }
 
     void end(TaskState end) {
-        checkState(end.isFinal() && !state.isFinal(), "task %s cannot go from %s to %s", id, state, end);
+        checkState(end.isFinal() && !state.isFinal(), "task %s cannot change from state %s to %s", id, state, end);
         state = end;
     }
 }
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/submission/TaskFeedback.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/submission/TaskFeedback.java
@@ -6,7 +6,7 @@
 import org.tarragonarch.core.event.TaskEnded;
 import org.tarragonarch.core.runtime.RunTimeEstimator;
 
-/** Passes on what the end of a task shows: the health of its endpoint, its run time, and a retry earned. */
+/** Reports the end of a task to the endpoint directory, the run time estimator and the retry budget. */
 final class TaskFeedback {
     private final EndpointDirectory endpoints;
     private final RunTimeEstimator runTimes;
@@ -18,15 +18,15 @@
         this.retryBudget = retryBudget;
     }
 
-    void taskEnded(InFlightTask flight, TaskEnded ended, long nowNanos, ActionSink sink) {
-        if (flight.stopped()) {
+    void taskEnded(InFlightTask sent, TaskEnded ended, long nowNanos, ActionSink sink) {
+        if (sent.stopped()) {
             endpoints.endedAfterStop(ended, nowNanos, sink);
             return;
         }
-        long runNanos = nowNanos - flight.sentNanos();
-        endpoints.ended(ended, flight.service(), flight.kind(), runNanos, nowNanos, sink);
+        long runNanos = nowNanos - sent.sentNanos();
+        endpoints.ended(ended, sent.service(), sent.kind(), runNanos, nowNanos, sink);
         if (ended.result() == SendResult.SUCCEEDED) {
-            runTimes.observe(flight.service(), flight.kind(), runNanos);
+            runTimes.observe(sent.service(), sent.kind(), runNanos);
             retryBudget.recordSuccess();
         }
     }
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/submission/TaskState.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/submission/TaskState.java
@@ -1,16 +1,16 @@
 package org.tarragonarch.core.submission;
 
-/** The states that a task passes through; only a queued task may be sent. */
+/** The states of a task; only a queued task may be sent. */
 public enum TaskState {
-    /** Nothing of the task has left this node, or an endpoint said that it did not start it. */
+    /** The task was not sent, or its latest attempt was not started, or it waits for a retry after a lost attempt. */
     QUEUED(false, false),
-    /** A byte of the task may have left this node. */
+    /** Bytes of the task may have been sent to an endpoint. */
     SENT(true, false),
-    /** The whole answer came and says that the task succeeded. */
+    /** A complete answer was received: the task succeeded. */
     SUCCEEDED(true, true),
-    /** The whole answer came and says that the task failed. */
+    /** A complete answer was received: the task failed. */
     FAILED(true, true),
-    /** Bytes left and no whole answer came; the task may have run. */
+    /** The task was sent and no complete answer was received; it may have run. */
     LOST(true, true),
     /** The submission ended before the task was sent. */
     DROPPED(false, true);
@@ -23,12 +23,12 @@
         this.isFinal = ended;
     }
 
-    /** Returns whether the task may have run, so that its submission can no longer be called not-run. */
+    /** Returns whether a task in this state may have run, so that its submission must not be answered as not-run. */
     public boolean mayHaveRun() {
         return mayHaveRun;
     }
 
-    /** Returns whether the task stays in this state. */
+    /** Returns whether a task never leaves this state. */
     public boolean isFinal() {
         return isFinal;
     }
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/submission/WaitEstimates.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/submission/WaitEstimates.java
@@ -11,7 +11,7 @@
 import org.tarragonarch.model.service.TeamDefinition;
 
 /**
- * How long work has to wait and to run, by the queues, the slots, the limits and the run times learnt.
+ * Estimates how long work waits and runs, from the queues, slots, limits and learned run times.
  *
  * <p>Not safe for use by several threads. Each call takes constant time.
  */
@@ -35,7 +35,7 @@
         this.runTimes = checkNotNull(runTimes, "runTimes");
     }
 
-    /** Returns estimates that look at these. */
+    /** Returns estimates based on the current state of the given objects. */
     public static WaitEstimates create(
             ServiceLanes lanes,
             EndpointDirectory endpoints,
@@ -53,13 +53,13 @@
                 submission.kind().expectedRunTime());
     }
 
-    /** Returns how long a submission would wait for its first slot, behind the work that it does not pass. */
+    /** Returns how long a submission would wait for its first slot, behind the queued work that is ahead of it. */
     public Duration expectedWait(Submission submission) {
         long jobNanos = expectedNanos(submission) * submission.tasks().size();
         return expectedWait(submission.service().name(), submission.team(), jobNanos);
     }
 
-    /** Returns after how long a team's caller should come back to a service: the wait behind all, within bounds. */
+    /** Returns the retry-after time for callers of a team: the wait behind all queued work, within bounds. */
     public Duration retryAfter(ServiceName service, TeamDefinition team) {
         return RetryAfterBounds.clamp(expectedWait(service, team, Long.MAX_VALUE));
     }
@@ -69,22 +69,22 @@
         return Duration.ofNanos(slotNanos / slotsFor(service, team));
     }
 
-    /** Returns how many tasks of a team can run from this node at once at a service; at least 1. */
+    /** Returns how many tasks of a team this node can run at a service at once; at least 1. */
     public int slotsFor(ServiceName service, TeamDefinition team) {
         return Math.max(1, Math.min(endpoints.slots(service), limitFor(service, team)));
     }
 
-    /** Returns how many tasks of a team the limits let run from this node at once at a service; may be 0. */
+    /** Returns how many tasks of a team the limits let this node run at a service at once; may be 0. */
     public int limitFor(ServiceName service, TeamDefinition team) {
         return Math.min(quotas.share(team.name()), services.share(service));
     }
 
     /**
-     * Returns whether a submission would miss its deadline even if it had every slot of the failure domain to itself.
+     * Returns whether a submission would miss its deadline even with every slot of the failure domain to itself.
      *
-     * <p>Such a job, once started, takes slots from others and is answered unknown all the same. The mean of many run
-     * times predict well how long a job takes that needs each slot more than once, and little of a single task; so only
-     * the former is judged, and only by run times that were learnt.
+     * <p>If such a job were started, it would take slots from others and still be answered as unknown. Returns false
+     * for submissions with no more tasks than slots and for kinds without learned run times: the mean run time predicts
+     * the duration of a job that uses each slot several times, but not that of a single task.
      */
     public boolean cannotMeetDeadline(Submission submission, long nowNanos) {
         ServiceName service = submission.service().name();
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/submission/package-info.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/submission/package-info.java
@@ -1,2 +1,2 @@
-/** Submissions and tasks, and the states they pass through. */
+/** Submissions, their tasks, and the dispatch of tasks to endpoints. */
 package org.tarragonarch.core.submission;
--- a/tarragonarch-core/src/test/java/org/tarragonarch/core/node/EntryNodeTest.java
+++ b/tarragonarch-core/src/test/java/org/tarragonarch/core/node/EntryNodeTest.java
@@ -52,7 +52,7 @@
         assertEquals(node.allActions(AnswerComplete.class), List.of(new AnswerComplete(job)));
     }
 
-    /** Guards against a job that may have run and is run again, or answered late, when an endpoint dies. */
+    /** Guards against a job that is run again, or answered late, after an endpoint failed and the job may have run. */
     @Test
     public void testJob_lostAnswerEndsJobAtOnce() {
         NodeFixture node = NodeFixture.serving(1);
@@ -63,7 +63,7 @@
         assertEquals(node.allActions(SendTask.class).size(), 1);
     }
 
-    /** Guards against overrunning tasks of a failed job that are taken for nearly done and keep their slots. */
+    /** Guards against tasks of a failed job that overrun their estimate, count as nearly done and keep their slots. */
     @Test
     public void testJob_tasksThatOverrunAreStoppedAfterALoss() {
         NodeFixture node = NodeFixture.serving(2);
@@ -74,7 +74,7 @@
         assertTrue(node.lastAction(StopTask.class).sendStop());
     }
 
-    /** Guards against tasks of a failed job that are left to run since their expected end is now. */
+    /** Guards against tasks of a failed job that are not stopped because they have reached their expected end. */
     @Test
     public void testJob_tasksAtTheirExpectedEndAreStoppedAfterALoss() {
         NodeFixture node = NodeFixture.serving(2);
@@ -96,7 +96,7 @@
         assertEquals(node.lastAction(AnswerComplete.class).submission(), request);
     }
 
-    /** Guards against a request answered not-run while it waits for a retry of an attempt that may have run. */
+    /** Guards against a request answered as not-run at its deadline while it waits for a retry of a lost attempt. */
     @Test
     public void testRequest_deadlineWhileWaitingForRetryIsUnknown() {
         NodeFixture node = NodeFixture.serving(1);
@@ -108,7 +108,7 @@
         assertEquals(node.problemOf(request).code().outcome(), Outcome.UNKNOWN);
     }
 
-    /** Guards against a queued job answered unknown, or without a time to come back, at its deadline. */
+    /** Guards against a queued job answered as unknown, or without a retry-after time, at its deadline. */
     @Test
     public void testDeadline_inQueueIsNotRunWithRetryAfter() {
         NodeFixture node = NodeFixture.serving(1);
@@ -134,7 +134,7 @@
         assertEquals(node.lastAction(SendTask.class), second);
     }
 
-    /** Guards against a task refused as busy that waits on since another event replaced its wake-up. */
+    /** Guards against a busy-refused task that stays queued because another event came in place of its wake-up. */
     @Test
     public void testSendRefused_waitEndsAtAnotherEvent() {
         NodeFixture node = NodeFixture.serving(1);
@@ -144,7 +144,7 @@
         assertEquals(node.allActions(SendTask.class).size(), 2);
     }
 
-    /** Guards against one team that fills the queue and has the other teams refused. */
+    /** Guards against a team that fills the queue and so causes the submissions of other teams to be refused. */
     @Test
     public void testAdmission_fullQueueLeavesOtherTeamsTheirShare() {
         NodeFixture node = NodeFixture.serving(1, 10);
@@ -158,7 +158,7 @@
                 .noneMatch(answer -> answer.submission().equals(taken)));
     }
 
-    /** Guards against healthy endpoints put into quarantine by a wave of cancels. */
+    /** Guards against healthy endpoints that are quarantined because many of their tasks were cancelled. */
     @Test
     public void testCancel_manyCancelsQuarantineNoEndpoint() {
         NodeFixture node = NodeFixture.servingWithTwoEndpoints(8);
@@ -174,7 +174,7 @@
         assertEquals(node.allActions(SendTask.class).size(), 20);
     }
 
-    /** Guards against a job that takes slots although it can no longer finish before its deadline. */
+    /** Guards against a job that takes slots although it cannot finish before its deadline. */
     @Test
     public void testJob_thatWouldMissItsDeadlineIsNotStarted() {
         NodeFixture node = NodeFixture.serving(2);
@@ -227,7 +227,7 @@
                 List.of(new AnswerSameAs(joined, first), new AnswerSameAs(late, first)));
     }
 
-    /** Guards against lost idempotent work that is answered unknown while its key is kept, not run again. */
+    /** Guards against a lost idempotent task that is not run again because the answer of its key is kept. */
     @Test
     public void testKey_lostTaskRunsAgainOnlyIfIdempotent() {
         NodeFixture node = NodeFixture.serving(8);
@@ -243,7 +243,7 @@
         assertEquals(node.allActions(SendTask.class).size(), 3);
     }
 
-    /** Guards against a node's own claim taken for another's after the reply to its write was lost. */
+    /** Guards against a node that takes its own claim for another node's after the reply to the write was lost. */
     @Test
     public void testKey_lostReplyIsReadBack() {
         NodeFixture node = NodeFixture.serving(8);
@@ -258,7 +258,7 @@
         assertEquals(node.allActions(WriteClaims.class).size(), 1);
     }
 
-    /** Guards against work refused during an outage of the table service although it needs no claim. */
+    /** Guards against submissions refused in an outage of the table service although they need no claim. */
     @Test
     public void testKey_storeOutageRefusesOnlySubmissionsWithClaims() {
         NodeFixture node = NodeFixture.serving(8);
@@ -271,7 +271,7 @@
         assertEquals(node.allActions(SendTask.class).size(), 2);
     }
 
-    /** Guards against a claim written after its submission was cancelled that blocks the key. */
+    /** Guards against a key blocked by a claim that was written after its submission was cancelled. */
     @Test
     public void testKey_claimWonAfterCancelIsReleased() {
         NodeFixture node = NodeFixture.serving(8);
@@ -285,7 +285,7 @@
                 node.lastAction(WriteClaims.class).claims().get(0));
     }
 
-    /** Claims that nobody deletes would fill the table within weeks; each node has old ones deleted now and then. */
+    /** Guards against claims that are never deleted and fill the table within weeks. */
     @Test
     public void testSweepClaims_oldClaimsOnly() {
         NodeFixture node = NodeFixture.serving(8);
@@ -293,7 +293,7 @@
         assertEquals(node.allActions(SweepClaims.class), List.of(new SweepClaims(Duration.ofHours(24))));
     }
 
-    /** Guards against keyed work stopped as its caller loses the connection, or unkeyed work that runs on. */
+    /** Guards against a keyed submission that is stopped because its caller lost the connection. */
     @Test
     public void testHangUp_keyedWorkContinues() {
         NodeFixture node = NodeFixture.serving(8);
@@ -305,7 +305,7 @@
         assertEquals(node.lastAction(AnswerSameAs.class), new AnswerSameAs(again, keyed));
     }
 
-    /** Guards against requests cut off, or refused too early, on a node that is stopped under load. */
+    /** Guards against submissions ended or refused too early by a node that is stopped under load. */
     @Test
     public void testDrain_finishesOpenSubmissions() {
         NodeFixture node = NodeFixture.serving(8);
--- a/tarragonarch-core/src/test/java/org/tarragonarch/core/node/NodeFixture.java
+++ b/tarragonarch-core/src/test/java/org/tarragonarch/core/node/NodeFixture.java
@@ -46,7 +46,7 @@
 import org.tarragonarch.model.service.ServiceObjective;
 import org.tarragonarch.model.service.TeamDefinition;
 
-/** One serving node with an endpoint or two, on a clock that the test moves. */
+/** A serving node with one or two endpoints and a clock that the test advances. */
 public final class NodeFixture {
     public static final KindName NOT_IDEMPOTENT = KindName.of("word-count");
     public static final KindName IDEMPOTENT = KindName.of("spelling");
@@ -135,7 +135,7 @@
         advanceAndHandle(time, new TimePassed());
     }
 
-    /** Lets time pass until an event comes, without a wake-up in between. */
+    /** Advances the clock and then handles an event, without a wake-up in between. */
     void advanceAndHandle(Duration time, Event event) {
         nowNanos += time.toNanos();
         handle(event);
