--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/claim/IdempotencyKeys.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/claim/IdempotencyKeys.java
@@ -21,9 +21,9 @@
 import org.tarragonarch.core.node.NodeIdentity;
 import org.tarragonarch.core.node.NodePolicy;
 import org.tarragonarch.core.submission.Dispatcher;
-import org.tarragonarch.core.submission.EndListener;
 import org.tarragonarch.core.submission.Stage;
 import org.tarragonarch.core.submission.Submission;
+import org.tarragonarch.core.submission.SubmissionEndListener;
 import org.tarragonarch.model.id.ClaimKey;
 import org.tarragonarch.model.id.ClaimToken;
 import org.tarragonarch.model.id.NodeId;
@@ -40,7 +40,7 @@
  *
  * <p>Not thread-safe.
  */
-public final class IdempotencyKeys implements EndListener {
+public final class IdempotencyKeys implements SubmissionEndListener {
     private final NodeIdentity self;
     private final Duration claimTimeout;
     private final Map<ClaimKey, KeyEntry> entries = new HashMap<>();
@@ -99,7 +99,7 @@
     }
 
     @Override
-    public void ended(Submission submission, Optional<Problem> problem, long nowNanos, ActionSink sink) {
+    public void submissionEnded(Submission submission, Optional<Problem> problem, long nowNanos, ActionSink sink) {
         holderQuestions.remove(submission);
         KeyEntry entry = submission.claimKey().map(entries::get).orElse(null);
         if (entry == null || !entry.isRunBy(submission)) {
@@ -150,7 +150,7 @@
             return;
         }
         switch (arrived.outcome()) {
-            case COMPLETE -> dispatcher.endFromPeer(waiting, nowNanos, sink);
+            case COMPLETE -> dispatcher.endWithPeerAnswer(waiting, nowNanos, sink);
             case PROBLEM -> dispatcher.end(waiting, arrived.problem(), nowNanos, sink);
             case NOT_TO_BE_HAD ->
                 endHeldElsewhere(
@@ -276,7 +276,7 @@
 
     private void answerFrom(KeyEntry entry, Submission submission, long nowNanos, ActionSink sink) {
         if (entry.isComplete()) {
-            dispatcher.endSameAs(submission, entry.submissionId(), nowNanos, sink);
+            dispatcher.endWithAnswerOf(submission, entry.submissionId(), nowNanos, sink);
         } else {
             dispatcher.end(submission, entry.problem(), nowNanos, sink);
         }
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/node/ConfigurationHandler.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/node/ConfigurationHandler.java
@@ -10,7 +10,7 @@
 import org.tarragonarch.core.event.PlatformPart;
 import org.tarragonarch.model.outcome.Step;
 
-/** Decides upon what the platform and the peers say of the configuration. */
+/** Handles configurations loaded from the platform or from peers, and failed reads of the platform. */
 final class ConfigurationHandler {
     private final NodeParts parts;
     private final LifecycleHandler lifecycle;
@@ -37,7 +37,7 @@
                 .inForce()
                 .ifPresent(catalog -> parts.endpoints.setDrainedDomains(catalog.drainedDomains(), nowNanos, sink));
         lifecycle.configurationLoaded(sink);
-        parts.dispatcher.everythingChanged();
+        parts.dispatcher.markAllServicesChanged();
         parts.peers.reportNow(nowNanos, parts.reportSource, sink);
     }
 
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/node/EndpointHandler.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/node/EndpointHandler.java
@@ -4,7 +4,7 @@
 import org.tarragonarch.core.event.EndpointDrainRequested;
 import org.tarragonarch.core.event.ProbeEnded;
 
-/** Decides upon the ends of probes and the drains of single endpoints. */
+/** Handles the ends of probes and requests to drain single endpoints. */
 final class EndpointHandler {
     private final NodeParts parts;
 
@@ -19,20 +19,20 @@
 
     void timePassed(long nowNanos, ActionSink sink) {
         if (parts.endpoints.nextWakeNanos() <= nowNanos) {
-            // Any event may be the one at which an endpoint's wait is over; tasks of every service may wait for it.
-            parts.dispatcher.everythingChanged();
+            // The wait of an endpoint may end at any event, and tasks of any service may be queued for it.
+            parts.dispatcher.markAllServicesChanged();
         }
         parts.endpoints.timePassed(nowNanos, sink);
     }
 
     private void probeEnded(ProbeEnded ended, long nowNanos, ActionSink sink) {
         parts.endpoints.probeEnded(ended, nowNanos, sink);
-        parts.dispatcher.everythingChanged();
+        parts.dispatcher.markAllServicesChanged();
     }
 
     private void drain(EndpointDrainRequested drain, long nowNanos, ActionSink sink) {
         parts.endpoints.setDrained(drain.endpoint(), drain.out(), nowNanos, sink);
-        parts.dispatcher.everythingChanged();
+        parts.dispatcher.markAllServicesChanged();
         parts.peers.reportNow(nowNanos, parts.reportSource, sink);
     }
 }
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/node/MembershipHandler.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/node/MembershipHandler.java
@@ -11,12 +11,12 @@
 import org.tarragonarch.model.platform.VmRole;
 import org.tarragonarch.model.report.PeerReport;
 
-/** Decides which nodes and endpoints there are, from the platform's list and the reports of peers. */
+/** Tracks the nodes and endpoints, from the platform's list of VMs and the reports of peers. */
 final class MembershipHandler {
     private final NodeParts parts;
     private final LifecycleHandler lifecycle;
     private final Duration vmListInterval;
-    private ImmutableSet<NodeId> alive = ImmutableSet.of();
+    private ImmutableSet<NodeId> aliveNodes = ImmutableSet.of();
     private long nextVmListNanos = Long.MIN_VALUE;
 
     MembershipHandler(NodeParts parts, LifecycleHandler lifecycle, Duration vmListInterval) {
@@ -30,7 +30,7 @@
         handlers.register(VmListRead.class, this::vmListRead);
     }
 
-    /** Asks for the platform's list when that is due. */
+    /** Requests the platform's list of VMs if it is due. */
     void readVmListIfDue(long nowNanos, ActionSink sink) {
         if (nowNanos >= nextVmListNanos) {
             nextVmListNanos = nowNanos + vmListInterval.toNanos();
@@ -38,7 +38,7 @@
         }
     }
 
-    /** Sends the reports that are due, and gives up on peers that fell silent. */
+    /** Sends the reports that are due, and treats peers that have been silent for too long as gone. */
     void timePassed(long nowNanos, ActionSink sink) {
         parts.peers.timePassed(nowNanos, parts.reportSource, sink);
         membershipChanged(nowNanos, sink);
@@ -57,7 +57,7 @@
         parts.endpoints.peerReported(report, nowNanos, sink);
         parts.configuration.peerVersionReported(report.from(), report.configuration(), nowNanos, sink);
         membershipChanged(nowNanos, sink);
-        parts.dispatcher.everythingChanged();
+        parts.dispatcher.markAllServicesChanged();
     }
 
     private void vmListRead(VmListRead read, long nowNanos, ActionSink sink) {
@@ -67,14 +67,14 @@
         parts.keys.setWriters(Math.toIntExact(nodes));
         membershipChanged(nowNanos, sink);
         lifecycle.vmListRead(sink);
-        parts.dispatcher.everythingChanged();
+        parts.dispatcher.markAllServicesChanged();
     }
 
     private void membershipChanged(long nowNanos, ActionSink sink) {
         ImmutableSet<NodeId> now = parts.peers.aliveInDomain();
-        if (!now.equals(alive)) {
-            ImmutableSet<NodeId> before = alive;
-            alive = now;
+        if (!now.equals(aliveNodes)) {
+            ImmutableSet<NodeId> before = aliveNodes;
+            aliveNodes = now;
             parts.endpoints.setAliveNodes(now, nowNanos, sink);
             Sets.difference(before, now).forEach(gone -> parts.keys.holderSilent(gone, nowNanos, sink));
         }
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/node/OwnReport.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/node/NodeReportSource.java
@@ -11,13 +11,13 @@
 import org.tarragonarch.model.report.EndpointLoad;
 import org.tarragonarch.model.report.NodePhase;
 
-/** What this node reports to its peers. */
-final class OwnReport implements ReportSource {
+/** Supplies the content of the reports that this node sends to its peers. */
+final class NodeReportSource implements ReportSource {
     private final Lifecycle lifecycle;
     private final ConfigurationReplica configuration;
     private final EndpointViews endpoints;
 
-    OwnReport(Lifecycle lifecycle, ConfigurationReplica configuration, EndpointViews endpoints) {
+    NodeReportSource(Lifecycle lifecycle, ConfigurationReplica configuration, EndpointViews endpoints) {
         this.lifecycle = lifecycle;
         this.configuration = configuration;
         this.endpoints = endpoints;
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/submission/Dispatcher.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/submission/Dispatcher.java
@@ -28,19 +28,19 @@
 import org.tarragonarch.model.service.TeamDefinition;
 
 /**
- * Starts waiting tasks, processes their ends, and gives every submission its one answer.
+ * Starts queued tasks, processes their ends, and answers every submission exactly once.
  *
- * <p>This is where a task's start is decided, and the only place that says not-run of a submission that was taken: it
- * says so from the task states alone. Not safe for use by several threads.
+ * <p>Only this class decides when a task starts. It is also the only one that answers an admitted submission as
+ * not-run, which it decides by the task states alone. Not safe for use by several threads.
  */
 public final class Dispatcher {
     private final SubmissionTable submissions;
     private final EndpointDirectory endpoints;
-    private final EndListener endListener;
+    private final SubmissionEndListener endListener;
     private final ServiceLanes lanes;
     private final WaitEstimates estimates;
-    private final InFlightTasks inFlight;
-    private final Set<ServiceName> changed = new LinkedHashSet<>();
+    private final InFlightTasks inFlightTasks;
+    private final Set<ServiceName> changedServices = new LinkedHashSet<>();
     private final RetryBudget retryBudget = new RetryBudget();
     private final TaskFeedback feedback;
 
@@ -52,17 +52,17 @@
             SharedLimits<TeamName> quotas,
             SharedLimits<ServiceName> services,
             RunTimeEstimator runTimes,
-            EndListener endListener) {
+            SubmissionEndListener endListener) {
         this.submissions = submissions;
         this.lanes = lanes;
         this.estimates = estimates;
         this.endpoints = endpoints;
-        this.inFlight = new InFlightTasks(lanes, quotas, services);
+        this.inFlightTasks = new InFlightTasks(lanes, quotas, services);
         this.feedback = new TaskFeedback(endpoints, runTimes, retryBudget);
         this.endListener = endListener;
     }
 
-    /** Returns a dispatcher with nothing waiting. */
+    /** Returns a dispatcher without queued tasks. */
     public static Dispatcher create(
             SubmissionTable submissions,
             ServiceLanes lanes,
@@ -71,42 +71,42 @@
             SharedLimits<TeamName> quotas,
             SharedLimits<ServiceName> services,
             RunTimeEstimator runTimes,
-            EndListener endListener) {
+            SubmissionEndListener endListener) {
         return new Dispatcher(submissions, lanes, estimates, endpoints, quotas, services, runTimes, endListener);
     }
 
     /** Queues every task of a submission. */
     public void dispatch(Submission submission) {
         submission.stage(Stage.DISPATCHED);
-        queue(submission, submission.tasks().size());
+        enqueue(submission, submission.tasks().size());
     }
 
-    /** Marks every service for another look, because endpoints or shares may have changed. */
-    public void everythingChanged() {
-        changed.addAll(lanes.services());
+    /** Lets {@link #startWaitingTasks} consider every service, because endpoints or shares may have changed. */
+    public void markAllServicesChanged() {
+        changedServices.addAll(lanes.services());
     }
 
     /**
-     * Starts waiting tasks of the services marked for a look, as far as slots and quotas go.
+     * Starts queued tasks of the changed services, as far as slots and quotas allow.
      *
-     * <p>{@link #expire} must have run at the same time: a node that was paused wakes with queued tasks whose time is
-     * over, and starting one would run work that its caller has given up on.
+     * <p>{@link #endExpired} must be called first with the same time. Otherwise a node that resumes after a pause would
+     * start queued tasks whose deadline has passed, and nobody waits for their results.
      */
-    public void startWaiting(long nowNanos, ActionSink sink) {
-        for (ServiceName service : ImmutableList.copyOf(changed)) {
+    public void startWaitingTasks(long nowNanos, ActionSink sink) {
+        for (ServiceName service : ImmutableList.copyOf(changedServices)) {
             ServiceLane lane = lanes.of(service);
             while (startNext(lane, nowNanos, sink)) {
-                // Each round starts one task.
+                // Each call starts one task, or ends a submission that would miss its deadline.
             }
         }
-        changed.clear();
+        changedServices.clear();
     }
 
     /** Processes the end of a sent task. */
     public void taskEnded(TaskEnded ended, long nowNanos, ActionSink sink) {
-        Optional<InFlightTask> flight = inFlight.end(ended);
-        if (flight.isEmpty()) {
-            // A second or late end must not touch the task: its answer may be another attempt's.
+        Optional<InFlightTask> sent = inFlightTasks.remove(ended);
+        if (sent.isEmpty()) {
+            // A repeated or late end must not change the task: a newer attempt may be in flight or have ended.
             sink.emit(Note.of(
                     NoteEvent.LATE_ANSWER_DROPPED,
                     Step.COLLECT,
@@ -115,16 +115,18 @@
                     ended.task()));
             return;
         }
-        feedback.ended(flight.get(), ended, nowNanos, sink);
-        // A freed team share may let tasks of another service start too.
-        everythingChanged();
-        submissions.find(ended.task().submission()).ifPresent(submission -> judge(submission, ended, nowNanos, sink));
+        feedback.taskEnded(sent.get(), ended, nowNanos, sink);
+        // Free capacity in a team's share may let tasks of another service start too.
+        markAllServicesChanged();
+        submissions
+                .find(ended.task().submission())
+                .ifPresent(submission -> applyResult(submission, ended, nowNanos, sink));
     }
 
     /**
-     * Gives a submission its one answer and drops what has not started; one that was answered before is left alone.
+     * Answers a submission, drops its queued tasks and stops its started ones; does nothing if it was answered before.
      *
-     * @param problem why it has no results; empty if every task succeeded
+     * @param problem why there are no results; empty if every task succeeded
      */
     public void end(Submission submission, Optional<Problem> problem, long nowNanos, ActionSink sink) {
         Action answer = problem.<Action>map(why -> new AnswerProblem(submission.id(), why))
@@ -132,36 +134,35 @@
         close(submission, answer, problem, nowNanos, sink);
     }
 
-    /** Answers a submission with the complete results of another one of this node under the same key. */
-    public void endSameAs(Submission submission, SubmissionId original, long nowNanos, ActionSink sink) {
+    /** Answers a submission with the complete results of this node's {@code original} submission of the same key. */
+    public void endWithAnswerOf(Submission submission, SubmissionId original, long nowNanos, ActionSink sink) {
         close(submission, new AnswerSameAs(submission.id(), original), Optional.empty(), nowNanos, sink);
     }
 
-    /** Answers a submission with the complete results that the holder of its key gave. */
-    public void endFromPeer(Submission submission, long nowNanos, ActionSink sink) {
+    /** Answers a submission with the complete results received from the node that holds the claim on its key. */
+    public void endWithPeerAnswer(Submission submission, long nowNanos, ActionSink sink) {
         close(submission, new AnswerFromPeer(submission.id()), Optional.empty(), nowNanos, sink);
     }
 
     /** Ends every submission whose deadline has passed. */
-    public void expire(long nowNanos, ActionSink sink) {
-        Optional<Submission> expired = submissions.expired(nowNanos);
+    public void endExpired(long nowNanos, ActionSink sink) {
+        Optional<Submission> expired = submissions.firstExpired(nowNanos);
         while (expired.isPresent()) {
             Submission submission = expired.get();
-            ProblemCode code = submission.stage().expired(submission.mayHaveRun());
-            end(submission, Optional.of(giveUp(submission, code, "the deadline passed")), nowNanos, sink);
-            expired = submissions.expired(nowNanos);
+            ProblemCode code = submission.stage().expiryCode(submission.mayHaveRun());
+            end(submission, Optional.of(problemFor(submission, code, "the deadline passed")), nowNanos, sink);
+            expired = submissions.firstExpired(nowNanos);
         }
     }
 
-    /** Returns the problem of a submission that is given up on, with a time to come back where that may help. */
-    public Problem giveUp(Submission submission, ProblemCode code, String detail) {
+    /** Returns the problem to end a submission with, including a retry-after time if a retry may succeed. */
+    public Problem problemFor(Submission submission, ProblemCode code, String detail) {
         Step step = submission.mayHaveRun() ? Step.RUN : submission.stage().step();
-        Problem problem = Problem.of(code, step, peer(submission), detail);
+        Problem problem = Problem.of(code, step, peerName(submission), detail);
         if (!code.isRetryable()) {
             return problem;
         }
-        return problem.withRetryAfter(
-                estimates.comeBackAfter(submission.service().name(), submission.team()));
+        return problem.withRetryAfter(estimates.retryAfter(submission.service().name(), submission.team()));
     }
 
     private void close(
@@ -171,94 +172,94 @@
         }
         lanes.of(submission.service().name()).queue().remove(submission.id());
         submission.tasks().forEach(task -> dropOrStop(submission, task, sink));
-        changed.add(submission.service().name());
+        changedServices.add(submission.service().name());
         sink.emit(answer);
-        endListener.ended(submission, problem, nowNanos, sink);
+        endListener.submissionEnded(submission, problem, nowNanos, sink);
     }
 
-    private void queue(Submission submission, int tasks) {
+    private void enqueue(Submission submission, int tasks) {
         ServiceName service = submission.service().name();
         TeamDefinition team = submission.team();
         lanes.of(service)
                 .queue()
                 .add(submission.id(), team.name(), team.weight(), tasks, estimates.expectedNanos(submission));
-        changed.add(service);
+        changedServices.add(service);
     }
 
     private boolean startNext(ServiceLane lane, long nowNanos, ActionSink sink) {
-        Optional<SubmissionId> next = lane.queue().next(team -> inFlight.mayStart(team));
+        Optional<SubmissionId> next = lane.queue().next(team -> inFlightTasks.mayStart(team));
         if (next.isEmpty()) {
             return false;
         }
         Submission submission = submissions.find(next.get()).orElseThrow();
-        if (!inFlight.mayStart(submission.service().name())) {
+        if (!inFlightTasks.mayStart(submission.service().name())) {
             return false;
         }
-        if (estimates.cannotFinish(submission, nowNanos) && !submission.mayHaveRun()) {
-            Problem problem = giveUp(
+        if (estimates.cannotMeetDeadline(submission, nowNanos) && !submission.mayHaveRun()) {
+            Problem problem = problemFor(
                     submission, ProblemCode.WOULD_MISS_DEADLINE, "its tasks can no longer all run before the deadline");
             end(submission, Optional.of(problem), nowNanos, sink);
             return true;
         }
-        Task task = submission.nextQueued().orElseThrow();
-        Optional<Endpoint> endpoint = reserve(submission, task, nowNanos);
+        Task task = submission.nextQueuedTask().orElseThrow();
+        Optional<Endpoint> endpoint = reserveEndpoint(submission, task, nowNanos);
         endpoint.ifPresent(reserved -> send(submission, task, reserved, nowNanos, sink));
         return endpoint.isPresent();
     }
 
-    // Endpoints that failed the task are avoided, but one of them is better than none.
-    private Optional<Endpoint> reserve(Submission submission, Task task, long nowNanos) {
+    // Endpoints that refused or lost the task are used only if no other endpoint can be reserved.
+    private Optional<Endpoint> reserveEndpoint(Submission submission, Task task, long nowNanos) {
         ServiceName service = submission.service().name();
         Optional<Endpoint> fresh =
-                endpoints.reserve(service, submission.service().favours(), task.avoid(), nowNanos);
-        if (fresh.isPresent() || task.avoid().isEmpty()) {
+                endpoints.reserve(service, submission.service().favours(), task.avoidedEndpoints(), nowNanos);
+        if (fresh.isPresent() || task.avoidedEndpoints().isEmpty()) {
             return fresh;
         }
         return endpoints.reserve(service, submission.service().favours(), Set.of(), nowNanos);
     }
 
     private void send(Submission submission, Task task, Endpoint endpoint, long nowNanos, ActionSink sink) {
-        task.send();
+        task.markSent();
         lanes.of(submission.service().name()).queue().taskStarted(submission.id());
-        inFlight.start(submission, task, endpoint, nowNanos);
+        inFlightTasks.add(submission, task, endpoint, nowNanos);
         Duration allowed = Duration.ofNanos(submission.deadlineNanos() - nowNanos);
         sink.emit(new SendTask(task.id(), task.attempt(), endpoint.id(), endpoint.address(), allowed));
     }
 
-    private void judge(Submission submission, TaskEnded ended, long nowNanos, ActionSink sink) {
+    private void applyResult(Submission submission, TaskEnded ended, long nowNanos, ActionSink sink) {
         Task task = submission.task(ended.task().index());
         switch (ended.result()) {
             case SUCCEEDED -> {
                 task.end(TaskState.SUCCEEDED);
-                if (submission.allSucceeded()) {
+                if (submission.allTasksSucceeded()) {
                     end(submission, Optional.empty(), nowNanos, sink);
                 }
             }
             case TASK_FAILED -> {
                 task.end(TaskState.FAILED);
-                end(submission, Optional.of(problem(ProblemCode.TASK_FAILED, Step.RUN, ended)), nowNanos, sink);
+                end(submission, Optional.of(taskProblem(ProblemCode.TASK_FAILED, Step.RUN, ended)), nowNanos, sink);
             }
             case REFUSED_BUSY, REFUSED_DRAINING, CONNECT_FAILED -> {
                 String refusal = ended.result().name();
                 sink.emit(Note.of(
                         NoteEvent.SEND_REFUSED, Step.SEND, ended.endpoint().value(), "refusal", refusal));
                 task.requeue(ended.endpoint());
-                queue(submission, 1);
+                enqueue(submission, 1);
             }
-            case LOST -> lost(submission, task, ended, nowNanos, sink);
+            case LOST -> retryOrEnd(submission, task, ended, nowNanos, sink);
             default -> throw new AssertionError(ended.result());
         }
     }
 
-    private void lost(Submission submission, Task task, TaskEnded ended, long nowNanos, ActionSink sink) {
+    private void retryOrEnd(Submission submission, Task task, TaskEnded ended, long nowNanos, ActionSink sink) {
         boolean mayRetry =
                 submission.arrived().form().mayRetry(submission.kind().idempotent());
         if (mayRetry && nowNanos < submission.deadlineNanos()) {
-            if (retryBudget.spend()) {
+            if (retryBudget.trySpend()) {
                 sink.emit(Note.of(
                         NoteEvent.TASK_RETRIED, Step.SEND, ended.endpoint().value(), "task", task.id()));
                 task.requeueAfterLoss(ended.endpoint());
-                queue(submission, 1);
+                enqueue(submission, 1);
                 return;
             }
             sink.emit(Note.of(
@@ -267,15 +268,16 @@
         task.end(TaskState.LOST);
         ProblemCode code =
                 nowNanos < submission.deadlineNanos() ? ProblemCode.ANSWER_LOST : ProblemCode.DEADLINE_PASSED;
-        end(submission, Optional.of(problem(code, Step.COLLECT, ended)), nowNanos, sink);
+        end(submission, Optional.of(taskProblem(code, Step.COLLECT, ended)), nowNanos, sink);
     }
 
-    private static Problem problem(ProblemCode code, Step step, TaskEnded ended) {
+    private static Problem taskProblem(ProblemCode code, Step step, TaskEnded ended) {
         return Problem.of(code, step, ended.endpoint().value(), ended.detail()).withTask(ended.task());
     }
 
-    private String peer(Submission submission) {
-        return inFlight.endpointOf(submission)
+    private String peerName(Submission submission) {
+        return inFlightTasks
+                .endpointOf(submission)
                 .map(endpoint -> endpoint.id().value())
                 .orElse("caller");
     }
@@ -284,7 +286,7 @@
         if (task.state() == TaskState.QUEUED) {
             task.end(TaskState.DROPPED);
         } else if (task.state() == TaskState.SENT) {
-            inFlight.stop(submission, task, sink);
+            inFlightTasks.stop(submission, task, sink);
         }
     }
 }
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/submission/RetryBudget.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/submission/RetryBudget.java
@@ -1,28 +1,28 @@
 package org.tarragonarch.core.submission;
 
 /**
- * Bounds retries to a share of the successes, so that retries cannot amplify an outage.
+ * Limits retries to a fraction of the successes, so that retries cannot amplify an outage.
  *
- * <p>Each success earns a tenth of a retry, up to a small reserve that also stands at the start. When endpoints fail
- * one after the other, successes dry up, the reserve is spent, and load falls back to one send per task.
+ * <p>The budget starts with a small reserve; each success adds a tenth of a retry, up to the size of the reserve. When
+ * most tasks fail, the reserve is soon spent and each task is sent only once.
  */
 final class RetryBudget {
     private static final double EARNED_PER_SUCCESS = 0.1;
     private static final double RESERVE = 10;
 
-    private double retries = RESERVE;
+    private double available = RESERVE;
 
     /** Records a task that succeeded. */
-    void succeeded() {
-        retries = Math.min(RESERVE, retries + EARNED_PER_SUCCESS);
+    void recordSuccess() {
+        available = Math.min(RESERVE, available + EARNED_PER_SUCCESS);
     }
 
-    /** Spends one retry; returns false, and spends nothing, if there is none left. */
-    boolean spend() {
-        if (retries < 1) {
+    /** Spends one retry; returns false and spends nothing if less than one is available. */
+    boolean trySpend() {
+        if (available < 1) {
             return false;
         }
-        retries--;
+        available--;
         return true;
     }
 }
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/submission/Stage.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/submission/Stage.java
@@ -3,53 +3,53 @@
 import org.tarragonarch.model.outcome.ProblemCode;
 import org.tarragonarch.model.outcome.Step;
 
-/** How far a submission is on its way; the stage decides what a deadline or a cancel means for it. */
+/** The stages of an open submission; the stage determines the problem it ends with at its deadline or a cancel. */
 public enum Stage {
-    /** Its key is being claimed, so nothing of it can have left this node. */
+    /** The idempotency key is being claimed; no task has been sent. */
     CLAIMING(Step.CLAIM) {
         @Override
-        public ProblemCode expired(boolean mayHaveRun) {
+        public ProblemCode expiryCode(boolean mayHaveRun) {
             return ProblemCode.CLAIM_UNAVAILABLE;
         }
 
         @Override
-        public ProblemCode cancelled(boolean mayHaveRun) {
+        public ProblemCode cancellationCode(boolean mayHaveRun) {
             return ProblemCode.CANCELLED;
         }
     },
-    /** Another node holds its key and was asked for the answer. */
+    /** Another node holds the claim on the idempotency key and was asked for the answer. */
     ASKING_HOLDER(Step.PEER) {
         @Override
-        public ProblemCode expired(boolean mayHaveRun) {
+        public ProblemCode expiryCode(boolean mayHaveRun) {
             return ProblemCode.HELD_ELSEWHERE;
         }
 
         @Override
-        public ProblemCode cancelled(boolean mayHaveRun) {
+        public ProblemCode cancellationCode(boolean mayHaveRun) {
             return ProblemCode.CANCELLED_WHILE_RUNNING;
         }
     },
-    /** An earlier submission of this node under the same key is running, and will answer this one too. */
+    /** An earlier submission of this node with the same key is open; its answer will answer this one too. */
     JOINED(Step.RUN) {
         @Override
-        public ProblemCode expired(boolean mayHaveRun) {
+        public ProblemCode expiryCode(boolean mayHaveRun) {
             return ProblemCode.DEADLINE_PASSED;
         }
 
         @Override
-        public ProblemCode cancelled(boolean mayHaveRun) {
+        public ProblemCode cancellationCode(boolean mayHaveRun) {
             return ProblemCode.CANCELLED_WHILE_RUNNING;
         }
     },
-    /** Its tasks wait for slots or run. */
+    /** The tasks wait for slots or run. */
     DISPATCHED(Step.QUEUE) {
         @Override
-        public ProblemCode expired(boolean mayHaveRun) {
+        public ProblemCode expiryCode(boolean mayHaveRun) {
             return mayHaveRun ? ProblemCode.DEADLINE_PASSED : ProblemCode.EXPIRED_IN_QUEUE;
         }
 
         @Override
-        public ProblemCode cancelled(boolean mayHaveRun) {
+        public ProblemCode cancellationCode(boolean mayHaveRun) {
             return mayHaveRun ? ProblemCode.CANCELLED_WHILE_RUNNING : ProblemCode.CANCELLED;
         }
     };
@@ -60,14 +60,14 @@
         this.step = step;
     }
 
-    /** Returns the step that a problem at this stage names. */
+    /** Returns the step named in problems that arise at this stage. */
     public Step step() {
         return step;
     }
 
-    /** Returns the problem of a submission whose deadline passes at this stage. */
-    public abstract ProblemCode expired(boolean mayHaveRun);
+    /** Returns the code of the problem of a submission whose deadline passes at this stage. */
+    public abstract ProblemCode expiryCode(boolean mayHaveRun);
 
-    /** Returns the problem of a submission that is cancelled at this stage. */
-    public abstract ProblemCode cancelled(boolean mayHaveRun);
+    /** Returns the code of the problem of a submission that is cancelled at this stage. */
+    public abstract ProblemCode cancellationCode(boolean mayHaveRun);
 }
--- a/tarragonarch-standin/src/test/java/org/tarragonarch/standin/scenario/TraceScenarioTest.java
+++ b/tarragonarch-standin/src/test/java/org/tarragonarch/standin/scenario/TraceScenarioTest.java
@@ -13,14 +13,14 @@
 
 public final class TraceScenarioTest {
     private static final String EXPECTED = """
-            expect hobart-1_1_0 complete before 5400ms
-            expect hobart-1_1_1 unknown with answer-lost
-            expect at 5s phase serving on all
-            expect at 5s peers 1 alive on all
-            expect at 7s configuration 1 on all
-            expect at 12s configuration 2 on all
-            expect noted peer-silent 1 on all
-            """;
+        expect hobart-1_1_0 complete before 5400ms
+        expect hobart-1_1_1 unknown with answer-lost
+        expect at 5s phase serving on all
+        expect at 5s peers 1 alive on all
+        expect at 7s configuration 1 on all
+        expect at 12s configuration 2 on all
+        expect noted peer-silent 1 on all
+        """;
 
     private Path folder;
 
@@ -28,15 +28,15 @@
     public void createFolder() throws Exception {
         folder = Files.createTempDirectory("traces");
         parse("""
-                seed 3
-                nodes hobart 2
-                endpoints hobart 1
-                at 5s      submit first job tasks 3 runtime 200ms to hobart-1
-                at 6s      submit lost job tasks 3 runtime 200ms to hobart-1
-                at 6100ms  kill endpoint hobart-w1
-                at 7s      kill node hobart-2
-                at 8s      accept configuration
-                """).runRecorded(folder);
+            seed 3
+            nodes hobart 2
+            endpoints hobart 1
+            at 5s      submit first job tasks 3 runtime 200ms to hobart-1
+            at 6s      submit lost job tasks 3 runtime 200ms to hobart-1
+            at 6100ms  kill endpoint hobart-w1
+            at 7s      kill node hobart-2
+            at 8s      accept configuration
+            """).runRecorded(folder);
     }
 
     @AfterMethod
@@ -51,13 +51,13 @@
     }
 
     @Test
-    public void testRun_otherOutcomesAreNamed() throws Exception {
+    public void testRun_reportsMismatches() throws Exception {
         ImmutableList<String> failures = parse("""
-                        trace hobart-1_1.jsonl
-                        expect every complete
-                        expect at 7s configuration 2 on all
-                        expect no start on hobart-w1 after 5500ms
-                        """).run();
+            trace hobart-1_1.jsonl
+            expect every complete
+            expect at 7s configuration 2 on all
+            expect no start on hobart-w1 after 5500ms
+            """).run();
         assertEquals(failures.size(), 3, failures.toString());
     }
 
