--- a/tarragonarch-entry/src/main/java/org/tarragonarch/entry/Daemon.java
+++ b/tarragonarch-entry/src/main/java/org/tarragonarch/entry/Daemon.java
@@ -108,7 +108,7 @@
                 platform.configurationStore(),
                 platform.vmList(),
                 loader,
-                this::platformAnswered,
+                this::onPlatformEvent,
                 metrics);
         this.callerApi = CallerApi.create(identity, catalog, readiness, bodies, control, metrics);
         this.adminApi = AdminApi.create(control, catalog, texts, readiness, metrics, platform.configurationStore());
@@ -180,21 +180,21 @@
     }
 
     /** Drains the node and stops it; returns whether it had left before its drain deadline and a margin. */
-    boolean leave(String reason) {
+    boolean drainAndStop(String reason) {
         control.post(new DrainRequested(reason));
         Duration bound = settings.policy()
                 .drainDelay()
                 .plus(settings.policy().drainDeadline())
                 .plus(LEAVING_MARGIN);
-        boolean left = readiness.awaitLeft(bound) && lastAnswersOut();
+        boolean left = readiness.awaitLeft(bound) && awaitLastAnswers();
         LOG.atInfo().log("%s", LogLine.of("stopped", Step.LIFECYCLE, "node").with("left", left));
         close();
         return left;
     }
 
-    private boolean lastAnswersOut() {
+    private boolean awaitLastAnswers() {
         try {
-            return callerServer.awaitAnswered(settings.limits().http().sendTimeout());
+            return callerServer.awaitAllAnswered(settings.limits().http().sendTimeout());
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
             return false;
@@ -227,14 +227,14 @@
                 .on(AskPeerAnswer.class, peers::askAnswer)
                 .on(GivePeerAnswer.class, peers::giveAnswer)
                 .on(SendReport.class, peers::sendReport)
-                .on(ConfigurationInForce.class, this::configurationInForce)
-                .on(PhaseChanged.class, this::phaseChanged)
-                .on(Note.class, this::note)
+                .on(ConfigurationInForce.class, this::onConfigurationInForce)
+                .on(PhaseChanged.class, this::onPhaseChanged)
+                .on(Note.class, this::onNote)
                 .on(WakeAt.class, wake -> {})
                 .build();
     }
 
-    private void platformAnswered(Event event) {
+    private void onPlatformEvent(Event event) {
         if (event instanceof VmListRead list) {
             peers.learn(list.vms());
         }
@@ -249,7 +249,7 @@
         }
     }
 
-    private void configurationInForce(ConfigurationInForce action) {
+    private void onConfigurationInForce(ConfigurationInForce action) {
         catalog.set(action.catalog());
         LOG.atInfo().log(
                 "%s",
@@ -258,7 +258,7 @@
                         .with("digest", action.catalog().digest()));
     }
 
-    private void phaseChanged(PhaseChanged action) {
+    private void onPhaseChanged(PhaseChanged action) {
         LOG.atInfo().log(
                 "%s",
                 LogLine.of("phase-changed", Step.LIFECYCLE, "node")
@@ -267,19 +267,20 @@
         readiness.enter(action.phase());
     }
 
-    private void note(Note note) {
+    private void onNote(Note note) {
         NoteLog.write(note);
-        metrics.noted(note);
+        metrics.countNote(note);
         if (note.event() == NoteEvent.TASK_RETRIED) {
-            metrics.wasted(WasteKind.REPEATED_SEND);
+            metrics.countWastedMessage(WasteKind.REPEATED_SEND);
         }
     }
 
     private void addGauges() {
-        metrics.gauge("control.queue.events", null, "Events that wait for the control thread", control::waiting);
-        metrics.gauge("callers.waiting", null, "Callers who wait for an answer", callerApi::waiting);
-        metrics.gauge("bodies.stored", "bytes", "Bytes of inputs and results kept", bodies::bytes);
-        metrics.gauge("endpoint.exchanges", null, "Exchanges with endpoints under way", endpoints::exchanges);
+        metrics.addGauge(
+                "control.queue.events", null, "Events that wait for the control thread", control::waitingEvents);
+        metrics.addGauge("callers.waiting", null, "Callers who wait for an answer", callerApi::waiting);
+        metrics.addGauge("bodies.stored", "bytes", "Bytes of inputs and results kept", bodies::bytes);
+        metrics.addGauge("endpoint.exchanges", null, "Exchanges with endpoints under way", endpoints::openExchanges);
     }
 
     private void close() {
--- a/tarragonarch-entry/src/main/java/org/tarragonarch/entry/DaemonCommand.java
+++ b/tarragonarch-entry/src/main/java/org/tarragonarch/entry/DaemonCommand.java
@@ -54,11 +54,11 @@
         try {
             daemon = Daemon.start(node);
         } catch (StepException e) {
-            log.finish();
+            log.flush();
             spec.commandLine().getErr().println("tarragonarch: " + e.peer() + ": " + e.getMessage());
             return e.getCause() instanceof BindException ? ExitCode.PORT_TAKEN : ExitCode.FAILURE;
         }
-        Thread hook = new Thread(() -> leaveAndExit(daemon, log), "leave");
+        Thread hook = new Thread(() -> drainAndExit(daemon, log), "leave");
         Runtime.getRuntime().addShutdownHook(hook);
         daemon.awaitLeft();
         return ExitCode.OK;
@@ -67,9 +67,9 @@
     // A process that ends by a signal reports the signal as its exit code. A drain that ended well must report 0, so
     // the
     // process is ended here; the hook is the last one of consequence.
-    private static void leaveAndExit(Daemon daemon, LogSetup log) {
-        boolean left = daemon.leave("the process was told to end");
-        log.finish();
+    private static void drainAndExit(Daemon daemon, LogSetup log) {
+        boolean left = daemon.drainAndStop("the process was told to end");
+        log.flush();
         Runtime.getRuntime().halt(left ? ExitCode.OK : ExitCode.FAILURE);
     }
 }
--- a/tarragonarch-entry/src/main/java/org/tarragonarch/entry/ReplayCommand.java
+++ b/tarragonarch-entry/src/main/java/org/tarragonarch/entry/ReplayCommand.java
@@ -32,7 +32,7 @@
     public Integer call() {
         PrintWriter out = spec.commandLine().getOut();
         try {
-            long events = TraceReplay.run(
+            long events = TraceReplay.replay(
                     file,
                     (line, action) -> out.println(
                             line.nanos() + " " + line.event().getClass().getSimpleName() + " " + json(action)));
@@ -48,7 +48,7 @@
 
     private static String json(Action action) {
         try {
-            return TraceReplay.json(action);
+            return TraceReplay.toJson(action);
         } catch (IOException e) {
             throw new UncheckedIOException(e);
         }
--- a/tarragonarch-entry/src/main/java/org/tarragonarch/entry/admin/AdminAnswers.java
+++ b/tarragonarch-entry/src/main/java/org/tarragonarch/entry/admin/AdminAnswers.java
@@ -33,7 +33,7 @@
         return context.send(text);
     }
 
-    static void problem(Context context, AdminException e) {
+    static void sendProblem(Context context, AdminException e) {
         if (e.status() == AdminProblem.UNAUTHENTICATED) {
             context.setResponseHeader("WWW-Authenticate", "Bearer");
         }
@@ -42,9 +42,9 @@
         context.send(ProblemJson.bytes(e.json()));
     }
 
-    static void fault(Context context, Throwable cause) {
+    static void sendFault(Context context, Throwable cause) {
         LOG.atSevere().withCause(cause).log("%s", LogLine.of("handler-failed", Step.READ, "operator"));
-        problem(
+        sendProblem(
                 context,
                 new AdminException(new AdminProblem(
                         AdminProblem.FAULT, "fault", Step.READ, "node", "the node failed; its log says why")));
--- a/tarragonarch-entry/src/main/java/org/tarragonarch/entry/admin/AdminApi.java
+++ b/tarragonarch-entry/src/main/java/org/tarragonarch/entry/admin/AdminApi.java
@@ -103,7 +103,7 @@
         application.get(
                 "/health/live",
                 context -> AdminAnswers.send(context, StatusCode.OK, AdminAnswers.JSON, "{\"state\":\"live\"}"));
-        application.get("/health/ready", this::ready);
+        application.get("/health/ready", this::serveReadiness);
         application.get("/metrics", this::scrape);
         application.get("/admin/status", context -> snapshot(context, StatusJson::status));
         application.get("/admin/endpoints", context -> snapshot(context, StatusJson::endpoints));
@@ -111,12 +111,12 @@
         application.get("/admin/queues", context -> snapshot(context, StatusJson::queues));
         application.get("/admin/quotas", context -> snapshot(context, StatusJson::quotas));
         application.get("/admin/configuration", this::configuration);
-        application.post("/admin/configuration", this::apply);
+        application.post("/admin/configuration", this::acceptConfiguration);
         application.get("/admin/audit", this::audit);
         application.post("/admin/drain", this::drain);
         application.post("/admin/endpoints/{id}/drain", context -> drainEndpoint(context, true));
         application.delete("/admin/endpoints/{id}/drain", context -> drainEndpoint(context, false));
-        application.error(this::failed);
+        application.error(this::handleError);
         return application;
     }
 
@@ -125,8 +125,8 @@
         threads.shutdownNow();
     }
 
-    private Context ready(Context context) {
-        StatusCode status = readiness.ready() ? StatusCode.OK : StatusCode.SERVICE_UNAVAILABLE;
+    private Context serveReadiness(Context context) {
+        StatusCode status = readiness.isReady() ? StatusCode.OK : StatusCode.SERVICE_UNAVAILABLE;
         return AdminAnswers.send(
                 context,
                 status,
@@ -139,7 +139,7 @@
                 .whenCompleteAsync(
                         (status, failure) -> {
                             if (status != null) {
-                                metrics.status().show(status);
+                                metrics.status().update(status);
                             }
                             String text = metrics.scrape();
                             AdminAnswers.respond(
@@ -150,11 +150,11 @@
     }
 
     private Context snapshot(Context context, Function<NodeStatus, ObjectNode> json) throws AdminException {
-        operators.reader(context);
+        operators.requireReader(context);
         askStatus()
                 .whenComplete((status, failure) -> AdminAnswers.respond(context, () -> {
                     if (status == null) {
-                        AdminAnswers.problem(
+                        AdminAnswers.sendProblem(
                                 context,
                                 new AdminException(new AdminProblem(
                                         AdminProblem.UNAVAILABLE,
@@ -170,15 +170,15 @@
     }
 
     private CompletableFuture<NodeStatus> askStatus() {
-        return control.ask(NodeCore::status).orTimeout(SNAPSHOT_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
+        return control.query(NodeCore::status).orTimeout(SNAPSHOT_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
     }
 
     private Context configuration(Context context) throws AdminException {
-        operators.reader(context);
+        operators.requireReader(context);
         Optional<ConfigurationVersion> wanted = ChangeParameters.version(context);
         ServiceCatalog now = catalog.catalog().orElseThrow();
         if (wanted.isPresent() && !wanted.get().equals(now.version())) {
-            return later(context, () -> changes.load(wanted.get()));
+            return runOnAdminThread(context, () -> changes.load(wanted.get()));
         }
         byte[] canonical = texts.find(now)
                 .orElseThrow(() -> new AdminException(new AdminProblem(
@@ -190,24 +190,24 @@
         return AdminAnswers.send(context, ChangeJsonWriter.configuration(now.version(), now.digest(), canonical));
     }
 
-    private Context apply(Context context) throws AdminException {
-        OperatorDefinition operator = operators.changer(context);
+    private Context acceptConfiguration(Context context) throws AdminException {
+        OperatorDefinition operator = operators.requireChanger(context);
         byte[] canonical = Exchange.of(context).body();
         ChangeParameters parameters = ChangeParameters.of(context);
-        return later(
+        return runOnAdminThread(
                 context,
                 () -> changes.accept(
                         operator.name(), parameters.from(), parameters.change(), parameters.summary(), canonical));
     }
 
     private Context audit(Context context) throws AdminException {
-        operators.reader(context);
+        operators.requireReader(context);
         int limit = ChangeParameters.limit(context);
-        return later(context, () -> changes.history(limit));
+        return runOnAdminThread(context, () -> changes.history(limit));
     }
 
     private Context drain(Context context) throws AdminException {
-        OperatorDefinition operator = operators.changer(context);
+        OperatorDefinition operator = operators.requireChanger(context);
         LOG.atInfo().log(
                 "%s", LogLine.of("drain-asked", Step.LIFECYCLE, operator.name().value()));
         control.post(new DrainRequested("operator " + operator.name()));
@@ -215,7 +215,7 @@
     }
 
     private Context drainEndpoint(Context context, boolean out) throws AdminException {
-        OperatorDefinition operator = operators.changer(context);
+        OperatorDefinition operator = operators.requireChanger(context);
         String id = context.path("id").value();
         if (!Names.wellFormed(id)) {
             throw new AdminException(new AdminProblem(
@@ -230,15 +230,15 @@
                                 operator.name().value())
                         .with("endpoint", endpoint)
                         .with("out", out));
-        control.ask(core -> known(core.status(), endpoint))
+        control.query(core -> hasEndpoint(core.status(), endpoint))
                 .whenComplete((known, failure) ->
-                        AdminAnswers.respond(context, () -> drainKnown(context, endpoint, out, known)));
+                        AdminAnswers.respond(context, () -> answerEndpointDrain(context, endpoint, out, known)));
         return context;
     }
 
-    private void drainKnown(Context context, EndpointId endpoint, boolean out, Boolean known) {
+    private void answerEndpointDrain(Context context, EndpointId endpoint, boolean out, Boolean known) {
         if (!Boolean.TRUE.equals(known)) {
-            AdminAnswers.problem(
+            AdminAnswers.sendProblem(
                     context,
                     new AdminException(new AdminProblem(
                             AdminProblem.NOT_FOUND,
@@ -256,13 +256,13 @@
                 "{\"endpoint\":\"" + endpoint + "\",\"out\":" + out + "}");
     }
 
-    private static boolean known(NodeStatus status, EndpointId endpoint) {
+    private static boolean hasEndpoint(NodeStatus status, EndpointId endpoint) {
         return status.endpoints().stream().anyMatch(row -> row.endpoint().equals(endpoint));
     }
 
-    private Context later(Context context, AdminCall call) throws AdminException {
+    private Context runOnAdminThread(Context context, AdminCall call) throws AdminException {
         try {
-            threads.execute(() -> answer(context, call));
+            threads.execute(() -> callAndAnswer(context, call));
         } catch (RejectedExecutionException e) {
             throw new AdminException(new AdminProblem(
                     AdminProblem.UNAVAILABLE, "busy", Step.PLATFORM, "platform", "too many calls wait already"));
@@ -270,27 +270,27 @@
         return context;
     }
 
-    private void answer(Context context, AdminCall call) {
+    private void callAndAnswer(Context context, AdminCall call) {
         try {
             JsonNode json = call.call();
             AdminAnswers.respond(context, () -> AdminAnswers.send(context, json));
         } catch (AdminException e) {
-            AdminAnswers.respond(context, () -> AdminAnswers.problem(context, e));
+            AdminAnswers.respond(context, () -> AdminAnswers.sendProblem(context, e));
         } catch (RuntimeException e) {
-            AdminAnswers.respond(context, () -> AdminAnswers.fault(context, e));
+            AdminAnswers.respond(context, () -> AdminAnswers.sendFault(context, e));
         }
     }
 
-    private void failed(Context context, Throwable cause, StatusCode status) {
+    private void handleError(Context context, Throwable cause, StatusCode status) {
         if (cause instanceof AdminException refusal) {
-            AdminAnswers.problem(context, refusal);
+            AdminAnswers.sendProblem(context, refusal);
         } else if (status.value() < StatusCode.SERVER_ERROR_CODE) {
-            AdminAnswers.problem(
+            AdminAnswers.sendProblem(
                     context,
                     new AdminException(new AdminProblem(
                             status.value(), "no-such-resource", Step.READ, OPERATOR, "no such resource or method")));
         } else {
-            AdminAnswers.fault(context, cause);
+            AdminAnswers.sendFault(context, cause);
         }
     }
 
--- a/tarragonarch-entry/src/main/java/org/tarragonarch/entry/admin/ChangeParameters.java
+++ b/tarragonarch-entry/src/main/java/org/tarragonarch/entry/admin/ChangeParameters.java
@@ -21,11 +21,11 @@
     static ChangeParameters of(Context context) throws AdminException {
         long from = number(context, "from", -1);
         if (from < 0) {
-            throw bad("'from' must name the version that the change starts from");
+            throw malformed("'from' must name the version that the change starts from");
         }
         String change = text(context, "change");
         if (change.isEmpty()) {
-            throw bad("'change' must be a unique mark of the change");
+            throw malformed("'change' must be a unique mark of the change");
         }
         return new ChangeParameters(ConfigurationVersion.of(from), new ChangeId(change), text(context, "summary"));
     }
@@ -34,7 +34,7 @@
     static Optional<ConfigurationVersion> version(Context context) throws AdminException {
         long version = number(context, "version", 0);
         if (version < 0) {
-            throw bad("'version' is negative");
+            throw malformed("'version' is negative");
         }
         return version == 0 ? Optional.empty() : Optional.of(ConfigurationVersion.of(version));
     }
@@ -42,7 +42,7 @@
     static int limit(Context context) throws AdminException {
         long limit = number(context, "limit", DEFAULT_LIMIT);
         if (limit < 1 || limit > MAX_LIMIT) {
-            throw bad("'limit' is not from 1 to " + MAX_LIMIT);
+            throw malformed("'limit' is not from 1 to " + MAX_LIMIT);
         }
         return (int) limit;
     }
@@ -52,19 +52,19 @@
         try {
             return text.isEmpty() ? standard : Long.parseLong(text);
         } catch (NumberFormatException e) {
-            throw bad("'" + name + "' is not a whole number");
+            throw malformed("'" + name + "' is not a whole number");
         }
     }
 
     private static String text(Context context, String name) throws AdminException {
         String text = context.query(name).value("");
         if (text.length() > MAX_TEXT) {
-            throw bad("'" + name + "' is longer than " + MAX_TEXT + " characters");
+            throw malformed("'" + name + "' is longer than " + MAX_TEXT + " characters");
         }
         return text;
     }
 
-    private static AdminException bad(String detail) {
+    private static AdminException malformed(String detail) {
         return new AdminException(
                 new AdminProblem(AdminProblem.BAD_REQUEST, "malformed", Step.READ, "operator", detail));
     }
--- a/tarragonarch-entry/src/main/java/org/tarragonarch/entry/admin/OperatorCheck.java
+++ b/tarragonarch-entry/src/main/java/org/tarragonarch/entry/admin/OperatorCheck.java
@@ -27,7 +27,7 @@
     }
 
     /** Returns the operator who calls, who may look at everything. */
-    OperatorDefinition reader(Context context) throws AdminException {
+    OperatorDefinition requireReader(Context context) throws AdminException {
         if (catalog.catalog().isEmpty()) {
             throw new AdminException(new AdminProblem(
                     AdminProblem.UNAVAILABLE,
@@ -38,7 +38,7 @@
         }
         Optional<OperatorDefinition> operator = BearerToken.digest(context).flatMap(catalog::operator);
         if (operator.isEmpty()) {
-            refused("operator-unauthenticated", Exchange.of(context).remote());
+            recordRefusal("operator-unauthenticated", Exchange.of(context).remote());
             throw new AdminException(new AdminProblem(
                     AdminProblem.UNAUTHENTICATED,
                     "unauthenticated",
@@ -50,10 +50,10 @@
     }
 
     /** Returns the operator who calls, if that operator may change things. */
-    OperatorDefinition changer(Context context) throws AdminException {
-        OperatorDefinition operator = reader(context);
+    OperatorDefinition requireChanger(Context context) throws AdminException {
+        OperatorDefinition operator = requireReader(context);
         if (!operator.role().mayChange()) {
-            refused("operator-forbidden", operator.name().value());
+            recordRefusal("operator-forbidden", operator.name().value());
             throw new AdminException(new AdminProblem(
                     AdminProblem.FORBIDDEN,
                     "forbidden",
@@ -64,8 +64,8 @@
         return operator;
     }
 
-    private void refused(String event, String peer) {
-        metrics.unauthenticated(PORT);
+    private void recordRefusal(String event, String peer) {
+        metrics.countAuthenticationFailure(PORT);
         LOG.atWarning().atMostEvery(1, TimeUnit.SECONDS).log("%s", LogLine.of(event, Step.AUTHENTICATE, peer));
     }
 }
--- a/tarragonarch-entry/src/main/java/org/tarragonarch/entry/caller/AnswerSender.java
+++ b/tarragonarch-entry/src/main/java/org/tarragonarch/entry/caller/AnswerSender.java
@@ -108,7 +108,7 @@
             headers(context, Outcome.COMPLETE, Optional.of(id.toString()), caller.requestId());
             context.setResponseType("application/json");
             context.send(CompleteJson.bytes(caller.form(), id, results.get()));
-            metrics.answered(caller.form(), Outcome.COMPLETE.word(), NO_CODE, responseTime(caller));
+            metrics.recordAnswer(caller.form(), Outcome.COMPLETE.word(), NO_CODE, responseTime(caller));
         });
     }
 
@@ -118,7 +118,7 @@
                 problem.code().status(),
                 problem,
                 new ProblemIds(Optional.of(id.toString()), caller.requestId()));
-        metrics.answered(
+        metrics.recordAnswer(
                 caller.form(), problem.code().outcome().word(), problem.code().word(), responseTime(caller));
         LOG.atInfo()
                 .per(problem.code())
@@ -135,7 +135,7 @@
     }
 
     private void count(Problem problem) {
-        metrics.refused(problem.code().word());
+        metrics.countRefusal(problem.code().word());
         LOG.atInfo()
                 .per(problem.code())
                 .atMostEvery(1, TimeUnit.SECONDS)
@@ -161,7 +161,7 @@
 
     private void headers(Context context, Outcome outcome, Optional<String> submission, Optional<String> requestId) {
         context.setResponseHeader("Outcome", outcome.word());
-        if (readiness.leaving()) {
+        if (readiness.isLeaving()) {
             // A connection kept open would be cut in the end, perhaps just as its next request is on the way.
             context.setResponseHeader("Connection", "close");
         }
--- a/tarragonarch-entry/src/main/java/org/tarragonarch/entry/caller/CallerApi.java
+++ b/tarragonarch-entry/src/main/java/org/tarragonarch/entry/caller/CallerApi.java
@@ -194,7 +194,7 @@
     }
 
     private Context ready(Context context) {
-        context.setResponseCode(readiness.ready() ? StatusCode.OK : StatusCode.SERVICE_UNAVAILABLE);
+        context.setResponseCode(readiness.isReady() ? StatusCode.OK : StatusCode.SERVICE_UNAVAILABLE);
         context.setResponseType("application/json");
         return context.send("{\"phase\":\"" + readiness.phase().word() + "\"}");
     }
@@ -221,7 +221,7 @@
         }
         Optional<CallerDefinition> caller = BearerToken.digest(context).flatMap(catalog::caller);
         if (caller.isEmpty()) {
-            metrics.unauthenticated(CALLER);
+            metrics.countAuthenticationFailure(CALLER);
             throw new RefusedException(Problem.of(
                     ProblemCode.UNAUTHENTICATED,
                     Step.AUTHENTICATE,
--- a/tarragonarch-entry/src/main/java/org/tarragonarch/entry/control/ControlLoop.java
+++ b/tarragonarch-entry/src/main/java/org/tarragonarch/entry/control/ControlLoop.java
@@ -74,7 +74,7 @@
     }
 
     /** Returns what a question to the core will give, asked on the control thread; fails if the question does. */
-    public <T> CompletableFuture<T> ask(Function<NodeCore, T> question) {
+    public <T> CompletableFuture<T> query(Function<NodeCore, T> question) {
         CompletableFuture<T> answer = new CompletableFuture<>();
         inbox.add(() -> {
             try {
@@ -87,7 +87,7 @@
     }
 
     /** Returns how many events wait; for the metrics. */
-    public int waiting() {
+    public int waitingEvents() {
         return inbox.size();
     }
 
--- a/tarragonarch-entry/src/main/java/org/tarragonarch/entry/control/Readiness.java
+++ b/tarragonarch-entry/src/main/java/org/tarragonarch/entry/control/Readiness.java
@@ -31,12 +31,12 @@
     }
 
     /** Returns whether the balancer should send requests here. */
-    public boolean ready() {
+    public boolean isReady() {
         return phase == NodePhase.SERVING;
     }
 
     /** Returns whether the node is on its way out. */
-    public boolean leaving() {
+    public boolean isLeaving() {
         NodePhase now = phase;
         return now != NodePhase.STARTING && now != NodePhase.SERVING;
     }
--- a/tarragonarch-entry/src/main/java/org/tarragonarch/entry/endpoint/AnswerReader.java
+++ b/tarragonarch-entry/src/main/java/org/tarragonarch/entry/endpoint/AnswerReader.java
@@ -49,7 +49,7 @@
         return switch (response.code()) {
             case EndpointProtocol.SUCCEEDED ->
                 isJson(body) ? EndpointAnswer.succeeded(leaving, body) : lost(leaving, "the result is not JSON");
-            case EndpointProtocol.TASK_REJECTED, EndpointProtocol.TASK_BROKE ->
+            case EndpointProtocol.TASK_REJECTED, EndpointProtocol.TASK_FAILED ->
                 detail(body)
                         .map(detail -> EndpointAnswer.of(SendResult.TASK_FAILED, leaving, detail))
                         .orElseGet(() -> lost(leaving, "status " + response.code() + " without a detail"));
--- a/tarragonarch-entry/src/main/java/org/tarragonarch/entry/endpoint/EndpointClient.java
+++ b/tarragonarch-entry/src/main/java/org/tarragonarch/entry/endpoint/EndpointClient.java
@@ -100,7 +100,7 @@
     public void send(SendTask action) {
         Optional<TaskContent> content = bodies.task(action.task());
         if (content.isEmpty()) {
-            end(action, EndpointAnswer.of(SendResult.CONNECT_FAILED, false, "the task's body is gone"));
+            reportEnd(action, EndpointAnswer.of(SendResult.CONNECT_FAILED, false, "the task's body is gone"));
             return;
         }
         send(action, content.get(), System.nanoTime() + action.timeAllowed().toNanos());
@@ -118,7 +118,9 @@
                 // No byte has left. Each such failure takes a kept connection away, so that a new one is opened soon.
                 send(action, content, deadlineNanos);
             } else {
-                end(action, response != null ? answered(action.task(), response) : failed(tracker, failure));
+                reportEnd(
+                        action,
+                        response != null ? readAnswer(action.task(), response) : connectionFailure(tracker, failure));
             }
         });
     }
@@ -134,7 +136,7 @@
         if (call == null || !action.sendStop()) {
             return;
         }
-        metrics.wasted(WasteKind.STOP);
+        metrics.countWastedMessage(WasteKind.STOP);
         HttpUrl url = url(action.address(), EndpointProtocol.TASKS)
                 .newBuilder()
                 .addPathSegment(action.task().toString())
@@ -144,7 +146,7 @@
 
     /** Asks an endpoint whether it takes work. */
     public void probe(ProbeEndpoint action) {
-        metrics.wasted(WasteKind.PROBE);
+        metrics.countWastedMessage(WasteKind.PROBE);
         Request request = new Request.Builder()
                 .url(url(action.address(), EndpointProtocol.HEALTH))
                 .build();
@@ -158,7 +160,7 @@
     }
 
     /** Returns how many exchanges are under way. */
-    public int exchanges() {
+    public int openExchanges() {
         return running.size();
     }
 
@@ -212,7 +214,7 @@
     }
 
     // A fault of the reader must not swallow the end of a send: the core would count its slot as used indefinitely.
-    private EndpointAnswer answered(TaskId task, Response response) {
+    private EndpointAnswer readAnswer(TaskId task, Response response) {
         try {
             return reader.read(task, response);
         } catch (RuntimeException e) {
@@ -220,15 +222,15 @@
         }
     }
 
-    private static EndpointAnswer failed(SendTracker tracker, IOException failure) {
-        return tracker.mayHaveLeft()
+    private static EndpointAnswer connectionFailure(SendTracker tracker, IOException failure) {
+        return tracker.mayHaveSent()
                 ? EndpointAnswer.of(SendResult.LOST, false, "the connection broke: " + failure.getMessage())
                 : EndpointAnswer.of(SendResult.CONNECT_FAILED, false, "no connection: " + failure.getMessage());
     }
 
-    private void end(SendTask action, EndpointAnswer answer) {
+    private void reportEnd(SendTask action, EndpointAnswer answer) {
         answer.body().ifPresent(result -> bodies.keepResult(action.task(), result));
-        metrics.sendEnded(answer.result());
+        metrics.countSend(answer.result());
         events.post(new TaskEnded(
                 action.task(),
                 action.attempt(),
@@ -255,24 +257,24 @@
         }
     }
 
-    private static void enqueue(Call call, Ending ending) {
+    private static void enqueue(Call call, Completion ending) {
         call.enqueue(new Callback() {
             @Override
             public void onFailure(Call failed, IOException failure) {
-                ending.ended(null, failure);
+                ending.completed(null, failure);
             }
 
             @Override
             public void onResponse(Call answered, Response response) {
                 try (response) {
-                    ending.ended(response, null);
+                    ending.completed(response, null);
                 }
             }
         });
     }
 
-    private interface Ending {
-        void ended(Response response, IOException failure);
+    private interface Completion {
+        void completed(Response response, IOException failure);
     }
 
     private record Send(TaskId task, int attempt) {}
--- a/tarragonarch-entry/src/main/java/org/tarragonarch/entry/endpoint/EndpointProtocol.java
+++ b/tarragonarch-entry/src/main/java/org/tarragonarch/entry/endpoint/EndpointProtocol.java
@@ -17,7 +17,7 @@
 
     static final int SUCCEEDED = 200;
     static final int TASK_REJECTED = 422;
-    static final int TASK_BROKE = 500;
+    static final int TASK_FAILED = 500;
     static final int NOT_STARTED = 503;
 
     private EndpointProtocol() {}
--- a/tarragonarch-entry/src/main/java/org/tarragonarch/entry/endpoint/SendTracker.java
+++ b/tarragonarch-entry/src/main/java/org/tarragonarch/entry/endpoint/SendTracker.java
@@ -11,14 +11,14 @@
  * endpoint saw nothing: not a reset, nor a broken pipe on a connection that was reused from the pool.
  */
 final class SendTracker extends EventListener {
-    private volatile boolean mayHaveLeft;
+    private volatile boolean mayHaveSent;
 
     @Override
     public void requestHeadersStart(Call call) {
-        mayHaveLeft = true;
+        mayHaveSent = true;
     }
 
-    boolean mayHaveLeft() {
-        return mayHaveLeft;
+    boolean mayHaveSent() {
+        return mayHaveSent;
     }
 }
--- a/tarragonarch-entry/src/main/java/org/tarragonarch/entry/http/ApiServer.java
+++ b/tarragonarch-entry/src/main/java/org/tarragonarch/entry/http/ApiServer.java
@@ -89,7 +89,7 @@
                 .childHandler(new ChannelInitializer<SocketChannel>() {
                     @Override
                     protected void initChannel(SocketChannel channel) {
-                        build(channel, application, limiter);
+                        buildPipeline(channel, application, limiter);
                     }
                 });
         ChannelFuture bound = bootstrap.bind(address).awaitUninterruptibly();
@@ -118,11 +118,11 @@
      *
      * @return whether all are answered; false if the bound passed first
      */
-    public boolean awaitAnswered(Duration bound) throws InterruptedException {
+    public boolean awaitAllAnswered(Duration bound) throws InterruptedException {
         return exchanges.awaitNone(bound);
     }
 
-    private void build(SocketChannel channel, Jooby application, ConnectionLimiter limiter) {
+    private void buildPipeline(SocketChannel channel, Jooby application, ConnectionLimiter limiter) {
         ConnectionTimer timer = new ConnectionTimer(limits, events);
         channel.pipeline()
                 .addLast(limiter)
--- a/tarragonarch-entry/src/main/java/org/tarragonarch/entry/http/ConnectionTimer.java
+++ b/tarragonarch-entry/src/main/java/org/tarragonarch/entry/http/ConnectionTimer.java
@@ -53,7 +53,7 @@
     }
 
     /** The answer has left and the next request may come. */
-    void answered() {
+    void answerSent() {
         enter(Phase.IDLE);
     }
 
--- a/tarragonarch-entry/src/main/java/org/tarragonarch/entry/http/Exchange.java
+++ b/tarragonarch-entry/src/main/java/org/tarragonarch/entry/http/Exchange.java
@@ -76,11 +76,11 @@
     public void onHangUp(Runnable action) {
         hangUp = action;
         if (!channel.isActive() && !ended) {
-            clientGone();
+            clientHungUp();
         }
     }
 
-    void clientGone() {
+    void clientHungUp() {
         if (!ended && hangUp != NOTHING) {
             ended = true;
             hangUp.run();
--- a/tarragonarch-entry/src/main/java/org/tarragonarch/entry/http/RequestGate.java
+++ b/tarragonarch-entry/src/main/java/org/tarragonarch/entry/http/RequestGate.java
@@ -71,13 +71,13 @@
         }
         draining = true;
         while (!waiting.isEmpty() && !(underWay && received)) {
-            letThrough(context, waiting.poll());
+            forward(context, waiting.poll());
         }
         draining = false;
         context.channel().config().setAutoRead(waiting.isEmpty());
     }
 
-    private void letThrough(ChannelHandlerContext context, Object message) {
+    private void forward(ChannelHandlerContext context, Object message) {
         if (message instanceof HttpRequest) {
             underWay = true;
             received = false;
@@ -99,7 +99,7 @@
         if (underWay && received && answered) {
             underWay = false;
             exchanges.end();
-            timer.answered();
+            timer.answerSent();
             drain(context);
         }
     }
--- a/tarragonarch-entry/src/main/java/org/tarragonarch/entry/http/RouterHandler.java
+++ b/tarragonarch-entry/src/main/java/org/tarragonarch/entry/http/RouterHandler.java
@@ -62,7 +62,7 @@
     @Override
     public void channelInactive(ChannelHandlerContext context) {
         if (current != null) {
-            current.clientGone();
+            current.clientHungUp();
         }
         context.fireChannelInactive();
     }
--- a/tarragonarch-entry/src/main/java/org/tarragonarch/entry/log/QueueHandler.java
+++ b/tarragonarch-entry/src/main/java/org/tarragonarch/entry/log/AsyncLogHandler.java
@@ -19,19 +19,19 @@
  * itself, the whole node would block on its log. Here lines that find the queue full are left out,
  * and the next line that fits is followed by one that says how many.
  */
-final class QueueHandler extends Handler {
+final class AsyncLogHandler extends Handler {
     private final PrintStream out;
     private final BlockingQueue<Line> queue;
     private final AtomicLong dropped = new AtomicLong();
 
-    private QueueHandler(PrintStream out, int capacity) {
+    private AsyncLogHandler(PrintStream out, int capacity) {
         this.out = out;
         this.queue = new ArrayBlockingQueue<>(capacity);
     }
 
     /** Returns a handler that writes to a stream, and starts its thread. */
-    static QueueHandler start(PrintStream out, Formatter formatter, int capacity) {
-        QueueHandler handler = new QueueHandler(out, capacity);
+    static AsyncLogHandler start(PrintStream out, Formatter formatter, int capacity) {
+        AsyncLogHandler handler = new AsyncLogHandler(out, capacity);
         handler.setFormatter(formatter);
         Thread thread = new Thread(handler::run, "log");
         thread.setDaemon(true);
@@ -50,7 +50,7 @@
     }
 
     /** Waits until what was published before is written, for so long at most; returns whether it is. */
-    boolean drain(Duration bound) {
+    boolean awaitWritten(Duration bound) {
         CountDownLatch written = new CountDownLatch(1);
         long end = System.nanoTime() + bound.toNanos();
         try {
--- a/tarragonarch-entry/src/main/java/org/tarragonarch/entry/log/LogSetup.java
+++ b/tarragonarch-entry/src/main/java/org/tarragonarch/entry/log/LogSetup.java
@@ -12,19 +12,19 @@
     private static final int QUEUED_LINES = 4_096;
     private static final Duration DRAIN_BOUND = Duration.ofSeconds(1);
 
-    private final QueueHandler handler;
+    private final AsyncLogHandler handler;
 
-    private LogSetup(QueueHandler handler) {
+    private LogSetup(AsyncLogHandler handler) {
         this.handler = handler;
     }
 
     /**
-     * Makes {@link LastingLogManager} the process's log manager; has an effect only before the first logger is made.
+     * Makes {@link NonResettingLogManager} the process's log manager; has an effect only before the first logger is made.
      *
      * <p>Stands here as a call to that class would initialize its superclass, which reads the property only once.
      */
     public static void prepare() {
-        System.setProperty(MANAGER_PROPERTY, LastingLogManager.class.getName());
+        System.setProperty(MANAGER_PROPERTY, NonResettingLogManager.class.getName());
     }
 
     /** Sets the process's log up; called once, before the first line. */
@@ -33,7 +33,7 @@
         for (Handler standard : root.getHandlers()) {
             root.removeHandler(standard);
         }
-        QueueHandler handler = QueueHandler.start(System.err, new LineFormatter(node.value()), QUEUED_LINES);
+        AsyncLogHandler handler = AsyncLogHandler.start(System.err, new LineFormatter(node.value()), QUEUED_LINES);
         handler.setLevel(level);
         root.setLevel(level);
         root.addHandler(handler);
@@ -41,7 +41,7 @@
     }
 
     /** Waits a bounded time until all lines so far are written; called before the process ends. */
-    public void finish() {
-        handler.drain(DRAIN_BOUND);
+    public void flush() {
+        handler.awaitWritten(DRAIN_BOUND);
     }
 }
--- a/tarragonarch-entry/src/main/java/org/tarragonarch/entry/log/LastingLogManager.java
+++ b/tarragonarch-entry/src/main/java/org/tarragonarch/entry/log/NonResettingLogManager.java
@@ -8,9 +8,9 @@
  * <p>The standard one drops them in a shutdown hook of its own, at the very moment at which a node that was asked to
  * end begins to drain: the log would fall silent before the lines that say whether the drain went well.
  */
-public final class LastingLogManager extends LogManager {
+public final class NonResettingLogManager extends LogManager {
     /** Creates the manager; called by the logging system. */
-    public LastingLogManager() {}
+    public NonResettingLogManager() {}
 
     @Override
     public void reset() {
--- a/tarragonarch-entry/src/main/java/org/tarragonarch/entry/metrics/NodeMetrics.java
+++ b/tarragonarch-entry/src/main/java/org/tarragonarch/entry/metrics/NodeMetrics.java
@@ -49,18 +49,18 @@
     // A counter that first appears with its first event shows a scraper no increase, so no alert would see that event.
     private void startAtZero() {
         for (WasteKind kind : WasteKind.values()) {
-            waste(kind);
+            wasteCounter(kind);
         }
         for (SendResult result : SendResult.values()) {
-            sends(result);
+            sendCounter(result);
         }
         for (NoteEvent event : NoteEvent.values()) {
-            notes(event);
+            noteCounter(event);
         }
     }
 
     /** Counts one answer to a caller and its response time. */
-    public void answered(SubmissionForm form, String outcome, String code, Duration responseTime) {
+    public void recordAnswer(SubmissionForm form, String outcome, String code, Duration responseTime) {
         Timer.builder(PREFIX + "response.time")
                 .description("Time from the last byte of a submission to its answer")
                 .tag("form", form.name().toLowerCase(Locale.ROOT))
@@ -79,36 +79,36 @@
     }
 
     /** Counts one message that was refused before the core saw it. */
-    public void refused(String code) {
+    public void countRefusal(String code) {
         counter("refusals", "Messages refused before they became submissions", "code", code)
                 .increment();
     }
 
     /** Counts the end of one send of a task. */
-    public void sendEnded(SendResult result) {
-        sends(result).increment();
+    public void countSend(SendResult result) {
+        sendCounter(result).increment();
         if (result == SendResult.REFUSED_BUSY || result == SendResult.REFUSED_DRAINING) {
-            wasted(WasteKind.REFUSED_SEND);
+            countWastedMessage(WasteKind.REFUSED_SEND);
         }
     }
 
     /** Counts one message that did nothing towards a result. */
-    public void wasted(WasteKind kind) {
-        waste(kind).increment();
+    public void countWastedMessage(WasteKind kind) {
+        wasteCounter(kind).increment();
     }
 
     /** Counts one note of the core. */
-    public void noted(Note note) {
-        notes(note.event()).increment();
+    public void countNote(Note note) {
+        noteCounter(note.event()).increment();
     }
 
     /** Counts one request whose token was missing, unknown or not enough. */
-    public void unauthenticated(String port) {
-        authenticationFailures(port).increment();
+    public void countAuthenticationFailure(String port) {
+        authenticationFailureCounter(port).increment();
     }
 
     /** Counts one call to the platform. */
-    public void platformCalled(String call, boolean failed, Duration time) {
+    public void recordPlatformCall(String call, boolean failed, Duration time) {
         Timer.builder(PREFIX + "platform.call.time")
                 .description("Time of calls to the platform")
                 .tag("call", call)
@@ -118,7 +118,7 @@
     }
 
     /** Shows a figure that is read when a scraper asks. */
-    public void gauge(String name, String unit, String description, Supplier<Number> value) {
+    public void addGauge(String name, String unit, String description, Supplier<Number> value) {
         Gauge.builder(PREFIX + name, value)
                 .description(description)
                 .baseUnit(unit)
@@ -128,9 +128,9 @@
 
     /** Returns the listener for the connections and cuts of one port. */
     public HttpEvents httpEvents(String port) {
-        authenticationFailures(port);
+        authenticationFailureCounter(port);
         for (CutCause cause : CutCause.values()) {
-            cuts(port, cause);
+            cutCounter(port, cause);
         }
         AtomicInteger open = new AtomicInteger();
         Gauge.builder(PREFIX + "http.connections", open, AtomicInteger::get)
@@ -151,7 +151,7 @@
 
             @Override
             public void cut(CutCause cause, String remote) {
-                cuts(port, cause).increment();
+                cutCounter(port, cause).increment();
             }
         };
     }
@@ -172,19 +172,19 @@
         registry.close();
     }
 
-    private Counter waste(WasteKind kind) {
+    private Counter wasteCounter(WasteKind kind) {
         return counter("wasted.messages", "Messages that did nothing towards a result", "kind", kind.word());
     }
 
-    private Counter sends(SendResult result) {
+    private Counter sendCounter(SendResult result) {
         return counter("task.sends", "Sends of tasks to endpoints, by how they ended", "result", word(result));
     }
 
-    private Counter notes(NoteEvent event) {
+    private Counter noteCounter(NoteEvent event) {
         return counter("notes", "Events that the core noted", "event", NoteLog.word(event));
     }
 
-    private Counter authenticationFailures(String port) {
+    private Counter authenticationFailureCounter(String port) {
         return counter("authentication.failures", "Requests without a token that allows them", "port", port);
     }
 
@@ -195,7 +195,7 @@
                 .register(registry);
     }
 
-    private Counter cuts(String port, CutCause cause) {
+    private Counter cutCounter(String port, CutCause cause) {
         return Counter.builder(PREFIX + "http.cuts")
                 .description("Connections and requests that a limit cut")
                 .tag("port", port)
--- a/tarragonarch-entry/src/main/java/org/tarragonarch/entry/metrics/StatusGauges.java
+++ b/tarragonarch-entry/src/main/java/org/tarragonarch/entry/metrics/StatusGauges.java
@@ -40,7 +40,7 @@
     }
 
     /** Shows a snapshot; rows of things that are gone vanish. */
-    public synchronized void show(NodeStatus status) {
+    public synchronized void update(NodeStatus status) {
         submissions.register(one(status.submissions()), true);
         configuration.register(one(status.configuration().value()), true);
         ready.register(one(status.phase() == NodePhase.SERVING ? 1 : 0), true);
--- a/tarragonarch-entry/src/main/java/org/tarragonarch/entry/peer/ConfigurationExchange.java
+++ b/tarragonarch-entry/src/main/java/org/tarragonarch/entry/peer/ConfigurationExchange.java
@@ -76,6 +76,6 @@
 
     private void failed(LoadConfiguration wanted, String detail) {
         String peer = wanted.peer().map(NodeId::toString).orElse("");
-        events.post(loader.failed(wanted.version(), peer, detail));
+        events.post(loader.loadFailed(wanted.version(), peer, detail));
     }
 }
--- a/tarragonarch-entry/src/main/java/org/tarragonarch/entry/peer/PeerShell.java
+++ b/tarragonarch-entry/src/main/java/org/tarragonarch/entry/peer/PeerShell.java
@@ -127,7 +127,7 @@
 
     /** Sends a report. */
     public void sendReport(SendReport action) {
-        metrics.wasted(WasteKind.REPORT);
+        metrics.countWastedMessage(WasteKind.REPORT);
         network.send(action.peer(), action.address(), new ReportFrame(action.report()));
     }
 
--- a/tarragonarch-entry/src/main/java/org/tarragonarch/entry/platform/ConfigurationLoader.java
+++ b/tarragonarch-entry/src/main/java/org/tarragonarch/entry/platform/ConfigurationLoader.java
@@ -40,19 +40,19 @@
     public Event load(ConfigurationVersion version, Optional<ContentDigest> digest, byte[] canonical, String source) {
         ContentDigest found = ContentDigest.of(canonical);
         if (digest.isPresent() && !digest.get().equals(found)) {
-            return failed(version, source, "its digest is " + found + " where " + digest.get() + " is due");
+            return loadFailed(version, source, "its digest is " + found + " where " + digest.get() + " is due");
         }
         try {
             ServiceCatalog catalog = CatalogReader.read(version, canonical);
             texts.keep(catalog, canonical);
             return new ConfigurationLoaded(catalog, source);
         } catch (SettingsException e) {
-            return failed(version, source, e.getMessage());
+            return loadFailed(version, source, e.getMessage());
         }
     }
 
     /** Returns the event that reports to the core that nothing came, and logs it. */
-    public Event failed(ConfigurationVersion version, String source, String detail) {
+    public Event loadFailed(ConfigurationVersion version, String source, String detail) {
         LOG.atWarning().log(
                 "%s",
                 LogLine.of("configuration-load-failed", Step.CONFIGURE, source)
--- a/tarragonarch-entry/src/main/java/org/tarragonarch/entry/platform/PlatformShell.java
+++ b/tarragonarch-entry/src/main/java/org/tarragonarch/entry/platform/PlatformShell.java
@@ -152,7 +152,7 @@
     /** Loads a configuration from the object store, where its digest names it. */
     public void loadConfiguration(LoadConfiguration action) {
         if (action.digest().isEmpty()) {
-            events.post(loader.failed(action.version(), OBJECT_STORE, "no digest is known to load it by"));
+            events.post(loader.loadFailed(action.version(), OBJECT_STORE, "no digest is known to load it by"));
             return;
         }
         call(
@@ -160,7 +160,7 @@
                 "load-configuration",
                 () -> configurations.load(action.digest().get()),
                 text -> loader.load(action.version(), action.digest(), text, OBJECT_STORE),
-                failure -> loader.failed(action.version(), OBJECT_STORE, failure.getMessage()));
+                failure -> loader.loadFailed(action.version(), OBJECT_STORE, failure.getMessage()));
     }
 
     /** Ends the threads; calls under way are broken off. */
@@ -198,22 +198,22 @@
         try {
             result = call.call();
         } catch (PlatformException e) {
-            ended(name, start, e);
+            recordCall(name, start, e);
             failed.accept(e);
             return;
         } catch (RuntimeException e) {
             // A fault of the client says nothing of what the platform did.
             PlatformException unknown = new PlatformException("platform", "the call broke: " + e, true, e);
-            ended(name, start, unknown);
+            recordCall(name, start, unknown);
             failed.accept(unknown);
             return;
         }
-        ended(name, start, null);
+        recordCall(name, start, null);
         done.accept(result);
     }
 
-    private void ended(String name, long start, PlatformException failure) {
-        metrics.platformCalled(name, failure != null, Duration.ofNanos(System.nanoTime() - start));
+    private void recordCall(String name, long start, PlatformException failure) {
+        metrics.recordPlatformCall(name, failure != null, Duration.ofNanos(System.nanoTime() - start));
         if (failure != null) {
             LOG.atWarning().atMostEvery(1, TimeUnit.SECONDS).log(
                     "%s",
--- a/tarragonarch-entry/src/main/java/org/tarragonarch/entry/trace/TraceReplay.java
+++ b/tarragonarch-entry/src/main/java/org/tarragonarch/entry/trace/TraceReplay.java
@@ -20,7 +20,7 @@
      * @return how many events were replayed
      * @throws IOException if the file cannot be read or is not a trace
      */
-    public static long run(Path file, ReplayedStep steps) throws IOException {
+    public static long replay(Path file, ReplayListener steps) throws IOException {
         try (BufferedReader lines = Files.newBufferedReader(file, StandardCharsets.UTF_8)) {
             String header = lines.readLine();
             if (header == null) {
@@ -30,7 +30,7 @@
             long events = 0;
             for (String text = lines.readLine(); text != null; text = lines.readLine()) {
                 TraceLine line = TraceJson.read(text, TraceLine.class);
-                node.handle(line.nanos(), line.event(), action -> steps.acted(line, action));
+                node.handle(line.nanos(), line.event(), action -> steps.onAction(line, action));
                 events++;
             }
             return events;
@@ -38,14 +38,14 @@
     }
 
     /** Returns an action as one line of JSON. */
-    public static String json(Action action) throws IOException {
+    public static String toJson(Action action) throws IOException {
         return TraceJson.write(action);
     }
 
     /** Takes what a replay gives. */
     @FunctionalInterface
-    public interface ReplayedStep {
+    public interface ReplayListener {
         /** Takes one action and the event that gave it. */
-        void acted(TraceLine line, Action action);
+        void onAction(TraceLine line, Action action);
     }
 }
--- a/tarragonarch-entry/src/test/java/org/tarragonarch/entry/DaemonTest.java
+++ b/tarragonarch-entry/src/test/java/org/tarragonarch/entry/DaemonTest.java
@@ -48,13 +48,13 @@
     }
 
     @Test
-    public void testLeave_withoutPlatform() throws Exception {
+    public void testDrainAndStop_withoutPlatform() throws Exception {
         List<Integer> ports = freePorts();
         Daemon daemon = Daemon.start(settings(ports));
         assertEquals(status(ports.get(0), "/ready"), 503);
         assertEquals(status(ports.get(1), "/health/live"), 200);
         assertEquals(status(ports.get(1), "/health/ready"), 503);
-        assertTrue(daemon.leave("test"));
+        assertTrue(daemon.drainAndStop("test"));
         assertFalse(listens(ports.get(0)));
     }
 
--- a/tarragonarch-entry/src/test/java/org/tarragonarch/entry/MainClassesTest.java
+++ b/tarragonarch-entry/src/test/java/org/tarragonarch/entry/MainClassesTest.java
@@ -26,7 +26,7 @@
 
     /** Guards against a renamed or moved main class that a file still names as before. */
     @Test(dataProvider = "files")
-    public void testMain_ofEveryNamedClassExists(String file) throws IOException {
+    public void testMain_existsForEveryNamedClass(String file) throws IOException {
         Matcher names = CLASS_NAME.matcher(Files.readString(ROOT.resolve(file)));
         int found = 0;
         while (names.find()) {
--- a/tarragonarch-entry/src/test/java/org/tarragonarch/entry/admin/AdminApiTest.java
+++ b/tarragonarch-entry/src/test/java/org/tarragonarch/entry/admin/AdminApiTest.java
@@ -103,7 +103,7 @@
     }
 
     @Test(dataProvider = "guarded")
-    public void testEveryResource_needsAToken(String method, String path) throws Exception {
+    public void testGuardedResource_needsToken(String method, String path) throws Exception {
         assertEquals(send(method, path, CHANGER, "").statusCode(), 503);
         adopt(1, "");
         HttpResponse<String> refused = send(method, path, "wrong", "");
@@ -115,7 +115,7 @@
     }
 
     @Test
-    public void testOpenResources() throws Exception {
+    public void testOpenResources_needNoToken() throws Exception {
         assertEquals(send("GET", "/health/live", "", "").statusCode(), 200);
         assertEquals(send("GET", "/health/ready", "", "").statusCode(), 503);
         readiness.enter(NodePhase.SERVING);
@@ -139,7 +139,7 @@
     // first,
     // and change nothing.
     @Test
-    public void testApply_raceNamesTheWinner() throws Exception {
+    public void testPostConfiguration_conflictNamesAcceptedChange() throws Exception {
         adopt(1, "");
         String text = configuration("\"teams\":{\"m\":{\"max-running-tasks\":1}},");
         HttpResponse<String> first =
@@ -165,7 +165,7 @@
     }
 
     @Test
-    public void testApply_mistakes() throws Exception {
+    public void testPostConfiguration_mistakes() throws Exception {
         adopt(1, "");
         HttpResponse<String> refused =
                 send("POST", "/admin/configuration?from=1&change=c", CHANGER, "{\"teems\":{},\"services\":3}");
@@ -179,9 +179,9 @@
     }
 
     @Test
-    public void testPlatformOut() throws Exception {
+    public void testAudit_platformUnavailable() throws Exception {
         adopt(1, "");
-        store.setOut(true);
+        store.setUnavailable(true);
         HttpResponse<String> refused = send("GET", "/admin/audit", READER, "");
         assertEquals(refused.statusCode(), 503);
         assertTrue(refused.body().contains("\"step\":\"platform\",\"peer\":\"table service\""), refused.body());
--- a/tarragonarch-entry/src/test/java/org/tarragonarch/entry/admin/FakeConfigurationStore.java
+++ b/tarragonarch-entry/src/test/java/org/tarragonarch/entry/admin/FakeConfigurationStore.java
@@ -17,21 +17,21 @@
 final class FakeConfigurationStore implements ConfigurationStore {
     private final List<AuditRecord> records = new ArrayList<>();
     private final Map<ContentDigest, byte[]> texts = new HashMap<>();
-    private volatile boolean out;
+    private volatile boolean unavailable;
 
-    void setOut(boolean nowOut) {
-        out = nowOut;
+    void setUnavailable(boolean nowOut) {
+        unavailable = nowOut;
     }
 
     @Override
     public synchronized Optional<ConfigurationRow> row() throws PlatformException {
-        check();
+        checkAvailable();
         return records.isEmpty() ? Optional.empty() : Optional.of(row(records.get(records.size() - 1)));
     }
 
     @Override
     public synchronized byte[] load(ContentDigest digest) throws PlatformException {
-        check();
+        checkAvailable();
         return texts.get(digest);
     }
 
@@ -49,12 +49,12 @@
 
     @Override
     public synchronized ImmutableList<AuditRecord> history(int limit) throws PlatformException {
-        check();
+        checkAvailable();
         return ImmutableList.copyOf(records).reverse().subList(0, Math.min(limit, records.size()));
     }
 
-    private void check() throws PlatformException {
-        if (out) {
+    private void checkAvailable() throws PlatformException {
+        if (unavailable) {
             throw new PlatformException("table service", "it is out", false, null);
         }
     }
--- a/tarragonarch-entry/src/test/java/org/tarragonarch/entry/control/ControlLoopTest.java
+++ b/tarragonarch-entry/src/test/java/org/tarragonarch/entry/control/ControlLoopTest.java
@@ -32,7 +32,7 @@
     }
 
     @Test
-    public void testWakeAt_handsInTimePassedNotBefore() {
+    public void testWakeAt_postsTimePassedNotEarlier() {
         long wait = TimeUnit.MILLISECONDS.toNanos(30);
         start((now, event, sink) -> {
             if (events.size() == 1) {
@@ -56,7 +56,7 @@
 
     // One decision that breaks must cost one submission, not the node: the thread goes on with the next event.
     @Test
-    public void testDecisionFails_nextEventIsDecided() throws Exception {
+    public void testHandle_failureDoesNotStopNextEvent() throws Exception {
         start((now, event, sink) -> {
             if (event.equals(new DrainRequested("bad"))) {
                 throw new IllegalStateException("on purpose");
@@ -65,11 +65,11 @@
         loop.post(new DrainRequested("bad"));
         loop.post(new DrainRequested("good"));
         Eventually.check("the next is decided", () -> events.contains(new DrainRequested("good")));
-        assertTrue(loop.ask(core -> true).get(5, TimeUnit.SECONDS));
+        assertTrue(loop.query(core -> true).get(5, TimeUnit.SECONDS));
     }
 
     @Test
-    public void testActionFails_nextActionIsCarriedOut() {
+    public void testEmit_failureDoesNotStopNextAction() {
         List<Action> done = new CopyOnWriteArrayList<>();
         loop = ControlLoop.create(
                 core((now, event, sink) -> {
@@ -87,7 +87,7 @@
     }
 
     @Test
-    public void testRouter_everyTypeNeedsAHandler() {
+    public void testRouterBuild_handlerMissing() {
         start((now, event, sink) -> {});
         IllegalStateException thrown = expectThrows(
                 IllegalStateException.class,
--- a/tarragonarch-entry/src/test/java/org/tarragonarch/entry/endpoint/EndpointClientTest.java
+++ b/tarragonarch-entry/src/test/java/org/tarragonarch/entry/endpoint/EndpointClientTest.java
@@ -272,7 +272,7 @@
     }
 
     private TaskEnded onlyEnd() {
-        Eventually.check("the send ended", () -> !events.isEmpty() && client.exchanges() == 0);
+        Eventually.check("the send ended", () -> !events.isEmpty() && client.openExchanges() == 0);
         assertEquals(events.size(), 1, events.toString());
         return (TaskEnded) events.get(0);
     }
--- a/tarragonarch-entry/src/test/java/org/tarragonarch/entry/http/ConnectionLimiterTest.java
+++ b/tarragonarch-entry/src/test/java/org/tarragonarch/entry/http/ConnectionLimiterTest.java
@@ -15,7 +15,7 @@
 
     /** Guards against a gauge that stays at an older count when two threads open connections at the same moment. */
     @Test
-    public void testConnections_openedAtTheSameMoment() {
+    public void testChannelActive_concurrentConnections() {
         try (NodeMetrics metrics = NodeMetrics.create(NodeId.of("hobart-1"))) {
             AtomicInteger opened = new AtomicInteger();
             ConnectionLimiter[] limiter = new ConnectionLimiter[1];
@@ -45,7 +45,7 @@
     }
 
     @Test
-    public void testConnections_oneTooManyIsClosed() {
+    public void testChannelActive_closesConnectionOverLimit() {
         ConnectionLimiter limiter = new ConnectionLimiter(1, HttpEvents.NONE);
         EmbeddedChannel first = new EmbeddedChannel(limiter);
         EmbeddedChannel second = new EmbeddedChannel(limiter);
--- a/tarragonarch-entry/src/test/java/org/tarragonarch/entry/log/QueueHandlerTest.java
+++ b/tarragonarch-entry/src/test/java/org/tarragonarch/entry/log/AsyncLogHandlerTest.java
@@ -14,7 +14,7 @@
 import java.util.logging.LogRecord;
 import org.testng.annotations.Test;
 
-public final class QueueHandlerTest {
+public final class AsyncLogHandlerTest {
     private static final Duration BOUND = Duration.ofSeconds(10);
     private static final Formatter PLAIN = new Formatter() {
         @Override
@@ -26,11 +26,11 @@
     @Test
     public void testPublish_inOrder() {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
-        QueueHandler handler = QueueHandler.start(new PrintStream(out), PLAIN, 100);
+        AsyncLogHandler handler = AsyncLogHandler.start(new PrintStream(out), PLAIN, 100);
         for (int i = 0; i < 10; i++) {
             handler.publish(new LogRecord(Level.INFO, "line " + i));
         }
-        assertTrue(handler.drain(BOUND));
+        assertTrue(handler.awaitWritten(BOUND));
         assertEquals(out.toString(StandardCharsets.UTF_8).lines().toList().get(9), "line 9");
     }
 
@@ -47,12 +47,12 @@
                 read.write(b);
             }
         };
-        QueueHandler handler = QueueHandler.start(new PrintStream(pipe), PLAIN, 10);
+        AsyncLogHandler handler = AsyncLogHandler.start(new PrintStream(pipe), PLAIN, 10);
         for (int i = 0; i < 1_000; i++) {
             handler.publish(new LogRecord(Level.INFO, "line " + i));
         }
         reading.countDown();
-        assertTrue(handler.drain(BOUND));
+        assertTrue(handler.awaitWritten(BOUND));
         String text = read.toString(StandardCharsets.UTF_8);
         assertTrue(text.startsWith("line 0\n"), text);
         long written = text.lines().filter(line -> line.startsWith("line ")).count();
--- a/tarragonarch-entry/src/test/java/org/tarragonarch/entry/log/OuterNamesTest.java
+++ b/tarragonarch-entry/src/test/java/org/tarragonarch/entry/log/OuterNamesTest.java
@@ -40,7 +40,7 @@
 
     /** Guards against a renamed constant that changes what readers of the log search for. */
     @Test
-    public void testWord_isAsInTheLog() {
+    public void testWord_matchesLog() {
         assertEquals(
                 Arrays.stream(NoteEvent.values()).map(NoteLog::word).collect(ImmutableSet.toImmutableSet()), WORDS);
         assertEquals(NoteEvent.values().length, WORDS.size());
@@ -48,7 +48,7 @@
 
     /** Guards against changed keys of the line that a note gives. */
     @Test
-    public void testWrite_lineHasItsKeys() {
+    public void testWrite_keys() {
         Logger logger = Logger.getLogger(NoteLog.class.getName());
         RecordedLines recorded = new RecordedLines();
         logger.addHandler(recorded);
--- a/tarragonarch-entry/src/test/java/org/tarragonarch/entry/metrics/MeterNamesTest.java
+++ b/tarragonarch-entry/src/test/java/org/tarragonarch/entry/metrics/MeterNamesTest.java
@@ -11,17 +11,17 @@
 public final class MeterNamesTest {
     /** Guards against a renamed constant that changes a label on which alerts and dashboards rely. */
     @Test
-    public void testScrape_seriesHaveTheirNames() throws IOException {
+    public void testScrape_seriesMatchResource() throws IOException {
         try (NodeMetrics metrics = NodeMetrics.create(NodeId.of("n"))) {
             metrics.httpEvents("caller");
             for (SubmissionForm form : SubmissionForm.values()) {
-                metrics.answered(form, "o", "c", Duration.ofMillis(5));
+                metrics.recordAnswer(form, "o", "c", Duration.ofMillis(5));
             }
-            metrics.refused("c");
-            metrics.platformCalled("p", false, Duration.ofMillis(1));
-            metrics.platformCalled("p", true, Duration.ofMillis(1));
-            metrics.gauge("g", "bytes", "-", () -> 0);
-            metrics.status().show(MetricsPageTest.status());
+            metrics.countRefusal("c");
+            metrics.recordPlatformCall("p", false, Duration.ofMillis(1));
+            metrics.recordPlatformCall("p", true, Duration.ofMillis(1));
+            metrics.addGauge("g", "bytes", "-", () -> 0);
+            metrics.status().update(MetricsPageTest.status());
             MeterNames.assertSeries(metrics.scrape(), "/outer-names/node-metrics.txt");
         }
     }
--- a/tarragonarch-entry/src/test/java/org/tarragonarch/entry/metrics/MetricsPageTest.java
+++ b/tarragonarch-entry/src/test/java/org/tarragonarch/entry/metrics/MetricsPageTest.java
@@ -43,14 +43,14 @@
     public void testPage_namesEveryFigure() throws IOException {
         try (NodeMetrics metrics = NodeMetrics.create(NodeId.of("hobart-1"))) {
             metrics.httpEvents("caller");
-            metrics.answered(SubmissionForm.JOB, "complete", "none", Duration.ofMillis(5));
-            metrics.refused("malformed");
-            metrics.platformCalled("read-vm-list", false, Duration.ofMillis(1));
-            metrics.gauge("control.queue.events", null, "-", () -> 0);
-            metrics.gauge("callers.waiting", null, "-", () -> 0);
-            metrics.gauge("bodies.stored", "bytes", "-", () -> 0);
-            metrics.gauge("endpoint.exchanges", null, "-", () -> 0);
-            metrics.status().show(status());
+            metrics.recordAnswer(SubmissionForm.JOB, "complete", "none", Duration.ofMillis(5));
+            metrics.countRefusal("malformed");
+            metrics.recordPlatformCall("read-vm-list", false, Duration.ofMillis(1));
+            metrics.addGauge("control.queue.events", null, "-", () -> 0);
+            metrics.addGauge("callers.waiting", null, "-", () -> 0);
+            metrics.addGauge("bodies.stored", "bytes", "-", () -> 0);
+            metrics.addGauge("endpoint.exchanges", null, "-", () -> 0);
+            metrics.status().update(status());
 
             Set<String> scraped = names(IN_SCRAPE, metrics.scrape());
             scraped.removeIf(name -> name.endsWith("_seconds_max"));
--- a/tarragonarch-entry/src/test/java/org/tarragonarch/entry/trace/OuterNamesTest.java
+++ b/tarragonarch-entry/src/test/java/org/tarragonarch/entry/trace/OuterNamesTest.java
@@ -19,7 +19,7 @@
 
     /** Guards against a renamed class, record component or constant that makes stored traces unreadable. */
     @Test
-    public void testWrite_namesAreThoseOfStoredTraces() throws Exception {
+    public void testWrite_namesMatchStoredTraces() throws Exception {
         ImmutableSortedSet.Builder<String> lines = ImmutableSortedSet.naturalOrder();
         lines.add("first line: " + shapes.keysOf(TraceHeader.class));
         lines.add("other lines: " + shapes.keysOf(TraceLine.class));
--- a/tarragonarch-entry/src/test/java/org/tarragonarch/entry/trace/TraceReplayTest.java
+++ b/tarragonarch-entry/src/test/java/org/tarragonarch/entry/trace/TraceReplayTest.java
@@ -111,7 +111,7 @@
                 }
             }
             List<Action> replayed = new ArrayList<>();
-            long events = TraceReplay.run(file, (line, action) -> replayed.add(action));
+            long events = TraceReplay.replay(file, (line, action) -> replayed.add(action));
 
             assertEquals(events, everyEvent().size());
             assertEquals(replayed, recorded);
@@ -136,7 +136,7 @@
         Path file = Files.createTempFile("trace", ".jsonl");
         try {
             Files.writeString(file, "time=now\n");
-            expectThrows(IOException.class, () -> TraceReplay.run(file, (line, action) -> {}));
+            expectThrows(IOException.class, () -> TraceReplay.replay(file, (line, action) -> {}));
         } finally {
             Files.delete(file);
         }
--- a/tarragonarch-standin/src/main/java/org/tarragonarch/standin/scenario/Scenario.java
+++ b/tarragonarch-standin/src/main/java/org/tarragonarch/standin/scenario/Scenario.java
@@ -75,7 +75,7 @@
                 .filter(expectation -> expectation.atNanos().isPresent())
                 .sorted(comparingLong(expectation -> expectation.atNanos().get()))
                 .collect(toCollection(ArrayDeque::new));
-        TraceReplay.run(file, (line, action) -> {
+        TraceReplay.replay(file, (line, action) -> {
             long nanos = run.sinceStart(line.nanos());
             while (!timed.isEmpty() && timed.peek().atNanos().get() < nanos) {
                 check(timed.remove(), run, failures);
