--- a/tarragonarch-entry/src/test/java/org/tarragonarch/entry/trace/TraceReplayTest.java
+++ b/tarragonarch-entry/src/test/java/org/tarragonarch/entry/trace/TraceReplayTest.java
@@ -205,14 +205,14 @@
     private static ServiceCatalog catalog() throws SettingsException {
         String token = "a".repeat(64);
         String text = """
-            {"teams":{"proofreaders":{"max-running-tasks":200}},
-             "callers":{"upload-page":{"team":"proofreaders","token-sha256":"%s"}},
-             "operators":{"ann":{"role":"changer","token-sha256":"%s"}},
-             "services":{"proof-board":{"favours":"response-time","callers":["upload-page"],
-               "max-running-tasks":240,"max-queued-tasks":100,
-               "kinds":{"word-count":{"idempotent":false,"max-tasks":110,"max-body-bytes":1000,
-                 "deadline":"30s","expected-run-time":"200ms"}}}}}
-            """.formatted(token, token.replace('a', 'b'));
+                {"teams":{"proofreaders":{"max-running-tasks":200}},
+                 "callers":{"upload-page":{"team":"proofreaders","token-sha256":"%s"}},
+                 "operators":{"ann":{"role":"changer","token-sha256":"%s"}},
+                 "services":{"proof-board":{"favours":"response-time","callers":["upload-page"],
+                   "max-running-tasks":240,"max-queued-tasks":100,
+                   "kinds":{"word-count":{"idempotent":false,"max-tasks":110,"max-body-bytes":1000,
+                     "deadline":"30s","expected-run-time":"200ms"}}}}}
+                """.formatted(token, token.replace('a', 'b'));
         return CatalogReader.read(VERSION, text.getBytes(StandardCharsets.UTF_8));
     }
 }
