--- a/tarragonarch-standin/src/main/java/org/tarragonarch/standin/PlatformMain.java
+++ b/tarragonarch-standin/src/main/java/org/tarragonarch/standin/PlatformMain.java
@@ -41,7 +41,7 @@
     public Integer call() throws InterruptedException {
         Address listening = Address.parse(address);
         StandInPlatform platform = StandInPlatform.start(listening.ip(), listening.port());
-        entryVms.forEach((name, place) -> platform.list(entryVm(name, place)));
+        entryVms.forEach((name, place) -> platform.addVm(entryVm(name, place)));
         System.out.println("platform listens on " + platform.address());
         new CountDownLatch(1).await();
         return CommandLine.ExitCode.OK;
--- a/tarragonarch-standin/src/main/java/org/tarragonarch/standin/endpoint/Fault.java
+++ b/tarragonarch-standin/src/main/java/org/tarragonarch/standin/endpoint/Fault.java
@@ -25,7 +25,7 @@
     }
 
     /** Returns whether the fault strikes a task of a kind, which uses up one of its strikes. */
-    synchronized boolean strikes(String kindOfTask) {
+    synchronized boolean tryApply(String kindOfTask) {
         if (remaining == 0 || !kind.map(kindOfTask::equals).orElse(true)) {
             return false;
         }
--- a/tarragonarch-standin/src/main/java/org/tarragonarch/standin/endpoint/FaultSwitches.java
+++ b/tarragonarch-standin/src/main/java/org/tarragonarch/standin/endpoint/FaultSwitches.java
@@ -22,17 +22,17 @@
     }
 
     /** Returns the fault that strikes a task whose request was read. */
-    Optional<Fault> striking(String kind) {
+    Optional<Fault> takeFault(String kind) {
         return faults.stream()
                 .filter(fault -> fault.type() != FaultType.CLOSE_BEFORE_READ)
-                .filter(fault -> fault.strikes(kind))
+                .filter(fault -> fault.tryApply(kind))
                 .findFirst();
     }
 
     /** Returns whether a connection is to be closed at a request's head. */
-    boolean closeUnread() {
+    boolean shouldCloseUnread() {
         return faults.stream()
                 .filter(fault -> fault.type() == FaultType.CLOSE_BEFORE_READ)
-                .anyMatch(fault -> fault.strikes(""));
+                .anyMatch(fault -> fault.tryApply(""));
     }
 }
--- a/tarragonarch-standin/src/main/java/org/tarragonarch/standin/endpoint/Ledger.java
+++ b/tarragonarch-standin/src/main/java/org/tarragonarch/standin/endpoint/Ledger.java
@@ -16,20 +16,20 @@
     private int refusedDraining;
     private int uselessStops;
 
-    synchronized void add(Start start) {
+    synchronized void recordStart(Start start) {
         starts.add(start);
         tasks.add(start.task());
     }
 
-    synchronized void refuseBusy() {
+    synchronized void recordBusyRefusal() {
         refusedBusy++;
     }
 
-    synchronized void refuseDraining() {
+    synchronized void recordDrainingRefusal() {
         refusedDraining++;
     }
 
-    synchronized void stopNothing() {
+    synchronized void recordUselessStop() {
         uselessStops++;
     }
 
--- a/tarragonarch-standin/src/main/java/org/tarragonarch/standin/endpoint/Registration.java
+++ b/tarragonarch-standin/src/main/java/org/tarragonarch/standin/endpoint/Registration.java
@@ -41,11 +41,11 @@
         }
     }
 
-    void leaving() {
+    void markLeaving() {
         send(new Request.Builder().url(base + "/" + name + "/leaving").post(RequestBody.create(NO_BODY)));
     }
 
-    void gone() {
+    void deregister() {
         send(new Request.Builder().url(base + "/" + name).delete());
     }
 
--- a/tarragonarch-standin/src/main/java/org/tarragonarch/standin/endpoint/RunningTask.java
+++ b/tarragonarch-standin/src/main/java/org/tarragonarch/standin/endpoint/RunningTask.java
@@ -30,39 +30,39 @@
     }
 
     /** Notes that the result is no longer wanted. */
-    void stop() {
-        start.stop();
+    void recordStop() {
+        start.recordStop();
     }
 
     /** Returns whether this call was the one that ended the task. */
-    boolean end() {
+    boolean tryEnd() {
         if (!ended.compareAndSet(false, true)) {
             return false;
         }
-        start.end();
+        start.recordEnd();
         return true;
     }
 
-    void succeed(JsonNode result, Decoration decoration) {
+    void succeed(JsonNode result, ReplyDecorator decoration) {
         FaultType type = fault.map(Fault::type).orElse(null);
         boolean wrongId = type == FaultType.WRONG_ID;
-        HttpReply reply = decoration.apply(HttpReply.json(OK, result).with(TASK_ID, wrongId ? id + "0" : id));
+        HttpReply reply = decoration.apply(HttpReply.json(OK, result).withHeader(TASK_ID, wrongId ? id + "0" : id));
         if (type == FaultType.CUT_SHORT) {
             exchange.replyCutShort(reply);
         } else if (type == FaultType.ANSWER_LATE) {
-            exchange.after(fault.get().milliseconds(), () -> exchange.reply(reply));
+            exchange.scheduleAfter(fault.get().milliseconds(), () -> exchange.reply(reply));
         } else if (type != FaultType.CLOSE_AFTER_READ) {
             exchange.reply(reply);
         }
     }
 
-    void fail(String detail, Decoration decoration) {
-        exchange.reply(decoration.apply(HttpReply.error(FAILED, detail).with(TASK_ID, id)));
+    void fail(String detail, ReplyDecorator decoration) {
+        exchange.reply(decoration.apply(HttpReply.error(FAILED, detail).withHeader(TASK_ID, id)));
     }
 
     /** Adds to an answer what the endpoint's state asks for. */
     @FunctionalInterface
-    interface Decoration {
+    interface ReplyDecorator {
         HttpReply apply(HttpReply reply);
     }
 }
--- a/tarragonarch-standin/src/main/java/org/tarragonarch/standin/endpoint/StandInEndpoint.java
+++ b/tarragonarch-standin/src/main/java/org/tarragonarch/standin/endpoint/StandInEndpoint.java
@@ -45,7 +45,7 @@
         this.options = options;
         this.registration = options.platform()
                 .map(platform -> new Registration(platform, options.id().value()));
-        this.server = HttpServer.start(options.ip(), options.port(), this::handle, faults::closeUnread);
+        this.server = HttpServer.start(options.ip(), options.port(), this::handle, faults::shouldCloseUnread);
     }
 
     /** Starts an endpoint and registers it with the platform, if there is one. */
@@ -66,14 +66,14 @@
         synchronized (this) {
             draining = true;
         }
-        registration.ifPresent(Registration::leaving);
+        registration.ifPresent(Registration::markLeaving);
         synchronized (this) {
             while (!running.isEmpty() || deadline - System.nanoTime() > 0) {
                 long left = TimeUnit.NANOSECONDS.toMillis(deadline - System.nanoTime());
                 wait(Math.max(1, left));
             }
         }
-        registration.ifPresent(Registration::gone);
+        registration.ifPresent(Registration::deregister);
         server.awaitAnswered(LAST_ANSWERS_MILLIS);
         close();
     }
@@ -131,13 +131,13 @@
             millis = kind.runTimeMillis(input);
         } catch (IllegalArgumentException e) {
             Start start = new Start(id, attempt, kindName, tag);
-            ledger.add(start);
-            start.end();
+            ledger.recordStart(start);
+            start.recordEnd();
             exchange.reply(decorate(HttpReply.error(UNPROCESSABLE, String.valueOf(e.getMessage()))
-                    .with(TASK_ID, id)));
+                    .withHeader(TASK_ID, id)));
             return;
         }
-        Optional<Fault> fault = faults.striking(kindName);
+        Optional<Fault> fault = faults.takeFault(kindName);
         Start start = new Start(id, attempt, kindName, tag);
         Optional<RunningTask> started = begin(id, exchange, fault, start);
         started.ifPresent(task -> run(task, fault.map(Fault::type), exchange, result, millis));
@@ -147,25 +147,26 @@
     private synchronized Optional<RunningTask> begin(
             String id, HttpExchange exchange, Optional<Fault> fault, Start start) {
         if (draining) {
-            ledger.refuseDraining();
+            ledger.recordDrainingRefusal();
             exchange.reply(refusal(id, "draining"));
             return Optional.empty();
         }
         boolean pretendBusy = fault.filter(one -> one.type() == FaultType.BUSY).isPresent();
         if (pretendBusy || running.size() >= options.slots()) {
-            ledger.refuseBusy();
+            ledger.recordBusyRefusal();
             exchange.reply(refusal(id, "busy"));
             return Optional.empty();
         }
         RunningTask task = new RunningTask(id, exchange, fault, start);
-        ledger.add(start);
+        ledger.recordStart(start);
         // A second start of a task that still runs is for the ledger to show; it holds a slot of its own.
         running.put(running.containsKey(id) ? id + "/" + System.nanoTime() : id, task);
         return Optional.of(task);
     }
 
     private HttpReply refusal(String id, String why) {
-        return decorate(HttpReply.error(UNAVAILABLE, why).with(TASK_ID, id).with(NOT_STARTED, why));
+        return decorate(
+                HttpReply.error(UNAVAILABLE, why).withHeader(TASK_ID, id).withHeader(NOT_STARTED, why));
     }
 
     private void run(
@@ -186,7 +187,7 @@
 
     /** Ends the task and frees its slot before the answer leaves, so that the slot is free when the answer is read. */
     private void finish(RunningTask task, Runnable answer) {
-        if (!task.end()) {
+        if (!task.tryEnd()) {
             return;
         }
         synchronized (this) {
@@ -202,11 +203,11 @@
             task = running.get(id);
         }
         if (task == null) {
-            ledger.stopNothing();
+            ledger.recordUselessStop();
             exchange.reply(HttpReply.empty(NOT_FOUND));
             return;
         }
-        task.stop();
+        task.recordStop();
         finish(task, () -> task.fail("stopped as asked", this::decorate));
         exchange.reply(decorate(HttpReply.empty(NO_CONTENT)));
     }
@@ -218,7 +219,7 @@
             long millis = exchange.query("ms").map(Long::parseLong).orElse(0L);
             exchange.reply(HttpReply.empty(NO_CONTENT));
             clock.execute(server::refuseConnections);
-            clock.schedule(server::listenAgain, millis, TimeUnit.MILLISECONDS);
+            clock.schedule(server::resumeListening, millis, TimeUnit.MILLISECONDS);
             return;
         } else {
             faults.switchOn(name, exchange);
@@ -227,7 +228,7 @@
     }
 
     private HttpReply decorate(HttpReply reply) {
-        return isDraining() ? reply.with("Endpoint-State", "draining").with("Connection", "close") : reply;
+        return isDraining() ? reply.withHeader("Endpoint-State", "draining").withHeader("Connection", "close") : reply;
     }
 
     private synchronized boolean isDraining() {
--- a/tarragonarch-standin/src/main/java/org/tarragonarch/standin/endpoint/Start.java
+++ b/tarragonarch-standin/src/main/java/org/tarragonarch/standin/endpoint/Start.java
@@ -24,11 +24,11 @@
         return task;
     }
 
-    synchronized void end() {
+    synchronized void recordEnd() {
         endedMillis = System.currentTimeMillis();
     }
 
-    synchronized void stop() {
+    synchronized void recordStop() {
         stops++;
     }
 
--- a/tarragonarch-standin/src/main/java/org/tarragonarch/standin/explore/Explorer.java
+++ b/tarragonarch-standin/src/main/java/org/tarragonarch/standin/explore/Explorer.java
@@ -14,9 +14,9 @@
             ImmutableList.of("hobart-w1", "hobart-w2", "launceston-w1", "launceston-w2");
     private static final int SLOTS = 3;
     private static final long SETTLED_NANOS =
-            RandomPlan.BUSY_NANOS + Duration.ofSeconds(45).toNanos();
+            RandomPlan.DURATION_NANOS + Duration.ofSeconds(45).toNanos();
     private static final long HEALED_NANOS =
-            RandomPlan.BUSY_NANOS + Duration.ofSeconds(10).toNanos();
+            RandomPlan.DURATION_NANOS + Duration.ofSeconds(10).toNanos();
 
     private long steps;
     private long submissions;
@@ -78,7 +78,7 @@
             return Optional.of("no decision fails: " + bug + " in " + bug.getStackTrace()[0]);
         } finally {
             steps += world.time().steps();
-            starts += world.ledger().size();
+            starts += world.ledger().startCount();
             submissions += world.sent().size();
         }
     }
@@ -87,8 +87,9 @@
         world.acceptConfiguration();
         ENDPOINTS.forEach(name -> world.startEndpoint(name, domainOf(name), SLOTS));
         NODES.forEach(name -> world.startNode(name, domainOf(name)));
-        plan.forEach(step -> world.time().at(step.nanos(), () -> step.effect().accept(world)));
-        world.time().at(HEALED_NANOS, () -> heal(world));
+        plan.forEach(step ->
+                world.time().scheduleAt(step.nanos(), () -> step.effect().accept(world)));
+        world.time().scheduleAt(HEALED_NANOS, () -> heal(world));
         world.runUntil(SETTLED_NANOS);
         checkSettled(world);
     }
@@ -99,23 +100,23 @@
 
     private static void heal(World world) {
         world.network().healAll();
-        world.platform().out(false);
-        world.platform().replyLostShare(0);
-        world.platform().staleReadShare(0);
-        world.platform().listLag(0);
+        world.platform().setOut(false);
+        world.platform().setReplyLostShare(0);
+        world.platform().setStaleReadShare(0);
+        world.platform().setListLag(0);
         NODES.forEach(world::restartNode);
     }
 
     private static void checkSettled(World world) {
-        for (Sent sent : world.sent()) {
-            if (!sent.answered() && world.ownerOf(sent.submission().id()).isPresent()) {
+        for (SentSubmission sent : world.sent()) {
+            if (!sent.isAnswered() && world.ownerOf(sent.submission().id()).isPresent()) {
                 throw world.violation(
                         "every submission has one answer", sent.submission().id() + " has none");
             }
         }
         for (FakeNode node : world.nodes()) {
             boolean newest = node.catalog()
-                    .filter(catalog -> catalog.version().equals(world.platform().newest()))
+                    .filter(catalog -> catalog.version().equals(world.platform().newestVersion()))
                     .isPresent();
             if (node.alive() && !newest) {
                 throw world.violation("a configuration comes into force everywhere", node.name() + " lacks it");
@@ -127,13 +128,13 @@
      * A broken promise.
      *
      * @param seed the seed that broke it
-     * @param what the promise, by what it was broken, and when
+     * @param violation the promise, by what it was broken, and when
      * @param plan the shortest plan found that still breaks it
      */
-    public record Finding(long seed, String what, ImmutableList<String> plan) {
+    public record Finding(long seed, String violation, ImmutableList<String> plan) {
         @Override
         public String toString() {
-            return "seed " + seed + ": " + what + "\n  " + String.join("\n  ", plan);
+            return "seed " + seed + ": " + violation + "\n  " + String.join("\n  ", plan);
         }
     }
 }
--- a/tarragonarch-standin/src/main/java/org/tarragonarch/standin/explore/FakeEndpoint.java
+++ b/tarragonarch-standin/src/main/java/org/tarragonarch/standin/explore/FakeEndpoint.java
@@ -20,12 +20,12 @@
     private final VirtualTime time;
     private final PromiseChecker checker;
     private final Map<TaskId, Reply> running = new LinkedHashMap<>();
-    private final Map<String, LateContact> lateContacts = new HashMap<>();
+    private final Map<String, LateContact> recordLateContact = new HashMap<>();
     private final Set<String> refused = new HashSet<>();
-    private EndpointFault fault = EndpointFault.NONE;
+    private EndpointFault setFault = EndpointFault.NONE;
     private Address address;
     private boolean alive = true;
-    private boolean draining;
+    private boolean isDraining;
     private long drainingSinceNanos = Long.MAX_VALUE;
 
     FakeEndpoint(String name, int slots, VirtualTime time, PromiseChecker checker) {
@@ -54,18 +54,18 @@
         return slots;
     }
 
-    boolean draining() {
-        return draining;
+    boolean isDraining() {
+        return isDraining;
     }
 
     /** Makes the endpoint do this wrong from now on. */
-    public void fault(EndpointFault next) {
-        fault = next;
+    public void setFault(EndpointFault next) {
+        setFault = next;
     }
 
     /** Starts to leave: finishes what runs and refuses the rest. */
     public void drain() {
-        draining = true;
+        isDraining = true;
         drainingSinceNanos = time.nowNanos();
     }
 
@@ -74,29 +74,29 @@
         alive = false;
         Map<TaskId, Reply> cut = new LinkedHashMap<>(running);
         running.clear();
-        cut.values().forEach(reply -> reply.end(SendResult.LOST, false));
+        cut.values().forEach(reply -> reply.complete(SendResult.LOST, false));
     }
 
     /** Starts again after a kill or a drain, empty and well. */
     public void restart() {
         alive = true;
-        draining = false;
+        isDraining = false;
         drainingSinceNanos = Long.MAX_VALUE;
-        fault = EndpointFault.NONE;
-        lateContacts.clear();
+        setFault = EndpointFault.NONE;
+        recordLateContact.clear();
         refused.clear();
     }
 
     /** Records that this endpoint itself has notified a node that it is leaving. */
-    void heardRefusal(String node) {
-        if (draining) {
+    void recordRefusal(String node) {
+        if (isDraining) {
             refused.add(node);
         }
     }
 
     /** Returns whether a node sends although this endpoint itself notified it that it is leaving. */
-    boolean sendsAfterRefusal(String node) {
-        return draining && refused.contains(node);
+    boolean hasRefused(String node) {
+        return isDraining && refused.contains(node);
     }
 
     /**
@@ -105,33 +105,33 @@
      * <p>Several sends within one round trip are one contact: a node that wakes from a pause sends what waited before
      * the first refusal can reach it.
      */
-    int lateContacts(String node, long graceNanos) {
+    int recordLateContact(String node, long graceNanos) {
         long now = time.nowNanos();
-        if (!draining || now < drainingSinceNanos + graceNanos) {
+        if (!isDraining || now < drainingSinceNanos + graceNanos) {
             return 0;
         }
-        LateContact before = lateContacts.get(node);
+        LateContact before = recordLateContact.get(node);
         LateContact contact = before == null
                 ? new LateContact(1, now)
                 : new LateContact(
                         now > before.nanos() + ROUND_TRIP_NANOS ? before.count() + 1 : before.count(), before.nanos());
-        lateContacts.put(node, contact);
+        recordLateContact.put(node, contact);
         return contact.count();
     }
 
     /** Records a task; the reply is called once, unless the endpoint hangs. */
     void receive(SendTask send, long runNanos, Reply reply) {
         if (!listensAt(send.address())) {
-            reply.end(SendResult.CONNECT_FAILED, false);
-        } else if (draining) {
-            reply.end(SendResult.REFUSED_DRAINING, true);
+            reply.complete(SendResult.CONNECT_FAILED, false);
+        } else if (isDraining) {
+            reply.complete(SendResult.REFUSED_DRAINING, true);
         } else if (running.size() >= slots) {
-            reply.end(SendResult.REFUSED_BUSY, false);
+            reply.complete(SendResult.REFUSED_BUSY, false);
         } else {
-            checker.started(send.task(), send.attempt(), name);
+            checker.recordStart(send.task(), send.attempt(), name);
             running.put(send.task(), reply);
-            long nanos = fault == EndpointFault.FAILS_ALL ? FAIL_NANOS : runNanos;
-            time.after(nanos, () -> finish(send.task(), reply));
+            long nanos = setFault == EndpointFault.FAILS_ALL ? FAIL_NANOS : runNanos;
+            time.scheduleAfter(nanos, () -> finish(send.task(), reply));
         }
     }
 
@@ -139,21 +139,21 @@
     void stop(TaskId task) {
         Reply reply = running.remove(task);
         if (reply != null) {
-            reply.end(SendResult.LOST, false);
+            reply.complete(SendResult.LOST, false);
         }
     }
 
     private void finish(TaskId task, Reply reply) {
-        if (running.get(task) != reply || fault == EndpointFault.HANGS) {
+        if (running.get(task) != reply || setFault == EndpointFault.HANGS) {
             return;
         }
         running.remove(task);
-        switch (fault) {
-            case FAILS_ALL -> reply.end(SendResult.TASK_FAILED, draining);
-            case CUTS_ANSWER_SHORT -> reply.end(SendResult.LOST, draining);
+        switch (setFault) {
+            case FAILS_ALL -> reply.complete(SendResult.TASK_FAILED, isDraining);
+            case CUTS_ANSWER_SHORT -> reply.complete(SendResult.LOST, isDraining);
             default -> {
-                checker.succeeded(task);
-                reply.end(SendResult.SUCCEEDED, draining);
+                checker.recordSuccess(task);
+                reply.complete(SendResult.SUCCEEDED, isDraining);
             }
         }
     }
@@ -164,6 +164,6 @@
     @FunctionalInterface
     interface Reply {
         /** Takes the end of the exchange, as the endpoint sees it. */
-        void end(SendResult result, boolean leaving);
+        void complete(SendResult result, boolean leaving);
     }
 }
--- a/tarragonarch-standin/src/main/java/org/tarragonarch/standin/explore/FakeNode.java
+++ b/tarragonarch-standin/src/main/java/org/tarragonarch/standin/explore/FakeNode.java
@@ -62,7 +62,7 @@
     private NodePhase phase = NodePhase.STARTING;
     private boolean alive = true;
     private boolean frozen;
-    private long thawedNanos;
+    private long unfrozenNanos;
     private long wakeNanos;
     private long nextSubmission;
 
@@ -83,7 +83,7 @@
     }
 
     /** Returns the name of this run of the node. */
-    String run() {
+    String runName() {
         return name() + "#" + identity.incarnation();
     }
 
@@ -108,7 +108,7 @@
     }
 
     /** Returns how often something was noted. */
-    public int noted(NoteEvent event) {
+    public int noteCount(NoteEvent event) {
         return notes.getOrDefault(event, 0);
     }
 
@@ -116,8 +116,8 @@
         return frozen;
     }
 
-    long thawedNanos() {
-        return thawedNanos;
+    long unfrozenNanos() {
+        return unfrozenNanos;
     }
 
     /** Returns the next submission that a caller sends to this node. */
@@ -146,9 +146,9 @@
         frozen = true;
     }
 
-    void thaw() {
+    void unfreeze() {
         frozen = false;
-        thawedNanos = world.time().nowNanos();
+        unfrozenNanos = world.time().nowNanos();
         while (!held.isEmpty() && alive) {
             handle(held.remove());
         }
@@ -176,16 +176,16 @@
 
     private void act(Action action) {
         if (action instanceof AnswerProblem answer) {
-            world.answered(this, answer.submission(), Optional.of(answer.problem()));
+            world.recordAnswer(this, answer.submission(), Optional.of(answer.problem()));
         } else if (action instanceof AnswerComplete answer) {
-            world.answered(this, answer.submission(), Optional.empty());
+            world.recordAnswer(this, answer.submission(), Optional.empty());
         } else if (action instanceof AnswerSameAs answer) {
-            world.answered(this, answer.submission(), Optional.empty());
+            world.recordAnswer(this, answer.submission(), Optional.empty());
         } else if (action instanceof AnswerFromPeer answer) {
-            world.answered(this, answer.submission(), Optional.empty());
+            world.recordAnswer(this, answer.submission(), Optional.empty());
         } else if (action instanceof WakeAt wake) {
             wakeNanos = wake.nanos();
-            world.time().at(wake.nanos(), () -> wake(wake.nanos()));
+            world.time().scheduleAt(wake.nanos(), () -> wake(wake.nanos()));
         } else if (action instanceof Note note) {
             notes.merge(note.event(), 1, Integer::sum);
         } else if (action instanceof PhaseChanged changed) {
@@ -193,7 +193,7 @@
             alive = alive && phase != NodePhase.LEFT;
         } else if (action instanceof ConfigurationInForce inForce) {
             catalog = Optional.of(inForce.catalog());
-            world.inForce(this, inForce.catalog());
+            world.recordConfiguration(this, inForce.catalog());
         } else {
             actOutside(action);
         }
@@ -202,29 +202,29 @@
     private void actOutside(Action action) {
         Shell shell = world.shell();
         if (action instanceof SendTask send) {
-            shell.send(this, send);
+            shell.sendTask(this, send);
         } else if (action instanceof StopTask stop) {
-            shell.stop(this, stop);
+            shell.stopTask(this, stop);
         } else if (action instanceof ProbeEndpoint probe) {
-            shell.probe(this, probe);
+            shell.probeEndpoint(this, probe);
         } else if (action instanceof WriteClaims write) {
             shell.writeClaims(this, write);
         } else if (action instanceof ReadClaims read) {
             shell.readClaims(this, read);
         } else if (action instanceof ReleaseClaim release) {
-            shell.release(this, release);
+            shell.releaseClaim(this, release);
         } else if (action instanceof AskPeerAnswer ask) {
-            shell.ask(this, ask);
+            shell.askPeerAnswer(this, ask);
         } else if (action instanceof GivePeerAnswer give) {
-            shell.give(this, give);
+            shell.givePeerAnswer(this, give);
         } else if (action instanceof SendReport report) {
-            shell.report(this, report);
+            shell.sendReport(this, report);
         } else if (action instanceof ReadVmList) {
             shell.readVmList(this);
         } else if (action instanceof ReadConfigurationRow) {
-            shell.readRow(this);
+            shell.readConfigurationRow(this);
         } else if (action instanceof LoadConfiguration load) {
-            shell.load(this, load);
+            shell.loadConfiguration(this, load);
         }
     }
 
--- a/tarragonarch-standin/src/main/java/org/tarragonarch/standin/explore/FakePlatform.java
+++ b/tarragonarch-standin/src/main/java/org/tarragonarch/standin/explore/FakePlatform.java
@@ -30,9 +30,9 @@
     private final Map<ConfigurationVersion, ServiceCatalog> objects = new HashMap<>();
     private final Map<String, VmRecord> vms = new LinkedHashMap<>();
     private final List<ConfigurationRow> rows = new ArrayList<>();
-    private boolean out;
-    private double replyLostShare;
-    private double staleReadShare;
+    private boolean setOut;
+    private double setReplyLostShare;
+    private double setStaleReadShare;
     private long listLagNanos;
     private long listSeenNanos;
 
@@ -42,56 +42,56 @@
     }
 
     /** Takes the whole platform out, or brings it back. */
-    public void out(boolean isOut) {
-        out = isOut;
+    public void setOut(boolean isOut) {
+        setOut = isOut;
     }
 
     /** Sets the share of writes that take effect, soon or late, although their reply is lost. */
-    public void replyLostShare(double share) {
-        replyLostShare = share;
+    public void setReplyLostShare(double share) {
+        setReplyLostShare = share;
     }
 
     /** Sets the share of reads of the configuration row that give an older row. */
-    public void staleReadShare(double share) {
-        staleReadShare = share;
+    public void setStaleReadShare(double share) {
+        setStaleReadShare = share;
     }
 
     /** Sets how long a change of the VM list takes to be seen. */
-    public void listLag(long nanos) {
+    public void setListLag(long nanos) {
         listLagNanos = nanos;
     }
 
     /** Puts a VM on the list, or changes its line, once the lag is over. */
-    public void list(VmRecord vm) {
+    public void listVm(VmRecord vm) {
         changeList(() -> vms.put(vm.name(), vm));
     }
 
     /** Takes a VM off the list, once the lag is over. */
-    public void unlist(String name) {
+    public void unlistVm(String name) {
         changeList(() -> vms.remove(name));
     }
 
     // The list lags but never goes back: changes are seen in the order in which they were made.
     private void changeList(Runnable change) {
         listSeenNanos = Math.max(listSeenNanos, time.nowNanos() + listLagNanos);
-        time.at(listSeenNanos, change);
+        time.scheduleAt(listSeenNanos, change);
     }
 
     /** Accepts a configuration. */
-    public void accept(ConfigurationRow row, ServiceCatalog catalog) {
+    public void acceptConfiguration(ConfigurationRow row, ServiceCatalog catalog) {
         rows.add(row);
         objects.put(catalog.version(), catalog);
     }
 
     /** Returns the version accepted last. */
-    public ConfigurationVersion newest() {
+    public ConfigurationVersion newestVersion() {
         return rows.isEmpty()
                 ? ConfigurationVersion.NONE
                 : rows.get(rows.size() - 1).version();
     }
 
     boolean isOut() {
-        return out;
+        return setOut;
     }
 
     long timeoutNanos() {
@@ -102,44 +102,44 @@
         return ImmutableList.copyOf(vms.values());
     }
 
-    Optional<ConfigurationRow> row() {
+    Optional<ConfigurationRow> configurationRow() {
         if (rows.isEmpty()) {
             return Optional.empty();
         }
-        boolean stale = random.nextDouble() < staleReadShare;
+        boolean stale = random.nextDouble() < setStaleReadShare;
         return Optional.of(rows.get(stale ? random.nextInt(rows.size()) : rows.size() - 1));
     }
 
-    Optional<ServiceCatalog> object(ConfigurationVersion version) {
+    Optional<ServiceCatalog> findCatalog(ConfigurationVersion version) {
         return Optional.ofNullable(objects.get(version));
     }
 
     /** Writes claims; {@code done} gets nothing where the reply is lost. */
     void insertIfAbsent(List<Claim> wanted, Consumer<Optional<ImmutableList<ClaimResult>>> done) {
-        boolean lost = random.nextDouble() < replyLostShare;
+        boolean lost = random.nextDouble() < setReplyLostShare;
         long applied = LEAST_WRITE_NANOS + random.nextInt(WRITE_SPREAD_NANOS);
         if (lost && random.nextBoolean()) {
             // The write is held up somewhere and takes effect after its sender has given up on it.
             applied = TIMEOUT_NANOS + random.nextInt(LATE_WRITE_SPREAD_NANOS);
         }
-        time.after(applied, () -> {
+        time.scheduleAfter(applied, () -> {
             wanted.forEach(claim -> claims.putIfAbsent(claim.key(), claim));
             if (!lost) {
-                done.accept(Optional.of(standing(wanted)));
+                done.accept(Optional.of(currentClaims(wanted)));
             }
         });
         if (lost) {
-            time.after(TIMEOUT_NANOS, () -> done.accept(Optional.empty()));
+            time.scheduleAfter(TIMEOUT_NANOS, () -> done.accept(Optional.empty()));
         }
     }
 
-    ImmutableList<ClaimResult> standing(List<Claim> wanted) {
+    ImmutableList<ClaimResult> currentClaims(List<Claim> wanted) {
         return wanted.stream()
                 .map(claim -> new ClaimResult(claim, Optional.ofNullable(claims.get(claim.key()))))
                 .collect(ImmutableList.toImmutableList());
     }
 
-    void release(Claim claim) {
+    void releaseClaim(Claim claim) {
         Claim standing = claims.get(claim.key());
         if (standing != null && standing.token().equals(claim.token())) {
             claims.remove(claim.key());
--- a/tarragonarch-standin/src/main/java/org/tarragonarch/standin/explore/LeavingPromise.java
+++ b/tarragonarch-standin/src/main/java/org/tarragonarch/standin/explore/LeavingPromise.java
@@ -23,10 +23,10 @@
      * @throws Violation if the node should have known that the endpoint leaves
      */
     void checkSend(FakeNode node, String name, FakeEndpoint endpoint) {
-        if (endpoint.sendsAfterRefusal(node.run())) {
+        if (endpoint.hasRefused(node.runName())) {
             throw checker.violation(PROMISE, node.name() + " sent to " + name + " although that refused before");
         }
-        int contacts = endpoint.lateContacts(node.run(), LEAVING_GRACE_NANOS);
+        int contacts = endpoint.recordLateContact(node.runName(), LEAVING_GRACE_NANOS);
         if (contacts > LATE_CONTACTS_ALLOWED) {
             throw checker.violation(PROMISE, node.name() + " sent to " + name + " " + contacts + " times");
         }
--- a/tarragonarch-standin/src/main/java/org/tarragonarch/standin/explore/Ledger.java
+++ b/tarragonarch-standin/src/main/java/org/tarragonarch/standin/explore/Ledger.java
@@ -13,16 +13,16 @@
 /** What the endpoints really started and finished: the verdict on the promises rests on it, not on a node's word. */
 public final class Ledger {
     private final Map<TaskId, List<Start>> starts = new HashMap<>();
-    private final Set<SubmissionId> started = new HashSet<>();
-    private final Set<TaskId> succeeded = new HashSet<>();
+    private final Set<SubmissionId> hasStarted = new HashSet<>();
+    private final Set<TaskId> hasSucceeded = new HashSet<>();
 
-    void start(TaskId task, int attempt, String endpoint, long nowNanos) {
+    void recordStart(TaskId task, int attempt, String endpoint, long nowNanos) {
         starts.computeIfAbsent(task, id -> new ArrayList<>()).add(new Start(attempt, endpoint, nowNanos));
-        started.add(task.submission());
+        hasStarted.add(task.submission());
     }
 
-    void succeed(TaskId task) {
-        succeeded.add(task);
+    void recordSuccess(TaskId task) {
+        hasSucceeded.add(task);
     }
 
     /** Returns the starts of a task. */
@@ -31,17 +31,17 @@
     }
 
     /** Returns whether any task of a submission has started. */
-    public boolean started(SubmissionId submission) {
-        return started.contains(submission);
+    public boolean hasStarted(SubmissionId submission) {
+        return hasStarted.contains(submission);
     }
 
     /** Returns whether a task has succeeded. */
-    public boolean succeeded(TaskId task) {
-        return succeeded.contains(task);
+    public boolean hasSucceeded(TaskId task) {
+        return hasSucceeded.contains(task);
     }
 
     /** Returns how many starts there were. */
-    public int size() {
+    public int startCount() {
         return starts.values().stream().mapToInt(List::size).sum();
     }
 
--- a/tarragonarch-standin/src/main/java/org/tarragonarch/standin/explore/Network.java
+++ b/tarragonarch-standin/src/main/java/org/tarragonarch/standin/explore/Network.java
@@ -38,11 +38,11 @@
         cuts.clear();
     }
 
-    boolean open(String from, String to) {
+    boolean isOpen(String from, String to) {
         return !cuts.contains(new Link(from, to));
     }
 
-    long delayNanos() {
+    long nextDelayNanos() {
         return LEAST_DELAY_NANOS + random.nextInt(SPREAD_NANOS);
     }
 
--- a/tarragonarch-standin/src/main/java/org/tarragonarch/standin/explore/PromiseChecker.java
+++ b/tarragonarch-standin/src/main/java/org/tarragonarch/standin/explore/PromiseChecker.java
@@ -19,7 +19,7 @@
 public final class PromiseChecker {
     private final VirtualTime time;
     private final Ledger ledger;
-    private final Map<SubmissionId, Sent> sent = new HashMap<>();
+    private final Map<SubmissionId, SentSubmission> recordSent = new HashMap<>();
     private final Map<ClaimKey, Set<Integer>> startedByKey = new HashMap<>();
     private final Map<ClaimKey, Set<Integer>> succeededByKey = new HashMap<>();
     private final Map<String, ConfigurationVersion> inForce = new HashMap<>();
@@ -29,17 +29,17 @@
         this.ledger = ledger;
     }
 
-    void sent(Sent submission) {
-        sent.put(submission.submission().id(), submission);
+    void recordSent(SentSubmission submission) {
+        recordSent.put(submission.submission().id(), submission);
     }
 
     /** Returns every submission that was sent, as a view. */
-    public Collection<Sent> all() {
-        return Collections.unmodifiableCollection(sent.values());
+    public Collection<SentSubmission> sentSubmissions() {
+        return Collections.unmodifiableCollection(recordSent.values());
     }
 
-    void started(TaskId task, int attempt, String endpoint) {
-        Sent submission = sent.get(task.submission());
+    void recordStart(TaskId task, int attempt, String endpoint) {
+        SentSubmission submission = recordSent.get(task.submission());
         boolean again = !ledger.starts(task).isEmpty();
         if (again && submission.submission().form() == SubmissionForm.JOB) {
             throw violation("no task of a submission starts twice", task + " started again at " + endpoint);
@@ -47,7 +47,7 @@
         if (again && !submission.idempotent()) {
             throw violation("a non-idempotent request runs at most once", task + " started again at " + endpoint);
         }
-        if (submission.answered() && submission.outcome().equals(Outcome.NOT_RUN.word())) {
+        if (submission.isAnswered() && submission.outcome().equals(Outcome.NOT_RUN.word())) {
             throw violation("not-run means that it did not run", task + " started after that answer");
         }
         Optional<ClaimKey> key = submission.claimKey();
@@ -57,24 +57,25 @@
                 throw violation("a non-idempotent key runs at most once", key.get() + " ran again as " + task);
             }
         }
-        ledger.start(task, attempt, endpoint, time.nowNanos());
+        ledger.recordStart(task, attempt, endpoint, time.nowNanos());
     }
 
-    void succeeded(TaskId task) {
-        ledger.succeed(task);
-        sent.get(task.submission())
+    void recordSuccess(TaskId task) {
+        ledger.recordSuccess(task);
+        recordSent
+                .get(task.submission())
                 .claimKey()
                 .ifPresent(key -> succeededByKey
                         .computeIfAbsent(key, claimKey -> new HashSet<>())
                         .add(task.index()));
     }
 
-    void answered(SubmissionId id, Optional<Problem> problem, long nodeThawedNanos) {
-        Sent submission = sent.get(id);
-        if (submission.answered()) {
+    void recordAnswer(SubmissionId id, Optional<Problem> problem, long nodeThawedNanos) {
+        SentSubmission submission = recordSent.get(id);
+        if (submission.isAnswered()) {
             throw violation("every submission has one answer", id + " was answered again");
         }
-        submission.answer(problem, time.nowNanos());
+        submission.recordAnswer(problem, time.nowNanos());
         if (problem.isEmpty()) {
             checkComplete(submission);
         } else {
@@ -86,29 +87,29 @@
         }
     }
 
-    void configurationInForce(String nodeRun, ConfigurationVersion version) {
+    void recordConfiguration(String nodeRun, ConfigurationVersion version) {
         ConfigurationVersion before = inForce.put(nodeRun, version);
         if (before != null && !version.newerThan(before)) {
             throw violation("a configuration never reverts", nodeRun + " went from " + before + " to " + version);
         }
     }
 
-    private void checkComplete(Sent submission) {
+    private void checkComplete(SentSubmission submission) {
         Set<Integer> byKey = submission
                 .claimKey()
                 .map(key -> succeededByKey.getOrDefault(key, Set.of()))
                 .orElse(Set.of());
         for (int index = 0; index < submission.submission().tasks().size(); index++) {
             TaskId task = new TaskId(submission.submission().id(), index);
-            if (!ledger.succeeded(task) && !byKey.contains(index)) {
+            if (!ledger.hasSucceeded(task) && !byKey.contains(index)) {
                 throw violation("a complete answer holds every result", task + " has not succeeded");
             }
         }
     }
 
-    private void checkProblem(Sent submission, Problem problem) {
+    private void checkProblem(SentSubmission submission, Problem problem) {
         SubmissionId id = submission.submission().id();
-        if (problem.code().outcome() == Outcome.NOT_RUN && ledger.started(id)) {
+        if (problem.code().outcome() == Outcome.NOT_RUN && ledger.hasStarted(id)) {
             throw violation("not-run means that it did not run", id + " had started");
         }
         if (problem.code().worthReturning() && problem.retryAfter().isEmpty()) {
--- a/tarragonarch-standin/src/main/java/org/tarragonarch/standin/explore/RandomPlan.java
+++ b/tarragonarch-standin/src/main/java/org/tarragonarch/standin/explore/RandomPlan.java
@@ -15,7 +15,7 @@
 
 /** Draws a plan of submissions and faults from a seed. */
 final class RandomPlan {
-    static final long BUSY_NANOS = Duration.ofSeconds(20).toNanos();
+    static final long DURATION_NANOS = Duration.ofSeconds(20).toNanos();
 
     private static final long MILLISECOND = 1_000_000;
     private static final int SUBMISSIONS = 70;
@@ -47,13 +47,13 @@
     private void submission(int count) {
         long at = millis(20_000);
         SubmissionForm form = random.nextBoolean() ? SubmissionForm.JOB : SubmissionForm.REQUEST;
-        KindName kind = random.nextInt(3) == 0 ? SampleCatalog.IDEMPOTENT : SampleCatalog.ONCE;
+        KindName kind = random.nextInt(3) == 0 ? SampleCatalog.IDEMPOTENT : SampleCatalog.NON_IDEMPOTENT;
         Optional<String> key = random.nextInt(3) == 0 ? Optional.empty() : Optional.of("key-" + count);
         int tasks = form == SubmissionForm.JOB ? 1 + random.nextInt(6) : 1;
         long run = random.nextInt(10) == 0 ? millis(4_000) : millis(600);
         Optional<Duration> allowed =
                 random.nextInt(4) == 0 ? Optional.of(Duration.ofNanos(MILLISECOND + millis(2_000))) : Optional.empty();
-        AtomicReference<Sent> sent = new AtomicReference<>();
+        AtomicReference<SentSubmission> sent = new AtomicReference<>();
         String first = pick(nodes);
         add(
                 at,
@@ -137,11 +137,11 @@
         add(
                 at,
                 "endpoint " + endpoint + " " + fault,
-                world -> world.endpoint(endpoint).fault(fault));
+                world -> world.endpoint(endpoint).setFault(fault));
         add(
                 at + millis(3_000),
                 "endpoint " + endpoint + " well",
-                world -> world.endpoint(endpoint).fault(EndpointFault.NONE));
+                world -> world.endpoint(endpoint).setFault(EndpointFault.NONE));
     }
 
     private void cut(String one, String other) {
@@ -159,21 +159,21 @@
 
     private void platformOut() {
         long at = millis(20_000);
-        add(at, "platform out", world -> world.platform().out(true));
-        add(at + millis(6_000), "platform back", world -> world.platform().out(false));
+        add(at, "platform out", world -> world.platform().setOut(true));
+        add(at + millis(6_000), "platform back", world -> world.platform().setOut(false));
     }
 
     private void platformFaults() {
         double share = random.nextInt(3) * 0.3;
         add(millis(20_000), "platform loses " + share + " of replies, and reads are as stale", world -> {
-            world.platform().replyLostShare(share);
-            world.platform().staleReadShare(share);
+            world.platform().setReplyLostShare(share);
+            world.platform().setStaleReadShare(share);
         });
         long lag = millis(10_000);
         add(
                 millis(20_000),
                 "the list lags " + lag / MILLISECOND + "ms",
-                world -> world.platform().listLag(lag));
+                world -> world.platform().setListLag(lag));
     }
 
     private void add(long nanos, String text, Consumer<World> effect) {
--- a/tarragonarch-standin/src/main/java/org/tarragonarch/standin/explore/SampleCatalog.java
+++ b/tarragonarch-standin/src/main/java/org/tarragonarch/standin/explore/SampleCatalog.java
@@ -25,11 +25,11 @@
     /** A kind that may run more than once. */
     public static final KindName IDEMPOTENT = KindName.of("spelling");
     /** A kind that must run at most once. */
-    public static final KindName ONCE = KindName.of("word-count");
+    public static final KindName NON_IDEMPOTENT = KindName.of("word-count");
     /** The one caller. */
     public static final CallerName CALLER = CallerName.of("upload-page");
     /** How long a submission may take when it states no time. */
-    public static final Duration DEADLINE = Duration.ofSeconds(5);
+    public static final Duration DEFAULT_DEADLINE = Duration.ofSeconds(5);
 
     private static final TeamName TEAM = TeamName.of("proofreaders");
     private static final int MANY = 1_000;
@@ -37,11 +37,11 @@
     private SampleCatalog() {}
 
     /** Returns the configuration as accepted under this version. */
-    public static ServiceCatalog version(long version) {
+    public static ServiceCatalog withVersion(long version) {
         ServiceDefinition service = new ServiceDefinition(
                 SERVICE,
                 version % 2 == 0 ? ServiceObjective.FEW_MESSAGES : ServiceObjective.RESPONSE_TIME,
-                ImmutableMap.of(IDEMPOTENT, kind(IDEMPOTENT, true), ONCE, kind(ONCE, false)),
+                ImmutableMap.of(IDEMPOTENT, kind(IDEMPOTENT, true), NON_IDEMPOTENT, kind(NON_IDEMPOTENT, false)),
                 ImmutableSet.of(CALLER),
                 MANY,
                 MANY);
@@ -57,6 +57,6 @@
     }
 
     private static KindDefinition kind(KindName name, boolean idempotent) {
-        return new KindDefinition(name, idempotent, 110, 1 << 20, DEADLINE, Duration.ofMillis(200));
+        return new KindDefinition(name, idempotent, 110, 1 << 20, DEFAULT_DEADLINE, Duration.ofMillis(200));
     }
 }
--- a/tarragonarch-standin/src/main/java/org/tarragonarch/standin/explore/Sent.java
+++ b/tarragonarch-standin/src/main/java/org/tarragonarch/standin/explore/SentSubmission.java
@@ -6,7 +6,7 @@
 import org.tarragonarch.model.outcome.Problem;
 
 /** One submission that a caller sent, and what became of it. */
-public final class Sent {
+public final class SentSubmission {
     private final SubmissionArrived submission;
     private final boolean idempotent;
     private final long sentNanos;
@@ -14,7 +14,7 @@
     private Optional<Problem> problem = Optional.empty();
     private long answeredNanos = -1;
 
-    Sent(SubmissionArrived submission, boolean idempotent, long sentNanos, long deadlineNanos) {
+    SentSubmission(SubmissionArrived submission, boolean idempotent, long sentNanos, long deadlineNanos) {
         this.submission = submission;
         this.idempotent = idempotent;
         this.sentNanos = sentNanos;
@@ -44,13 +44,13 @@
         return submission.key().map(key -> new ClaimKey(submission.service(), submission.caller(), key));
     }
 
-    void answer(Optional<Problem> why, long nowNanos) {
+    void recordAnswer(Optional<Problem> why, long nowNanos) {
         problem = why;
         answeredNanos = nowNanos;
     }
 
     /** Returns whether the caller was answered. */
-    public boolean answered() {
+    public boolean isAnswered() {
         return answeredNanos >= 0;
     }
 
@@ -61,7 +61,7 @@
 
     /** Returns the word of the outcome, or {@code none} while there is no answer. */
     public String outcome() {
-        if (!answered()) {
+        if (!isAnswered()) {
             return "none";
         }
         return problem.map(why -> why.code().outcome().word()).orElse("complete");
--- a/tarragonarch-standin/src/main/java/org/tarragonarch/standin/explore/Shell.java
+++ b/tarragonarch-standin/src/main/java/org/tarragonarch/standin/explore/Shell.java
@@ -56,20 +56,20 @@
         this.network = world.network();
     }
 
-    void send(FakeNode node, SendTask send) {
+    void sendTask(FakeNode node, SendTask send) {
         String endpoint = send.endpoint().value();
         AtomicBoolean ended = new AtomicBoolean();
-        time.after(send.timeAllowed().toNanos(), () -> end(node, send, SendResult.LOST, false, ended));
-        if (!network.open(node.name(), endpoint) || !network.open(endpoint, node.name())) {
+        time.scheduleAfter(send.timeAllowed().toNanos(), () -> end(node, send, SendResult.LOST, false, ended));
+        if (!network.isOpen(node.name(), endpoint) || !network.isOpen(endpoint, node.name())) {
             sendOverCut(node, send, ended);
             return;
         }
-        world.checkLateSend(node, endpoint, send.address());
-        time.after(
-                network.delayNanos(),
+        world.checkSend(node, endpoint, send.address());
+        time.scheduleAfter(
+                network.nextDelayNanos(),
                 () -> world.endpoint(endpoint).receive(send, world.runNanos(send.task()), (result, leaving) -> {
-                    if (network.open(endpoint, node.name())) {
-                        time.after(network.delayNanos(), () -> end(node, send, result, leaving, ended));
+                    if (network.isOpen(endpoint, node.name())) {
+                        time.scheduleAfter(network.nextDelayNanos(), () -> end(node, send, result, leaving, ended));
                     }
                 }));
     }
@@ -78,10 +78,10 @@
     private void sendOverCut(FakeNode node, SendTask send, AtomicBoolean ended) {
         boolean pooled = world.random().nextBoolean();
         if (!pooled) {
-            time.after(CONNECT_TIMEOUT_NANOS, () -> end(node, send, SendResult.CONNECT_FAILED, false, ended));
-        } else if (network.open(node.name(), send.endpoint().value())) {
-            time.after(
-                    network.delayNanos(),
+            time.scheduleAfter(CONNECT_TIMEOUT_NANOS, () -> end(node, send, SendResult.CONNECT_FAILED, false, ended));
+        } else if (network.isOpen(node.name(), send.endpoint().value())) {
+            time.scheduleAfter(
+                    network.nextDelayNanos(),
                     () -> world.endpoint(send.endpoint().value())
                             .receive(send, world.runNanos(send.task()), (result, leaving) -> {}));
         }
@@ -90,7 +90,7 @@
     private void end(FakeNode node, SendTask send, SendResult result, boolean leaving, AtomicBoolean ended) {
         if (!ended.getAndSet(true)) {
             if (result == SendResult.REFUSED_DRAINING && !node.frozen()) {
-                world.endpoint(send.endpoint().value()).heardRefusal(node.run());
+                world.endpoint(send.endpoint().value()).recordRefusal(node.runName());
             }
             TaskEnded event = new TaskEnded(
                     send.task(),
@@ -102,27 +102,28 @@
             node.deliver(event);
             if (world.random().nextInt(ENDS_PER_REPEATED_END) == 0) {
                 // A shell that reports an end twice must not confuse a later attempt with it.
-                time.after(world.random().nextInt(REPEAT_SPREAD_NANOS), () -> node.deliver(event));
+                time.scheduleAfter(world.random().nextInt(REPEAT_SPREAD_NANOS), () -> node.deliver(event));
             }
         }
     }
 
-    void stop(FakeNode node, StopTask stop) {
+    void stopTask(FakeNode node, StopTask stop) {
         String endpoint = stop.endpoint().value();
-        if (stop.sendStop() && network.open(node.name(), endpoint)) {
-            time.after(network.delayNanos(), () -> world.endpoint(endpoint).stop(stop.task()));
+        if (stop.sendStop() && network.isOpen(node.name(), endpoint)) {
+            time.scheduleAfter(
+                    network.nextDelayNanos(), () -> world.endpoint(endpoint).stop(stop.task()));
         }
     }
 
-    void probe(FakeNode node, ProbeEndpoint probe) {
+    void probeEndpoint(FakeNode node, ProbeEndpoint probe) {
         String name = probe.endpoint().value();
-        boolean open = network.open(node.name(), name) && network.open(name, node.name());
-        long delay = open ? 2 * network.delayNanos() : CONNECT_TIMEOUT_NANOS;
-        time.after(delay, () -> {
+        boolean open = network.isOpen(node.name(), name) && network.isOpen(name, node.name());
+        long delay = open ? 2 * network.nextDelayNanos() : CONNECT_TIMEOUT_NANOS;
+        time.scheduleAfter(delay, () -> {
             FakeEndpoint endpoint = world.endpoint(name);
             boolean answered = open && endpoint.listensAt(probe.address());
             node.deliver(new ProbeEnded(
-                    probe.endpoint(), answered && !endpoint.draining(), answered && endpoint.draining()));
+                    probe.endpoint(), answered && !endpoint.isDraining(), answered && endpoint.isDraining()));
         });
     }
 
@@ -138,57 +139,57 @@
             return;
         }
         boolean refused = world.random().nextBoolean();
-        long delay = refused ? network.delayNanos() : world.platform().timeoutNanos();
-        time.after(delay, () -> node.deliver(new ClaimsUncertain(write.batch(), !refused, "out")));
+        long delay = refused ? network.nextDelayNanos() : world.platform().timeoutNanos();
+        time.scheduleAfter(delay, () -> node.deliver(new ClaimsUncertain(write.batch(), !refused, "out")));
     }
 
     void readClaims(FakeNode node, ReadClaims read) {
         boolean reached = platformReached(node);
-        time.after(2 * network.delayNanos(), () -> {
-            ImmutableList<ClaimResult> standing = world.platform().standing(read.claims());
+        time.scheduleAfter(2 * network.nextDelayNanos(), () -> {
+            ImmutableList<ClaimResult> standing = world.platform().currentClaims(read.claims());
             Event event =
                     reached ? new ClaimsRead(read.batch(), standing) : new ClaimsUncertain(read.batch(), false, "out");
             node.deliver(event);
         });
     }
 
-    void release(FakeNode node, ReleaseClaim release) {
+    void releaseClaim(FakeNode node, ReleaseClaim release) {
         if (platformReached(node)) {
             int delay = world.random().nextInt(RELEASE_SPREAD_NANOS);
-            time.after(delay, () -> world.platform().release(release.claim()));
+            time.scheduleAfter(delay, () -> world.platform().releaseClaim(release.claim()));
         }
     }
 
-    void ask(FakeNode node, AskPeerAnswer ask) {
+    void askPeerAnswer(FakeNode node, AskPeerAnswer ask) {
         Optional<FakeNode> holder = world.node(ask.peer().value());
-        boolean open = network.open(node.name(), ask.peer().value());
+        boolean open = network.isOpen(node.name(), ask.peer().value());
         if (holder.isEmpty() || !holder.get().alive() || !open) {
-            time.after(CONNECT_TIMEOUT_NANOS, () -> notToBeHad(node, ask.waiting()));
+            time.scheduleAfter(CONNECT_TIMEOUT_NANOS, () -> notToBeHad(node, ask.waiting()));
             return;
         }
         Question question = new Question(node, ask.waiting(), holder.get());
         questions.add(question);
         long number = questions.size() - 1;
-        time.after(
-                network.delayNanos(),
+        time.scheduleAfter(
+                network.nextDelayNanos(),
                 () -> holder.get().deliver(new PeerAnswerAsked(node.identity().node(), number, ask.key())));
     }
 
-    void give(FakeNode holder, GivePeerAnswer give) {
+    void givePeerAnswer(FakeNode holder, GivePeerAnswer give) {
         Question question = questions.get((int) give.question());
-        if (network.open(holder.name(), question.asker().name())) {
-            time.after(
-                    network.delayNanos(),
+        if (network.isOpen(holder.name(), question.asker().name())) {
+            time.scheduleAfter(
+                    network.nextDelayNanos(),
                     () -> question.asker()
                             .deliver(new PeerAnswerArrived(question.waiting(), give.answer(), give.problem())));
         }
     }
 
     /** Breaks the connections of a node that ended: nodes that asked it for an answer are notified. */
-    void broken(FakeNode holder) {
+    void breakConnections(FakeNode holder) {
         for (Question question : questions) {
             if (question.holder() == holder) {
-                time.after(network.delayNanos(), () -> notToBeHad(question.asker(), question.waiting()));
+                time.scheduleAfter(network.nextDelayNanos(), () -> notToBeHad(question.asker(), question.waiting()));
             }
         }
     }
@@ -197,10 +198,10 @@
         asker.deliver(new PeerAnswerArrived(waiting, PeerAnswer.NOT_TO_BE_HAD, Optional.empty()));
     }
 
-    void report(FakeNode node, SendReport report) {
-        if (network.open(node.name(), report.peer().value())) {
-            time.after(
-                    network.delayNanos(),
+    void sendReport(FakeNode node, SendReport report) {
+        if (network.isOpen(node.name(), report.peer().value())) {
+            time.scheduleAfter(
+                    network.nextDelayNanos(),
                     () -> world.node(report.peer().value())
                             .ifPresent(peer -> peer.deliver(new PeerReported(report.report()))));
         }
@@ -208,29 +209,29 @@
 
     void readVmList(FakeNode node) {
         boolean reached = platformReached(node);
-        time.after(2 * network.delayNanos(), () -> {
+        time.scheduleAfter(2 * network.nextDelayNanos(), () -> {
             Event event =
                     reached ? new VmListRead(world.platform().vms()) : new PlatformFailed(PlatformPart.VM_LIST, "out");
             node.deliver(event);
         });
     }
 
-    void readRow(FakeNode node) {
+    void readConfigurationRow(FakeNode node) {
         boolean reached = platformReached(node);
-        time.after(2 * network.delayNanos(), () -> {
+        time.scheduleAfter(2 * network.nextDelayNanos(), () -> {
             Event event = reached
-                    ? new ConfigurationRowRead(world.platform().row())
+                    ? new ConfigurationRowRead(world.platform().configurationRow())
                     : new PlatformFailed(PlatformPart.CONFIGURATION_ROW, "out");
             node.deliver(event);
         });
     }
 
-    void load(FakeNode node, LoadConfiguration load) {
+    void loadConfiguration(FakeNode node, LoadConfiguration load) {
         String source = load.peer().map(peer -> peer.value()).orElse(PLATFORM);
         boolean reached = load.peer().isPresent()
-                ? network.open(node.name(), source) && network.open(source, node.name())
+                ? network.isOpen(node.name(), source) && network.isOpen(source, node.name())
                 : platformReached(node);
-        time.after(2 * network.delayNanos(), () -> {
+        time.scheduleAfter(2 * network.nextDelayNanos(), () -> {
             Optional<ServiceCatalog> found = reached ? find(load) : Optional.empty();
             Event event = found.<Event>map(catalog -> new ConfigurationLoaded(catalog, source))
                     .orElseGet(() -> new ConfigurationLoadFailed(load.version(), source, "not to be had"));
@@ -243,13 +244,13 @@
                 ? world.node(load.peer().get().value())
                         .filter(peer -> peer.alive() && !peer.frozen())
                         .flatMap(FakeNode::catalog)
-                : world.platform().object(load.version());
+                : world.platform().findCatalog(load.version());
         return found.filter(catalog ->
                 load.digest().map(digest -> digest.equals(catalog.digest())).orElse(true));
     }
 
     private boolean platformReached(FakeNode node) {
-        return !world.platform().isOut() && network.open(node.name(), PLATFORM);
+        return !world.platform().isOut() && network.isOpen(node.name(), PLATFORM);
     }
 
     private record Question(FakeNode asker, SubmissionId waiting, FakeNode holder) {}
--- a/tarragonarch-standin/src/main/java/org/tarragonarch/standin/explore/VirtualTime.java
+++ b/tarragonarch-standin/src/main/java/org/tarragonarch/standin/explore/VirtualTime.java
@@ -22,12 +22,12 @@
     }
 
     /** Plans a step after a delay. */
-    public void after(long delayNanos, Runnable step) {
-        at(nowNanos + delayNanos, step);
+    public void scheduleAfter(long delayNanos, Runnable step) {
+        scheduleAt(nowNanos + delayNanos, step);
     }
 
     /** Plans a step at a time; one in the past runs now. */
-    public void at(long nanos, Runnable step) {
+    public void scheduleAt(long nanos, Runnable step) {
         planned.add(new Planned(Math.max(nowNanos, nanos), sequence++, step));
     }
 
--- a/tarragonarch-standin/src/main/java/org/tarragonarch/standin/explore/VmRecords.java
+++ b/tarragonarch-standin/src/main/java/org/tarragonarch/standin/explore/VmRecords.java
@@ -23,7 +23,7 @@
     /** Lists a node; one that was listed before keeps its address. */
     VmRecord listNode(String name, String domain) {
         VmRecord vm = records.computeIfAbsent(name, key -> record(name, VmRole.ENTRY, domain, ImmutableSet.of(), 0));
-        platform.list(vm);
+        platform.listVm(vm);
         return vm;
     }
 
@@ -31,14 +31,14 @@
     VmRecord listEndpoint(String name, String domain, int slots) {
         VmRecord vm = record(name, VmRole.ENDPOINT, domain, ImmutableSet.of(SampleCatalog.SERVICE), slots);
         records.put(name, vm);
-        platform.list(vm);
+        platform.listVm(vm);
         return vm;
     }
 
     /** Lists a VM as one that leaves. */
     void listLeaving(String name) {
         VmRecord vm = records.get(name);
-        platform.list(new VmRecord(
+        platform.listVm(new VmRecord(
                 vm.name(), vm.role(), vm.domain(), vm.address(), VmState.LEAVING, vm.services(), vm.slots()));
     }
 
--- a/tarragonarch-standin/src/main/java/org/tarragonarch/standin/explore/World.java
+++ b/tarragonarch-standin/src/main/java/org/tarragonarch/standin/explore/World.java
@@ -79,7 +79,7 @@
     }
 
     /** Records every run of a node that starts from now on, each by a recorder of its own. */
-    public void record(Function<TraceHeader, EventRecorder> each) {
+    public void recordWith(Function<TraceHeader, EventRecorder> each) {
         recorders = each;
     }
 
@@ -104,8 +104,8 @@
     }
 
     /** Returns every submission sent, as a view. */
-    public Collection<Sent> sent() {
-        return checker.all();
+    public Collection<SentSubmission> sent() {
+        return checker.sentSubmissions();
     }
 
     Random random() {
@@ -124,7 +124,7 @@
         TraceHeader made = new TraceHeader(identity, policy, random.nextLong());
         FakeNode node = new FakeNode(made, recorders.apply(made), this);
         nodes.put(name, node);
-        time.after(0, () -> node.deliver(new TimePassed()));
+        time.scheduleAfter(0, () -> node.deliver(new TimePassed()));
     }
 
     /** Starts an endpoint. */
@@ -157,7 +157,7 @@
     public void killNode(String name) {
         FakeNode node = nodes.get(name);
         node.kill();
-        shell.broken(node);
+        shell.breakConnections(node);
     }
 
     /** Starts a node again on its old address, as a new run. */
@@ -173,7 +173,7 @@
         FakeNode node = nodes.get(name);
         if (!node.frozen()) {
             node.freeze();
-            time.after(nanos, node::thaw);
+            time.scheduleAfter(nanos, node::unfreeze);
         }
     }
 
@@ -198,8 +198,9 @@
 
     /** Accepts the next configuration, as an operator's program would. */
     public void acceptConfiguration() {
-        ServiceCatalog catalog = SampleCatalog.version(platform.newest().next().value());
-        platform.accept(
+        ServiceCatalog catalog =
+                SampleCatalog.withVersion(platform.newestVersion().next().value());
+        platform.acceptConfiguration(
                 new ConfigurationRow(
                         catalog.version(),
                         catalog.digest(),
@@ -220,7 +221,7 @@
      * @param taskNanos how long each runs
      * @param timeAllowed the caller's deadline
      */
-    public Optional<Sent> submit(
+    public Optional<SentSubmission> submit(
             String node,
             SubmissionForm form,
             KindName kind,
@@ -234,21 +235,21 @@
         }
         SubmissionArrived arrived = target.nextArrival(form, kind, key, tasks, timeAllowed);
         runNanos.put(arrived.id(), taskNanos);
-        Duration allowed = timeAllowed.orElse(SampleCatalog.DEADLINE);
+        Duration allowed = timeAllowed.orElse(SampleCatalog.DEFAULT_DEADLINE);
         // The node may be frozen when the submission arrives; its deadline counts from when the node sees it.
         long slack = target.frozen() ? Duration.ofMinutes(1).toNanos() : 0;
-        Sent sent = new Sent(
+        SentSubmission sent = new SentSubmission(
                 arrived,
                 kind.equals(SampleCatalog.IDEMPOTENT),
                 time.nowNanos(),
                 time.nowNanos() + allowed.toNanos() + slack);
-        checker.sent(sent);
+        checker.recordSent(sent);
         target.deliver(arrived);
         return Optional.of(sent);
     }
 
     /** Cancels a submission, or hangs up on it. */
-    public void cancel(Sent sent, CancelCause cause) {
+    public void cancel(SentSubmission sent, CancelCause cause) {
         ownerOf(sent.submission().id())
                 .ifPresent(node ->
                         node.deliver(new CancelRequested(sent.submission().id(), cause)));
@@ -271,15 +272,15 @@
         return runNanos.get(task.submission());
     }
 
-    void answered(FakeNode node, SubmissionId id, Optional<Problem> problem) {
-        checker.answered(id, problem, node.thawedNanos());
+    void recordAnswer(FakeNode node, SubmissionId id, Optional<Problem> problem) {
+        checker.recordAnswer(id, problem, node.unfrozenNanos());
     }
 
-    void inForce(FakeNode node, ServiceCatalog catalog) {
-        checker.configurationInForce(node.run(), catalog.version());
+    void recordConfiguration(FakeNode node, ServiceCatalog catalog) {
+        checker.recordConfiguration(node.runName(), catalog.version());
     }
 
-    void checkLateSend(FakeNode node, String name, Address address) {
+    void checkSend(FakeNode node, String name, Address address) {
         FakeEndpoint endpoint = endpoints.get(name);
         if (endpoint.listensAt(address)) {
             leavingPromise.checkSend(node, name, endpoint);
--- a/tarragonarch-standin/src/main/java/org/tarragonarch/standin/http/HttpExchange.java
+++ b/tarragonarch-standin/src/main/java/org/tarragonarch/standin/http/HttpExchange.java
@@ -87,7 +87,7 @@
     }
 
     /** Runs something on this connection's thread after a delay. */
-    public void after(long milliseconds, Runnable action) {
+    public void scheduleAfter(long milliseconds, Runnable action) {
         channel.eventLoop().schedule(action, milliseconds, TimeUnit.MILLISECONDS);
     }
 
--- a/tarragonarch-standin/src/main/java/org/tarragonarch/standin/http/HttpReply.java
+++ b/tarragonarch-standin/src/main/java/org/tarragonarch/standin/http/HttpReply.java
@@ -37,7 +37,7 @@
     }
 
     /** Returns this answer with one more header. */
-    public HttpReply with(String name, String value) {
+    public HttpReply withHeader(String name, String value) {
         ImmutableMap<String, String> more = ImmutableMap.<String, String>builder()
                 .putAll(headers)
                 .put(name, value)
--- a/tarragonarch-standin/src/main/java/org/tarragonarch/standin/http/HttpServer.java
+++ b/tarragonarch-standin/src/main/java/org/tarragonarch/standin/http/HttpServer.java
@@ -58,14 +58,14 @@
         return address;
     }
 
-    /** Stops listening and closes all connections, so that connections are refused until {@link #listenAgain}. */
+    /** Stops listening and closes all connections, so that connections are refused until {@link #resumeListening}. */
     public synchronized void refuseConnections() {
         listening.close().syncUninterruptibly();
         connections.close();
     }
 
     /** Listens again on the same address. */
-    public synchronized void listenAgain() {
+    public synchronized void resumeListening() {
         if (!listening.isOpen()) {
             bind(address.ip(), address.port());
         }
@@ -73,7 +73,7 @@
 
     /** Waits until the answers to all requests read so far have left; returns whether that came true in time. */
     public boolean awaitAnswered(long milliseconds) throws InterruptedException {
-        return open.awaitNone(milliseconds);
+        return open.awaitEmpty(milliseconds);
     }
 
     @Override
@@ -105,8 +105,8 @@
         connections.add(channel);
         channel.pipeline()
                 .addLast(new HttpServerCodec())
-                .addLast(new UnreadCloser(closeUnread))
+                .addLast(new UnreadRequestCloser(closeUnread))
                 .addLast(new HttpObjectAggregator(MAX_BODY_BYTES))
-                .addLast(new ExchangeOpener(handler, open));
+                .addLast(new RequestDispatcher(handler, open));
     }
 }
--- a/tarragonarch-standin/src/main/java/org/tarragonarch/standin/http/OpenExchanges.java
+++ b/tarragonarch-standin/src/main/java/org/tarragonarch/standin/http/OpenExchanges.java
@@ -18,7 +18,7 @@
     }
 
     /** Waits until every answer has left; returns whether that came true in time. */
-    synchronized boolean awaitNone(long milliseconds) throws InterruptedException {
+    synchronized boolean awaitEmpty(long milliseconds) throws InterruptedException {
         long deadline = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(milliseconds);
         while (!open.isEmpty()) {
             long left = TimeUnit.NANOSECONDS.toMillis(deadline - System.nanoTime());
--- a/tarragonarch-standin/src/main/java/org/tarragonarch/standin/http/ExchangeOpener.java
+++ b/tarragonarch-standin/src/main/java/org/tarragonarch/standin/http/RequestDispatcher.java
@@ -7,7 +7,7 @@
 import java.io.IOException;
 
 /** Hands whole requests to the handler and turns its complaints into answers. */
-final class ExchangeOpener extends SimpleChannelInboundHandler<FullHttpRequest> {
+final class RequestDispatcher extends SimpleChannelInboundHandler<FullHttpRequest> {
     private static final FluentLogger LOGGER = FluentLogger.forEnclosingClass();
     private static final int BAD_REQUEST = 400;
 
@@ -15,7 +15,7 @@
     private final OpenExchanges open;
     private HttpExchange newest;
 
-    ExchangeOpener(HttpHandler handler, OpenExchanges open) {
+    RequestDispatcher(HttpHandler handler, OpenExchanges open) {
         this.handler = handler;
         this.open = open;
     }
--- a/tarragonarch-standin/src/main/java/org/tarragonarch/standin/http/UnreadCloser.java
+++ b/tarragonarch-standin/src/main/java/org/tarragonarch/standin/http/UnreadRequestCloser.java
@@ -7,11 +7,11 @@
 import java.util.function.BooleanSupplier;
 
 /** Closes connections at a request's head while a fault is switched on. */
-final class UnreadCloser extends ChannelInboundHandlerAdapter {
+final class UnreadRequestCloser extends ChannelInboundHandlerAdapter {
     private final BooleanSupplier closeUnread;
     private boolean closed;
 
-    UnreadCloser(BooleanSupplier closeUnread) {
+    UnreadRequestCloser(BooleanSupplier closeUnread) {
         this.closeUnread = closeUnread;
     }
 
--- a/tarragonarch-standin/src/main/java/org/tarragonarch/standin/load/ArrivalPattern.java
+++ b/tarragonarch-standin/src/main/java/org/tarragonarch/standin/load/ArrivalPattern.java
@@ -24,7 +24,7 @@
     abstract double factor(long nanos);
 
     /** Returns the highest multiple. */
-    double highest() {
+    double maxFactor() {
         return Math.max(factor(0), factor(BURST_NANOS));
     }
 }
--- a/tarragonarch-standin/src/main/java/org/tarragonarch/standin/load/Arrivals.java
+++ b/tarragonarch-standin/src/main/java/org/tarragonarch/standin/load/Arrivals.java
@@ -17,7 +17,7 @@
         checkArgument(meanPerSecond > 0, "rate %s is not positive", meanPerSecond);
         this.random = random;
         this.pattern = pattern;
-        this.highestRate = meanPerSecond * pattern.highest();
+        this.highestRate = meanPerSecond * pattern.maxFactor();
     }
 
     /** Returns the next arrival's time since the start, in nanoseconds. */
@@ -25,7 +25,7 @@
         // Draws at the highest rate and keeps each arrival with the share that the pattern asks for at that time.
         do {
             nanos += -Math.log(1 - random.nextDouble()) / highestRate * NANOS_PER_SECOND;
-        } while (random.nextDouble() >= pattern.factor((long) nanos) / pattern.highest());
+        } while (random.nextDouble() >= pattern.factor((long) nanos) / pattern.maxFactor());
         return (long) nanos;
     }
 }
--- a/tarragonarch-standin/src/main/java/org/tarragonarch/standin/load/Counters.java
+++ b/tarragonarch-standin/src/main/java/org/tarragonarch/standin/load/Counters.java
@@ -46,7 +46,7 @@
     }
 
     /** Returns by how much each counter rose since an earlier reading, and what was wasted for each useful start. */
-    ObjectNode since(Counters earlier) {
+    ObjectNode increaseSince(Counters earlier) {
         ObjectNode json = JsonNodeFactory.instance.objectNode();
         ObjectNode counted = json.putObject("nodes");
         putRise(counted, nodes, earlier.nodes);
--- a/tarragonarch-standin/src/main/java/org/tarragonarch/standin/load/JobCall.java
+++ b/tarragonarch-standin/src/main/java/org/tarragonarch/standin/load/JobCall.java
@@ -40,74 +40,74 @@
         return plan;
     }
 
-    Request submission() {
+    Request submissionRequest() {
         String path = plan.single() ? "/requests/" : "/jobs/";
         Request.Builder request = authorized("/v1/services/" + options.service() + path + options.kind());
-        request.header("Time-Allowed-Ms", Long.toString(options.patience().toMillis()));
+        request.header("Time-Allowed-Ms", Long.toString(options.timeAllowed().toMillis()));
         request.header("Request-Id", requestId);
         key.ifPresent(value -> request.header("Idempotency-Key", value));
         return request.post(RequestBody.create(body(), JSON)).build();
     }
 
-    Request cancellation() {
+    Request cancellationRequest() {
         return authorized("/v1/submissions/" + requestId).delete().build();
     }
 
     /** Checks an answer against the submission. */
-    Verdict check(int status, String outcome, byte[] body) {
+    AnswerCheck check(int status, String outcome, byte[] body) {
         JsonNode answer;
         try {
             answer = MAPPER.readTree(body);
         } catch (IOException e) {
-            return Verdict.wrong("status " + status + " with a body that is no JSON");
+            return AnswerCheck.error("status " + status + " with a body that is no JSON");
         }
         String said = answer.path("outcome").asText();
         if (!said.equals(outcome)) {
-            return Verdict.wrong("outcome '" + outcome + "' in the header, '" + said + "' in the body");
+            return AnswerCheck.error("outcome '" + outcome + "' in the header, '" + said + "' in the body");
         }
         return status == OK ? checkResults(answer, said) : checkProblem(answer, said);
     }
 
-    private Verdict checkResults(JsonNode answer, String outcome) {
+    private AnswerCheck checkResults(JsonNode answer, String outcome) {
         if (!outcome.equals(Outcome.COMPLETE.word())) {
-            return Verdict.wrong("status 200 with outcome '" + outcome + "'");
+            return AnswerCheck.error("status 200 with outcome '" + outcome + "'");
         }
         if (plan.single()) {
-            return checkResult(answer.path("result"), 0).orElse(Verdict.sound(outcome));
+            return checkResult(answer.path("result"), 0).orElse(AnswerCheck.valid(outcome));
         }
         JsonNode results = answer.path("results");
         if (results.size() != plan.runTimesMillis().size()) {
-            return Verdict.wrong(
+            return AnswerCheck.error(
                     results.size() + " results for " + plan.runTimesMillis().size() + " tasks");
         }
         for (int i = 0; i < results.size(); i++) {
-            Optional<Verdict> wrong = checkResult(results.get(i), i);
+            Optional<AnswerCheck> wrong = checkResult(results.get(i), i);
             if (wrong.isPresent()) {
                 return wrong.get();
             }
         }
-        return Verdict.sound(outcome);
+        return AnswerCheck.valid(outcome);
     }
 
-    private Optional<Verdict> checkResult(JsonNode result, int index) {
+    private Optional<AnswerCheck> checkResult(JsonNode result, int index) {
         String expected = tag(index);
         String found = result.path("tag").asText();
         return found.equals(expected)
                 ? Optional.empty()
-                : Optional.of(Verdict.wrong("result of '" + found + "' given for '" + expected + "'"));
+                : Optional.of(AnswerCheck.error("result of '" + found + "' given for '" + expected + "'"));
     }
 
-    private Verdict checkProblem(JsonNode answer, String outcome) {
+    private AnswerCheck checkProblem(JsonNode answer, String outcome) {
         if (!PROBLEM_OUTCOMES.contains(outcome)) {
-            return Verdict.wrong("a problem with outcome '" + outcome + "'");
+            return AnswerCheck.error("a problem with outcome '" + outcome + "'");
         }
         if (answer.has("results") || answer.has("result")) {
-            return Verdict.wrong("a problem that carries results");
+            return AnswerCheck.error("a problem that carries results");
         }
         String echoed = answer.path("request-id").asText(requestId);
         return echoed.equals(requestId)
-                ? Verdict.sound(outcome)
-                : Verdict.wrong("problem of '" + echoed + "' given for '" + requestId + "'");
+                ? AnswerCheck.valid(outcome)
+                : AnswerCheck.error("problem of '" + echoed + "' given for '" + requestId + "'");
     }
 
     private Request.Builder authorized(String path) {
--- a/tarragonarch-standin/src/main/java/org/tarragonarch/standin/load/LoadOptions.java
+++ b/tarragonarch-standin/src/main/java/org/tarragonarch/standin/load/LoadOptions.java
@@ -23,7 +23,7 @@
  * @param slots the slots of all endpoints together, for the figure of useful work; 0 if not known
  * @param duration how long submissions arrive
  * @param maxJobs the most submissions
- * @param patience how long an answer is awaited
+ * @param timeAllowed how long an answer is awaited
  * @param declaredFactor declared run time over the true one; 0 declares none
  * @param keyedShare the share of submissions with an idempotency key
  * @param cancelAt when half of the running submissions are cancelled, if ever
@@ -43,7 +43,7 @@
         int slots,
         Duration duration,
         int maxJobs,
-        Duration patience,
+        Duration timeAllowed,
         double declaredFactor,
         double keyedShare,
         Optional<Duration> cancelAt,
--- a/tarragonarch-standin/src/main/java/org/tarragonarch/standin/load/LoadResult.java
+++ b/tarragonarch-standin/src/main/java/org/tarragonarch/standin/load/LoadResult.java
@@ -23,9 +23,9 @@
     private final Map<String, Integer> outcomes = new TreeMap<>();
     private final Map<String, Integer> problems = new TreeMap<>();
     private final List<String> wrong = new ArrayList<>();
-    private int sent;
-    private int answered;
-    private int heldBack;
+    private int recordSent;
+    private int recordAnswer;
+    private int recordNotSent;
     private int refusalsWithoutTime;
     private long sentWorkMillis;
     private long completeWorkMillis;
@@ -33,35 +33,35 @@
     private int completeTasks;
     private boolean arriving = true;
 
-    synchronized void sent(JobPlan plan) {
-        sent++;
+    synchronized void recordSent(JobPlan plan) {
+        recordSent++;
         sentWorkMillis += plan.workMillis();
     }
 
     /** Notes a submission that the driver itself did not send since too many were open. */
-    synchronized void heldBack() {
-        heldBack++;
+    synchronized void recordNotSent() {
+        recordNotSent++;
     }
 
-    synchronized void noAnswer(String why) {
-        answered++;
-        outcomes.merge(Verdict.NO_ANSWER, 1, Integer::sum);
-        problems.merge(Verdict.NO_ANSWER + " " + why, 1, Integer::sum);
+    synchronized void recordNoAnswer(String why) {
+        recordAnswer++;
+        outcomes.merge(AnswerCheck.NO_ANSWER, 1, Integer::sum);
+        problems.merge(AnswerCheck.NO_ANSWER + " " + why, 1, Integer::sum);
     }
 
     /** Notes a refusal that offers no time to come back although one is due. */
-    synchronized void refusalWithoutTime() {
+    synchronized void recordRefusalWithoutRetryAfter() {
         refusalsWithoutTime++;
     }
 
-    synchronized void problem(String outcomeAndCode) {
+    synchronized void recordProblem(String outcomeAndCode) {
         problems.merge(outcomeAndCode, 1, Integer::sum);
     }
 
-    synchronized void answered(JobPlan plan, Verdict verdict, long nanos, double idealMillis) {
-        answered++;
+    synchronized void recordAnswer(JobPlan plan, AnswerCheck verdict, long nanos, double idealMillis) {
+        recordAnswer++;
         outcomes.merge(verdict.outcome(), 1, Integer::sum);
-        verdict.wrong().ifPresent(wrong::add);
+        verdict.error().ifPresent(wrong::add);
         long micros = nanos / 1000;
         if (verdict.outcome().equals(Outcome.COMPLETE.word())) {
             responseMicros.recordValue(micros);
@@ -74,22 +74,22 @@
         }
     }
 
-    synchronized void arrivalsEnded() {
+    synchronized void endArrivals() {
         arriving = false;
     }
 
     synchronized String progress(long second) {
-        return second + " s: " + sent + " sent, " + (sent - answered) + " open, " + outcomes + ", ratio p50 "
-                + ratio(50) + " p99 " + ratio(99);
+        return second + " s: " + recordSent + " sent, " + (recordSent - recordAnswer) + " open, " + outcomes
+                + ", ratio p50 " + ratio(50) + " p99 " + ratio(99);
     }
 
     /** Returns the figures; the share of useful work is left out where the number of slots is not known. */
     synchronized ObjectNode json(int slots, double arrivalSeconds, double totalSeconds) {
         ObjectNode json = JsonNodeFactory.instance
                 .objectNode()
-                .put("sent", sent)
-                .put("answered", answered)
-                .put("held-back-by-driver", heldBack)
+                .put("sent", recordSent)
+                .put("answered", recordAnswer)
+                .put("held-back-by-driver", recordNotSent)
                 .put("arrival-seconds", arrivalSeconds)
                 .put("total-seconds", totalSeconds)
                 .put("complete-tasks", completeTasks);
--- a/tarragonarch-standin/src/main/java/org/tarragonarch/standin/load/LoadRun.java
+++ b/tarragonarch-standin/src/main/java/org/tarragonarch/standin/load/LoadRun.java
@@ -58,8 +58,8 @@
                 .dispatcher(dispatcher)
                 .connectionPool(new ConnectionPool(IDLE_CONNECTIONS, 1, TimeUnit.MINUTES))
                 .retryOnConnectionFailure(false)
-                .readTimeout(options.patience().plusSeconds(2))
-                .callTimeout(options.patience().plusSeconds(2))
+                .readTimeout(options.timeAllowed().plusSeconds(2))
+                .callTimeout(options.timeAllowed().plusSeconds(2))
                 .build();
     }
 
@@ -78,13 +78,13 @@
         long start = System.nanoTime();
         submitAll(start);
         double arrivalSeconds = secondsSince(start);
-        result.arrivalsEnded();
+        result.endArrivals();
         awaitAnswers(start);
         double totalSeconds = secondsSince(start);
         ObjectNode json = result.json(options.slots(), arrivalSeconds, totalSeconds);
         json.put("jobs-per-second", options.jobsPerSecond());
         json.put("seed", options.seed());
-        json.set("counters", Counters.read(client, options).since(before));
+        json.set("counters", Counters.read(client, options).increaseSince(before));
         client.dispatcher().executorService().shutdown();
         client.connectionPool().evictAll();
         return json;
@@ -113,11 +113,11 @@
     }
 
     private void submit(int job, long due) {
-        JobPlan plan = options.shape().next(plans);
+        JobPlan plan = options.shape().nextPlan(plans);
         String requestId = "load-" + options.seed() + "-" + job;
         boolean keyed = keys.nextDouble() < options.keyedShare();
         if (client.dispatcher().runningCallsCount() >= MOST_OPEN) {
-            result.heldBack();
+            result.recordNotSent();
             return;
         }
         JobCall call = new JobCall(
@@ -127,14 +127,14 @@
                 keyed ? Optional.of("key-" + requestId) : Optional.empty(),
                 plan);
         open.add(call);
-        result.sent(plan);
-        client.newCall(call.submission()).enqueue(new Answer(call, due));
+        result.recordSent(plan);
+        client.newCall(call.submissionRequest()).enqueue(new Answer(call, due));
     }
 
     private void cancelHalf() {
         List<JobCall> running = new ArrayList<>(open);
         for (int i = 0; i < running.size(); i += 2) {
-            client.newCall(running.get(i).cancellation()).enqueue(new Ignored());
+            client.newCall(running.get(i).cancellationRequest()).enqueue(new Ignored());
         }
     }
 
@@ -175,12 +175,12 @@
             try (response) {
                 byte[] body = response.body().bytes();
                 long nanos = System.nanoTime() - due;
-                Verdict verdict = call.check(response.code(), response.header("Outcome", ""), body);
+                AnswerCheck verdict = call.check(response.code(), response.header("Outcome", ""), body);
                 double ideal = call.plan().slowestMillis() + options.roundTrip().toNanos() / NANOS_PER_MILLI;
-                result.answered(call.plan(), verdict, nanos, ideal);
+                result.recordAnswer(call.plan(), verdict, nanos, ideal);
                 noteProblem(verdict, response, body);
             } catch (IOException e) {
-                result.noAnswer(e.getClass().getSimpleName());
+                result.recordNoAnswer(e.getClass().getSimpleName());
             } finally {
                 open.remove(call);
             }
@@ -188,19 +188,19 @@
 
         @Override
         public void onFailure(Call http, IOException e) {
-            result.noAnswer(e.getClass().getSimpleName());
+            result.recordNoAnswer(e.getClass().getSimpleName());
             open.remove(call);
         }
 
-        private void noteProblem(Verdict verdict, Response response, byte[] body) throws IOException {
-            if (verdict.wrong().isPresent() || verdict.outcome().equals(Outcome.COMPLETE.word())) {
+        private void noteProblem(AnswerCheck verdict, Response response, byte[] body) throws IOException {
+            if (verdict.error().isPresent() || verdict.outcome().equals(Outcome.COMPLETE.word())) {
                 return;
             }
             JsonNode problem = MAPPER.readTree(body);
-            result.problem(verdict.outcome() + " " + problem.path("code").asText());
+            result.recordProblem(verdict.outcome() + " " + problem.path("code").asText());
             boolean timeDue = response.code() == 429 || response.code() == 503;
             if (timeDue && response.header("Retry-After") == null) {
-                result.refusalWithoutTime();
+                result.recordRefusalWithoutRetryAfter();
             }
         }
     }
--- a/tarragonarch-standin/src/main/java/org/tarragonarch/standin/load/LoadShape.java
+++ b/tarragonarch-standin/src/main/java/org/tarragonarch/standin/load/LoadShape.java
@@ -34,7 +34,7 @@
     }
 
     /** Draws the next submission. */
-    JobPlan next(SplittableRandom random) {
+    JobPlan nextPlan(SplittableRandom random) {
         boolean single = random.nextDouble() < shareSingle;
         int tasks = single ? 1 : (int) logUniform(random, 1, MAX_TASKS + 1);
         ImmutableList.Builder<Integer> runTimes = ImmutableList.builder();
@@ -59,7 +59,7 @@
         SplittableRandom random = new SplittableRandom(SAMPLE_SEED);
         long work = 0;
         for (int i = 0; i < SAMPLES; i++) {
-            work += next(random).workMillis();
+            work += nextPlan(random).workMillis();
         }
         return (double) work / SAMPLES;
     }
--- a/tarragonarch-standin/src/main/java/org/tarragonarch/standin/platform/Fault.java
+++ b/tarragonarch-standin/src/main/java/org/tarragonarch/standin/platform/Fault.java
@@ -38,7 +38,7 @@
     }
 
     /** Returns whether the fault strikes this call, which uses up one of its strikes. */
-    synchronized boolean strikes(Part called, Optional<String> caller, boolean write) {
+    synchronized boolean tryApply(Part called, Optional<String> caller, boolean write) {
         boolean concerned = part.map(called::equals).orElse(true)
                 && client.map(pattern -> matches(pattern, caller.orElse(""))).orElse(true)
                 && (write || type != FaultType.REPLY_LOST);
--- a/tarragonarch-standin/src/main/java/org/tarragonarch/standin/platform/StandInPlatform.java
+++ b/tarragonarch-standin/src/main/java/org/tarragonarch/standin/platform/StandInPlatform.java
@@ -58,7 +58,7 @@
     }
 
     /** Puts a VM on the list. */
-    public void list(VmRecord vm) {
+    public void addVm(VmRecord vm) {
         vms.put(vm);
     }
 
@@ -74,7 +74,7 @@
             return;
         }
         Optional<Fault> fault = faults.stream()
-                .filter(one -> one.strikes(part.get(), exchange.header("Client-Name"), writes(exchange)))
+                .filter(one -> one.tryApply(part.get(), exchange.header("Client-Name"), writes(exchange)))
                 .findFirst();
         if (fault.isEmpty()) {
             exchange.reply(serve(exchange));
@@ -85,9 +85,9 @@
 
     private void strike(Fault fault, HttpExchange exchange) {
         switch (fault.type()) {
-            case OUT -> exchange.reply(HttpReply.error(UNAVAILABLE, "out").with("Not-Applied", "true"));
+            case OUT -> exchange.reply(HttpReply.error(UNAVAILABLE, "out").withHeader("Not-Applied", "true"));
             case CUT -> exchange.close();
-            case SLOW -> exchange.after(fault.milliseconds(), () -> exchange.reply(serve(exchange)));
+            case SLOW -> exchange.scheduleAfter(fault.milliseconds(), () -> exchange.reply(serve(exchange)));
             case REPLY_LOST -> {
                 serve(exchange);
                 exchange.close();
@@ -117,7 +117,7 @@
             case "GET vms" -> listVms(exchange.header("If-None-Match"));
             case "POST vms" -> putVm(exchange.json());
             case "DELETE vms" -> HttpReply.empty(vms.remove(path.get(1)) ? NO_CONTENT : NOT_FOUND);
-            case "POST vms/leaving" -> HttpReply.empty(vms.leaving(path.get(1)) ? NO_CONTENT : NOT_FOUND);
+            case "POST vms/leaving" -> HttpReply.empty(vms.markLeaving(path.get(1)) ? NO_CONTENT : NOT_FOUND);
             default -> HttpReply.empty(NOT_FOUND);
         };
     }
@@ -183,7 +183,7 @@
         ObjectNode reply = JSON.objectNode()
                 .put("applied", false)
                 .put("failed", failure.get().index());
-        failure.get().standing().ifPresent(row -> reply.set("row", row.json()));
+        failure.get().currentRow().ifPresent(row -> reply.set("row", row.json()));
         return HttpReply.json(CONFLICT, reply);
     }
 
@@ -204,7 +204,7 @@
         vms.list().forEach(vm -> lines.add(VmRecordJson.write(vm)));
         HttpReply reply = HttpReply.json(OK, list);
         String tag = '"' + ContentDigest.of(reply.body()).hex() + '"';
-        return (knownTag.equals(Optional.of(tag)) ? HttpReply.empty(NOT_MODIFIED) : reply).with("ETag", tag);
+        return (knownTag.equals(Optional.of(tag)) ? HttpReply.empty(NOT_MODIFIED) : reply).withHeader("ETag", tag);
     }
 
     private HttpReply putVm(JsonNode message) {
@@ -226,7 +226,7 @@
                 freezeRow(
                         exchange.query("table").orElse(""),
                         exchange.query("key").orElse(""));
-            case "vms-lag" -> vms.lag(milliseconds);
+            case "vms-lag" -> vms.setLag(milliseconds);
             case "vms-frozen" -> vms.freeze();
             default ->
                 faults.add(new Fault(
--- a/tarragonarch-standin/src/main/java/org/tarragonarch/standin/platform/TableStore.java
+++ b/tarragonarch-standin/src/main/java/org/tarragonarch/standin/platform/TableStore.java
@@ -76,5 +76,5 @@
     record Inserted(boolean inserted, Row row) {}
 
     /** The first operation whose condition did not hold, and the row that stands there. */
-    record Failure(int index, Optional<Row> standing) {}
+    record Failure(int index, Optional<Row> currentRow) {}
 }
--- a/tarragonarch-standin/src/main/java/org/tarragonarch/standin/platform/VmTable.java
+++ b/tarragonarch-standin/src/main/java/org/tarragonarch/standin/platform/VmTable.java
@@ -31,7 +31,7 @@
         return known;
     }
 
-    synchronized boolean leaving(String name) {
+    synchronized boolean markLeaving(String name) {
         VmRecord vm = vms.get(name);
         if (vm == null) {
             return false;
@@ -58,7 +58,7 @@
         return ImmutableList.of();
     }
 
-    synchronized void lag(long milliseconds) {
+    synchronized void setLag(long milliseconds) {
         lagNanos = TimeUnit.MILLISECONDS.toNanos(milliseconds);
     }
 
--- a/tarragonarch-standin/src/main/java/org/tarragonarch/standin/scenario/Expectation.java
+++ b/tarragonarch-standin/src/main/java/org/tarragonarch/standin/scenario/Expectation.java
@@ -14,6 +14,6 @@
     @FunctionalInterface
     public interface Check {
         /** Returns what is wrong, if something is. */
-        Optional<String> failure(Observed observed);
+        Optional<String> failure(ObservedRun observed);
     }
 }
--- a/tarragonarch-standin/src/main/java/org/tarragonarch/standin/scenario/ExpectationParser.java
+++ b/tarragonarch-standin/src/main/java/org/tarragonarch/standin/scenario/ExpectationParser.java
@@ -15,104 +15,104 @@
 
     private ExpectationParser() {}
 
-    static Expectation parse(String text, Words words) throws ScenarioSyntaxException {
-        Optional<Long> at = words.takeNanosAfter("at");
+    static Expectation parse(String text, LineTokens words) throws ScenarioSyntaxException {
+        Optional<Long> at = words.nextNanosAfter("at");
         return new Expectation(text, at, check(words));
     }
 
-    private static Expectation.Check check(Words words) throws ScenarioSyntaxException {
-        if (words.takeIf("no")) {
+    private static Expectation.Check check(LineTokens words) throws ScenarioSyntaxException {
+        if (words.skipIf("no")) {
             return nothing(words);
-        } else if (words.takeIf("configuration")) {
+        } else if (words.skipIf("configuration")) {
             return configuration(words);
-        } else if (words.takeIf("phase")) {
+        } else if (words.skipIf("phase")) {
             return phase(words);
-        } else if (words.takeIf("noted")) {
+        } else if (words.skipIf("noted")) {
             return noted(words);
-        } else if (words.takeIf("peers")) {
+        } else if (words.skipIf("peers")) {
             return peers(words);
         }
         return outcome(words);
     }
 
     /** Reads {@code no start on ENDPOINT after TIME}, or a promise, which is checked at every step anyway. */
-    private static Expectation.Check nothing(Words words) throws ScenarioSyntaxException {
-        if (words.takeIf("start")) {
+    private static Expectation.Check nothing(LineTokens words) throws ScenarioSyntaxException {
+        if (words.skipIf("start")) {
             return noStart(words);
         }
         for (String word : ALWAYS.substring("no ".length()).split(" ")) {
-            words.takeOnly(word);
+            words.skipRequired(word);
         }
         return run -> Optional.empty();
     }
 
-    private static Expectation.Check noStart(Words words) throws ScenarioSyntaxException {
-        words.takeOnly("on");
-        String name = words.take();
-        long after = words.takeNanosAfter("after").orElse(0L);
-        Optional<Long> before = words.takeNanosAfter("before");
+    private static Expectation.Check noStart(LineTokens words) throws ScenarioSyntaxException {
+        words.skipRequired("on");
+        String name = words.nextWord();
+        long after = words.nextNanosAfter("after").orElse(0L);
+        Optional<Long> before = words.nextNanosAfter("before");
         return run -> run.starts(name).stream()
                 .filter(start -> start.nanos() > after && start.nanos() < before.orElse(Long.MAX_VALUE))
                 .findFirst()
                 .map(start -> start.task() + " started on " + start.endpoint() + " at " + millis(start.nanos()));
     }
 
-    private static Expectation.Check configuration(Words words) throws ScenarioSyntaxException {
-        ConfigurationVersion version = ConfigurationVersion.of(words.takeNumber());
-        words.takeOnly("on");
-        String name = words.take();
+    private static Expectation.Check configuration(LineTokens words) throws ScenarioSyntaxException {
+        ConfigurationVersion version = ConfigurationVersion.of(words.nextInt());
+        words.skipRequired("on");
+        String name = words.nextWord();
         return run -> first(run.nodes(name), node -> {
             ConfigurationVersion found = node.configuration();
             return found.equals(version) ? Optional.empty() : Optional.of("has " + found);
         });
     }
 
-    private static Expectation.Check phase(Words words) throws ScenarioSyntaxException {
-        NodePhase phase = words.takeConstant(NodePhase.class);
-        words.takeOnly("on");
-        String name = words.take();
+    private static Expectation.Check phase(LineTokens words) throws ScenarioSyntaxException {
+        NodePhase phase = words.nextConstant(NodePhase.class);
+        words.skipRequired("on");
+        String name = words.nextWord();
         return run -> first(
                 run.nodes(name), node -> node.phase() == phase ? Optional.empty() : Optional.of("is " + node.phase()));
     }
 
     /** Reads {@code noted EVENT [at least] COUNT on NODES}. */
-    private static Expectation.Check noted(Words words) throws ScenarioSyntaxException {
-        NoteEvent event = words.takeConstant(NoteEvent.class);
-        boolean least = words.takeIf("at-least");
-        int count = words.takeNumber();
-        words.takeOnly("on");
-        String name = words.take();
+    private static Expectation.Check noted(LineTokens words) throws ScenarioSyntaxException {
+        NoteEvent event = words.nextConstant(NoteEvent.class);
+        boolean least = words.skipIf("at-least");
+        int count = words.nextInt();
+        words.skipRequired("on");
+        String name = words.nextWord();
         return run -> first(run.nodes(name), node -> {
-            int found = node.noted(event);
+            int found = node.noteCount(event);
             boolean right = least ? found >= count : found == count;
             return right ? Optional.empty() : Optional.of("noted it " + found + " times");
         });
     }
 
     /** Reads {@code peers COUNT alive on NODES}. */
-    private static Expectation.Check peers(Words words) throws ScenarioSyntaxException {
-        int count = words.takeNumber();
-        words.takeOnly("alive");
-        words.takeOnly("on");
-        String name = words.take();
+    private static Expectation.Check peers(LineTokens words) throws ScenarioSyntaxException {
+        int count = words.nextInt();
+        words.skipRequired("alive");
+        words.skipRequired("on");
+        String name = words.nextWord();
         return run -> first(run.nodes(name), node -> {
-            int found = node.peersAlive();
+            int found = node.livePeerCount();
             return found == count ? Optional.empty() : Optional.of("sees " + found);
         });
     }
 
     /** Reads {@code [all] NAME OUTCOME [with CODE] [before TIME] [sent-after TIME] [sent-before TIME]}. */
-    private static Expectation.Check outcome(Words words) throws ScenarioSyntaxException {
-        words.takeIf("all");
-        String name = words.take();
-        String outcome = words.take();
+    private static Expectation.Check outcome(LineTokens words) throws ScenarioSyntaxException {
+        words.skipIf("all");
+        String name = words.nextWord();
+        String outcome = words.nextWord();
         if (!OUTCOMES.contains(outcome)) {
-            throw words.wrong("'" + outcome + "' is no outcome");
+            throw words.syntaxError("'" + outcome + "' is no outcome");
         }
-        Optional<String> code = words.takeIf("with") ? Optional.of(words.take()) : Optional.empty();
-        Optional<Long> before = words.takeNanosAfter("before");
-        long sentAfter = words.takeNanosAfter("sent-after").orElse(0L);
-        long sentBefore = words.takeNanosAfter("sent-before").orElse(Long.MAX_VALUE);
+        Optional<String> code = words.skipIf("with") ? Optional.of(words.nextWord()) : Optional.empty();
+        Optional<Long> before = words.nextNanosAfter("before");
+        long sentAfter = words.nextNanosAfter("sent-after").orElse(0L);
+        long sentBefore = words.nextNanosAfter("sent-before").orElse(Long.MAX_VALUE);
         return run -> {
             ImmutableList<ObservedSubmission> named = run.submissions(name);
             if (named.isEmpty()) {
@@ -139,8 +139,8 @@
         return nanos / 1_000_000 + "ms";
     }
 
-    private static Optional<String> first(Iterable<Observed.ObservedNode> nodes, NodeCheck check) {
-        for (Observed.ObservedNode node : nodes) {
+    private static Optional<String> first(Iterable<ObservedRun.ObservedNode> nodes, NodeCheck check) {
+        for (ObservedRun.ObservedNode node : nodes) {
             Optional<String> wrong = check.wrong(node);
             if (wrong.isPresent()) {
                 return Optional.of(node.name() + " " + wrong.get());
@@ -152,6 +152,6 @@
     /** Checks one node. */
     @FunctionalInterface
     private interface NodeCheck {
-        Optional<String> wrong(Observed.ObservedNode node);
+        Optional<String> wrong(ObservedRun.ObservedNode node);
     }
 }
--- a/tarragonarch-standin/src/main/java/org/tarragonarch/standin/scenario/Words.java
+++ b/tarragonarch-standin/src/main/java/org/tarragonarch/standin/scenario/LineTokens.java
@@ -8,14 +8,14 @@
 import java.util.Optional;
 
 /** The words of one line, read from left to right. */
-final class Words {
+final class LineTokens {
     private static final Splitter SPACES = Splitter.on(CharMatcher.whitespace()).omitEmptyStrings();
 
     private final int line;
     private final ImmutableList<String> words;
     private int next;
 
-    Words(int line, String text) {
+    LineTokens(int line, String text) {
         this.line = line;
         this.words = ImmutableList.copyOf(SPACES.split(text));
     }
@@ -25,81 +25,81 @@
     }
 
     /** Takes the next word. */
-    String take() throws ScenarioSyntaxException {
+    String nextWord() throws ScenarioSyntaxException {
         if (isEmpty()) {
-            throw wrong("the line ends too early");
+            throw syntaxError("the line ends too early");
         }
         return words.get(next++);
     }
 
     /** Takes the next word if it is this one. */
-    boolean takeIf(String word) {
+    boolean skipIf(String word) {
         boolean found = !isEmpty() && words.get(next).equals(word);
         next += found ? 1 : 0;
         return found;
     }
 
     /** Takes the next word, which must be this one. */
-    void takeOnly(String word) throws ScenarioSyntaxException {
-        if (!takeIf(word)) {
-            throw wrong("'" + word + "' is missing");
+    void skipRequired(String word) throws ScenarioSyntaxException {
+        if (!skipIf(word)) {
+            throw syntaxError("'" + word + "' is missing");
         }
     }
 
-    int takeNumber() throws ScenarioSyntaxException {
-        String word = take();
+    int nextInt() throws ScenarioSyntaxException {
+        String word = nextWord();
         try {
             return Integer.parseInt(word);
         } catch (NumberFormatException e) {
-            throw wrong("'" + word + "' is no number");
+            throw syntaxError("'" + word + "' is no number");
         }
     }
 
-    double takeShare() throws ScenarioSyntaxException {
-        String word = take();
+    double nextShare() throws ScenarioSyntaxException {
+        String word = nextWord();
         try {
             return Double.parseDouble(word);
         } catch (NumberFormatException e) {
-            throw wrong("'" + word + "' is no share");
+            throw syntaxError("'" + word + "' is no share");
         }
     }
 
     /** Takes a time or duration such as {@code 250ms} or {@code 30s}, in nanoseconds. */
-    long takeNanos() throws ScenarioSyntaxException {
-        String word = take();
+    long nextNanos() throws ScenarioSyntaxException {
+        String word = nextWord();
         boolean millis = word.endsWith("ms");
         String digits = word.substring(0, Math.max(0, word.length() - (millis ? 2 : 1)));
         if (!word.endsWith("s")
                 || digits.isEmpty()
                 || !CharMatcher.inRange('0', '9').matchesAllOf(digits)) {
-            throw wrong("'" + word + "' is no time such as 250ms or 30s");
+            throw syntaxError("'" + word + "' is no time such as 250ms or 30s");
         }
         long count = Long.parseLong(digits);
         return (millis ? Duration.ofMillis(count) : Duration.ofSeconds(count)).toNanos();
     }
 
     /** Takes a time that stands behind this word, if the word comes next. */
-    Optional<Long> takeNanosAfter(String word) throws ScenarioSyntaxException {
-        return takeIf(word) ? Optional.of(takeNanos()) : Optional.empty();
+    Optional<Long> nextNanosAfter(String word) throws ScenarioSyntaxException {
+        return skipIf(word) ? Optional.of(nextNanos()) : Optional.empty();
     }
 
     /** Takes the constant of an enum, written as {@code fails-all} for {@code FAILS_ALL}. */
-    <E extends Enum<E>> E takeConstant(Class<E> type) throws ScenarioSyntaxException {
-        String word = take();
+    <E extends Enum<E>> E nextConstant(Class<E> type) throws ScenarioSyntaxException {
+        String word = nextWord();
         try {
             return Enum.valueOf(type, word.replace('-', '_').toUpperCase(Locale.ROOT));
         } catch (IllegalArgumentException e) {
-            throw wrong("'" + word + "' is no " + type.getSimpleName());
+            throw syntaxError("'" + word + "' is no " + type.getSimpleName());
         }
     }
 
-    void end() throws ScenarioSyntaxException {
+    void checkEnd() throws ScenarioSyntaxException {
         if (!isEmpty()) {
-            throw wrong("'" + words.get(next) + "' is too much");
+            throw syntaxError("'" + words.get(next) + "' is too much");
         }
     }
 
-    ScenarioSyntaxException wrong(String message) {
+    ScenarioSyntaxException syntaxError(String message) {
         return new ScenarioSyntaxException(line, message + " in '" + String.join(" ", words) + "'");
     }
 }
--- a/tarragonarch-standin/src/main/java/org/tarragonarch/standin/scenario/Observed.java
+++ b/tarragonarch-standin/src/main/java/org/tarragonarch/standin/scenario/ObservedRun.java
@@ -6,7 +6,7 @@
 import org.tarragonarch.model.report.NodePhase;
 
 /** What expectations look at, whether it comes from a scenario's run or from the replay of a trace. */
-public interface Observed {
+public interface ObservedRun {
     /** Returns the submissions of this name; of a trace, the one with this id, or {@code every}. */
     ImmutableList<ObservedSubmission> submissions(String name);
 
@@ -28,9 +28,9 @@
         NodePhase phase();
 
         /** Returns how often something was noted. */
-        int noted(NoteEvent event);
+        int noteCount(NoteEvent event);
 
         /** Returns how many peers are alive. */
-        int peersAlive();
+        int livePeerCount();
     }
 }
--- a/tarragonarch-standin/src/main/java/org/tarragonarch/standin/scenario/Scenario.java
+++ b/tarragonarch-standin/src/main/java/org/tarragonarch/standin/scenario/Scenario.java
@@ -61,7 +61,7 @@
         }
         World world = World.create(seed, NodePolicy.DEFAULT);
         try (TraceFolder traces = new TraceFolder(folder)) {
-            world.record(traces::start);
+            world.recordWith(traces::start);
             return runWorld(world);
         } catch (UncheckedIOException e) {
             throw e.getCause();
@@ -76,11 +76,11 @@
                 .sorted(comparingLong(expectation -> expectation.atNanos().get()))
                 .collect(toCollection(ArrayDeque::new));
         TraceReplay.run(file, (line, action) -> {
-            long nanos = run.sinceStart(line.nanos());
+            long nanos = run.nanosSinceStart(line.nanos());
             while (!timed.isEmpty() && timed.peek().atNanos().get() < nanos) {
                 check(timed.remove(), run, failures);
             }
-            run.acted(line, action);
+            run.recordAction(line, action);
         });
         timed.forEach(expectation -> check(expectation, run, failures));
         checkAtEnd(run, failures);
@@ -91,9 +91,9 @@
         ScenarioRun run = new ScenarioRun(world);
         List<String> failures = new ArrayList<>();
         run.start(nodes, endpoints);
-        steps.forEach(step -> run.at(step.nanos(), () -> step.effect().accept(run)));
+        steps.forEach(step -> run.scheduleAt(step.nanos(), () -> step.effect().accept(run)));
         for (Expectation expectation : expectations) {
-            expectation.atNanos().ifPresent(nanos -> run.at(nanos, () -> check(expectation, run, failures)));
+            expectation.atNanos().ifPresent(nanos -> run.scheduleAt(nanos, () -> check(expectation, run, failures)));
         }
         try {
             world.runUntil(lastNanos() + SETTLE_NANOS);
@@ -105,7 +105,7 @@
         return ImmutableList.copyOf(failures);
     }
 
-    private void checkAtEnd(Observed observed, List<String> failures) {
+    private void checkAtEnd(ObservedRun observed, List<String> failures) {
         expectations.stream()
                 .filter(expectation -> expectation.atNanos().isEmpty())
                 .forEach(expectation -> check(expectation, observed, failures));
@@ -120,7 +120,7 @@
         return Math.max(step, expectation);
     }
 
-    private static void check(Expectation expectation, Observed observed, List<String> failures) {
+    private static void check(Expectation expectation, ObservedRun observed, List<String> failures) {
         expectation.check().failure(observed).ifPresent(what -> failures.add(expectation.text() + ": " + what));
     }
 }
--- a/tarragonarch-standin/src/main/java/org/tarragonarch/standin/scenario/ScenarioParser.java
+++ b/tarragonarch-standin/src/main/java/org/tarragonarch/standin/scenario/ScenarioParser.java
@@ -64,51 +64,51 @@
     }
 
     private void line(int number, String text) throws ScenarioSyntaxException {
-        Words words = new Words(number, text);
+        LineTokens words = new LineTokens(number, text);
         if (words.isEmpty()) {
             return;
         }
-        String statement = words.take();
+        String statement = words.nextWord();
         switch (statement) {
-            case "trace" -> trace = Optional.of(folder.resolve(words.take()));
-            case "seed" -> seed = words.takeNumber();
+            case "trace" -> trace = Optional.of(folder.resolve(words.nextWord()));
+            case "seed" -> seed = words.nextInt();
             case "nodes" -> nodeGroups(number, text);
             case "endpoints" -> endpointGroups(number, text);
             case "at" -> {
                 steps.addAll(StepParser.parse(words));
-                words.end();
+                words.checkEnd();
             }
             case "expect" -> {
                 String shown =
                         "line " + number + ": " + CharMatcher.whitespace().trimAndCollapseFrom(text, ' ');
                 expectations.add(ExpectationParser.parse(shown, words));
-                words.end();
+                words.checkEnd();
             }
-            default -> throw words.wrong("'" + statement + "' opens no statement");
+            default -> throw words.syntaxError("'" + statement + "' opens no statement");
         }
     }
 
     private void nodeGroups(int number, String text) throws ScenarioSyntaxException {
-        for (Words words : groups(number, text, "nodes")) {
-            nodes.put(words.take(), words.takeNumber());
-            words.end();
+        for (LineTokens words : groups(number, text, "nodes")) {
+            nodes.put(words.nextWord(), words.nextInt());
+            words.checkEnd();
         }
     }
 
     private void endpointGroups(int number, String text) throws ScenarioSyntaxException {
-        for (Words words : groups(number, text, "endpoints")) {
-            String domain = words.take();
-            int count = words.takeNumber();
-            int slots = words.takeIf("slots") ? words.takeNumber() : DEFAULT_SLOTS;
+        for (LineTokens words : groups(number, text, "endpoints")) {
+            String domain = words.nextWord();
+            int count = words.nextInt();
+            int slots = words.skipIf("slots") ? words.nextInt() : DEFAULT_SLOTS;
             endpoints.put(domain, new EndpointGroup(count, slots));
-            words.end();
+            words.checkEnd();
         }
     }
 
-    private static ImmutableList<Words> groups(int number, String text, String statement) {
+    private static ImmutableList<LineTokens> groups(int number, String text, String statement) {
         String groups = text.substring(text.indexOf(statement) + statement.length());
         return GROUPS.splitToStream(groups)
-                .map(group -> new Words(number, group))
+                .map(group -> new LineTokens(number, group))
                 .collect(ImmutableList.toImmutableList());
     }
 }
--- a/tarragonarch-standin/src/main/java/org/tarragonarch/standin/scenario/ScenarioRun.java
+++ b/tarragonarch-standin/src/main/java/org/tarragonarch/standin/scenario/ScenarioRun.java
@@ -15,15 +15,15 @@
 import org.tarragonarch.model.report.NodePhase;
 import org.tarragonarch.standin.explore.FakeNode;
 import org.tarragonarch.standin.explore.Ledger;
-import org.tarragonarch.standin.explore.Sent;
+import org.tarragonarch.standin.explore.SentSubmission;
 import org.tarragonarch.standin.explore.World;
 
 /** One run of a scenario: the world, and the names that the scenario gave. */
-public final class ScenarioRun implements Observed {
+public final class ScenarioRun implements ObservedRun {
     private final World world;
     private final long startNanos;
     private final SetMultimap<String, String> domains = LinkedHashMultimap.create();
-    private final SetMultimap<String, Sent> submissions = LinkedHashMultimap.create();
+    private final SetMultimap<String, SentSubmission> submissions = LinkedHashMultimap.create();
     private int balanced;
 
     ScenarioRun(World world) {
@@ -36,8 +36,8 @@
     }
 
     /** Plans something for a time since the start of the scenario. */
-    void at(long nanos, Runnable effect) {
-        world.time().at(startNanos + nanos, effect);
+    void scheduleAt(long nanos, Runnable effect) {
+        world.time().scheduleAt(startNanos + nanos, effect);
     }
 
     void start(Map<String, Integer> nodes, Map<String, EndpointGroup> endpoints) {
@@ -86,7 +86,7 @@
     }
 
     /** Returns the node that the balancer picks: those that are ready in turn, or the one that is named. */
-    Optional<String> balance(String name) {
+    Optional<String> selectNode(String name) {
         ImmutableList<FakeNode> ready = fakes(name).stream()
                 .filter(node -> node.alive() && node.phase() == NodePhase.SERVING)
                 .collect(ImmutableList.toImmutableList());
@@ -98,12 +98,12 @@
                 : Optional.of(ready.get(balanced++ % ready.size()).name());
     }
 
-    void sent(String name, Sent sent) {
+    void sent(String name, SentSubmission sent) {
         submissions.put(name, sent);
     }
 
     /** Returns what was sent under this name. */
-    Set<Sent> sent(String name) {
+    Set<SentSubmission> sent(String name) {
         return submissions.get(name);
     }
 
@@ -128,7 +128,7 @@
     public ImmutableList<ObservedStart> starts(String name) {
         ImmutableList<String> endpoints = members(name);
         ImmutableList.Builder<ObservedStart> starts = ImmutableList.builder();
-        for (Sent sent : world.sent()) {
+        for (SentSubmission sent : world.sent()) {
             for (int index = 0; index < sent.submission().tasks().size(); index++) {
                 TaskId task = new TaskId(sent.submission().id(), index);
                 for (Ledger.Start start : world.ledger().starts(task)) {
@@ -159,12 +159,12 @@
         }
 
         @Override
-        public int noted(NoteEvent event) {
-            return node.noted(event);
+        public int noteCount(NoteEvent event) {
+            return node.noteCount(event);
         }
 
         @Override
-        public int peersAlive() {
+        public int livePeerCount() {
             return Math.toIntExact(
                     node.status().peers().stream().filter(PeerStatus::alive).count());
         }
--- a/tarragonarch-standin/src/main/java/org/tarragonarch/standin/scenario/StepParser.java
+++ b/tarragonarch-standin/src/main/java/org/tarragonarch/standin/scenario/StepParser.java
@@ -17,52 +17,52 @@
 
     private StepParser() {}
 
-    static ImmutableList<Step> parse(Words words) throws ScenarioSyntaxException {
-        long nanos = words.takeNanos();
-        if (words.takeIf("stream")) {
+    static ImmutableList<Step> parse(LineTokens words) throws ScenarioSyntaxException {
+        long nanos = words.nextNanos();
+        if (words.skipIf("stream")) {
             return stream(nanos, words);
         }
         return ImmutableList.of(new Step(nanos, effect(words)));
     }
 
-    private static Consumer<ScenarioRun> effect(Words words) throws ScenarioSyntaxException {
-        String verb = words.take();
+    private static Consumer<ScenarioRun> effect(LineTokens words) throws ScenarioSyntaxException {
+        String verb = words.nextWord();
         return switch (verb) {
-            case "submit" -> submission(words.take(), words);
-            case "cancel" -> cancel(words.take(), CancelCause.CALLER);
-            case "hang-up" -> cancel(words.take(), CancelCause.HANG_UP);
+            case "submit" -> submission(words.nextWord(), words);
+            case "cancel" -> cancel(words.nextWord(), CancelCause.CALLER);
+            case "hang-up" -> cancel(words.nextWord(), CancelCause.HANG_UP);
             case "cut" -> cut(words);
             case "heal" -> heal(words);
             case "platform" -> platform(words);
             case "accept" -> accept(words);
-            case "unlist" -> unlist(words.take());
-            case "fault" -> fault(words.take(), words.takeConstant(EndpointFault.class));
+            case "unlist" -> unlist(words.nextWord());
+            case "fault" -> fault(words.nextWord(), words.nextConstant(EndpointFault.class));
             case "start", "kill", "restart", "drain", "freeze" -> onOne(verb, words);
-            default -> throw words.wrong("'" + verb + "' is nothing that happens");
+            default -> throw words.syntaxError("'" + verb + "' is nothing that happens");
         };
     }
 
-    private static Consumer<ScenarioRun> submission(String name, Words words) throws ScenarioSyntaxException {
-        SubmissionForm form = words.takeConstant(SubmissionForm.class);
-        int tasks = words.takeIf("tasks") ? words.takeNumber() : 1;
-        long runNanos = words.takeNanosAfter("runtime").orElse(DEFAULT_RUN_NANOS);
-        KindName kind = words.takeIf("kind") ? KindName.of(words.take()) : SampleCatalog.ONCE;
-        Optional<String> key = words.takeIf("key") ? Optional.of(words.take()) : Optional.empty();
-        Optional<Duration> allowed = words.takeNanosAfter("allowed").map(Duration::ofNanos);
-        words.takeOnly("to");
-        String target = words.take();
-        return run -> run.balance(target)
+    private static Consumer<ScenarioRun> submission(String name, LineTokens words) throws ScenarioSyntaxException {
+        SubmissionForm form = words.nextConstant(SubmissionForm.class);
+        int tasks = words.skipIf("tasks") ? words.nextInt() : 1;
+        long runNanos = words.nextNanosAfter("runtime").orElse(DEFAULT_RUN_NANOS);
+        KindName kind = words.skipIf("kind") ? KindName.of(words.nextWord()) : SampleCatalog.NON_IDEMPOTENT;
+        Optional<String> key = words.skipIf("key") ? Optional.of(words.nextWord()) : Optional.empty();
+        Optional<Duration> allowed = words.nextNanosAfter("allowed").map(Duration::ofNanos);
+        words.skipRequired("to");
+        String target = words.nextWord();
+        return run -> run.selectNode(target)
                 .flatMap(node -> run.world().submit(node, form, kind, key, tasks, runNanos, allowed))
                 .ifPresent(sent -> run.sent(name, sent));
     }
 
     /** Reads {@code stream NAME every TIME for TIME} and a submission, which is sent again and again. */
-    private static ImmutableList<Step> stream(long fromNanos, Words words) throws ScenarioSyntaxException {
-        String name = words.take();
-        words.takeOnly("every");
-        long every = words.takeNanos();
-        words.takeOnly("for");
-        long untilNanos = fromNanos + words.takeNanos();
+    private static ImmutableList<Step> stream(long fromNanos, LineTokens words) throws ScenarioSyntaxException {
+        String name = words.nextWord();
+        words.skipRequired("every");
+        long every = words.nextNanos();
+        words.skipRequired("for");
+        long untilNanos = fromNanos + words.nextNanos();
         Consumer<ScenarioRun> submission = submission(name, words);
         ImmutableList.Builder<Step> steps = ImmutableList.builder();
         for (long nanos = fromNanos; nanos < untilNanos; nanos += every) {
@@ -75,10 +75,10 @@
         return run -> run.sent(name).forEach(sent -> run.world().cancel(sent, cause));
     }
 
-    private static Consumer<ScenarioRun> cut(Words words) throws ScenarioSyntaxException {
-        String one = words.take();
-        boolean oneWay = words.takeIf("to");
-        String other = words.take();
+    private static Consumer<ScenarioRun> cut(LineTokens words) throws ScenarioSyntaxException {
+        String one = words.nextWord();
+        boolean oneWay = words.skipIf("to");
+        String other = words.nextWord();
         return run -> run.forEachPair(one, other, (first, second) -> {
             if (oneWay) {
                 run.world().network().cut(first, second);
@@ -88,59 +88,59 @@
         });
     }
 
-    private static Consumer<ScenarioRun> heal(Words words) throws ScenarioSyntaxException {
-        if (words.takeIf("all")) {
+    private static Consumer<ScenarioRun> heal(LineTokens words) throws ScenarioSyntaxException {
+        if (words.skipIf("all")) {
             return run -> run.world().network().healAll();
         }
-        String one = words.take();
-        String other = words.take();
+        String one = words.nextWord();
+        String other = words.nextWord();
         return run -> run.forEachPair(
                 one, other, (first, second) -> run.world().network().heal(first, second));
     }
 
-    private static Consumer<ScenarioRun> platform(Words words) throws ScenarioSyntaxException {
-        String what = words.take();
+    private static Consumer<ScenarioRun> platform(LineTokens words) throws ScenarioSyntaxException {
+        String what = words.nextWord();
         switch (what) {
             case "out":
-                return run -> run.world().platform().out(true);
+                return run -> run.world().platform().setOut(true);
             case "back":
-                return run -> run.world().platform().out(false);
+                return run -> run.world().platform().setOut(false);
             case "loses-replies":
-                double lost = words.takeShare();
-                return run -> run.world().platform().replyLostShare(lost);
+                double lost = words.nextShare();
+                return run -> run.world().platform().setReplyLostShare(lost);
             case "reads-stale":
-                double stale = words.takeShare();
-                return run -> run.world().platform().staleReadShare(stale);
+                double stale = words.nextShare();
+                return run -> run.world().platform().setStaleReadShare(stale);
             case "list-lags":
-                long lag = words.takeNanos();
-                return run -> run.world().platform().listLag(lag);
+                long lag = words.nextNanos();
+                return run -> run.world().platform().setListLag(lag);
             default:
-                throw words.wrong("'" + what + "' is nothing that the platform does");
+                throw words.syntaxError("'" + what + "' is nothing that the platform does");
         }
     }
 
-    private static Consumer<ScenarioRun> accept(Words words) throws ScenarioSyntaxException {
-        words.takeOnly("configuration");
+    private static Consumer<ScenarioRun> accept(LineTokens words) throws ScenarioSyntaxException {
+        words.skipRequired("configuration");
         return run -> run.world().acceptConfiguration();
     }
 
     private static Consumer<ScenarioRun> unlist(String name) {
-        return run -> run.world().platform().unlist(name);
+        return run -> run.world().platform().unlistVm(name);
     }
 
     private static Consumer<ScenarioRun> fault(String endpoint, EndpointFault fault) {
-        return run -> run.world().endpoint(endpoint).fault(fault);
+        return run -> run.world().endpoint(endpoint).setFault(fault);
     }
 
-    private static Consumer<ScenarioRun> onOne(String verb, Words words) throws ScenarioSyntaxException {
-        boolean endpoint = words.takeIf("endpoint");
+    private static Consumer<ScenarioRun> onOne(String verb, LineTokens words) throws ScenarioSyntaxException {
+        boolean endpoint = words.skipIf("endpoint");
         if (!endpoint) {
-            words.takeOnly("node");
+            words.skipRequired("node");
         }
-        String name = words.take();
+        String name = words.nextWord();
         if (verb.equals("freeze")) {
-            words.takeOnly("for");
-            long nanos = words.takeNanos();
+            words.skipRequired("for");
+            long nanos = words.nextNanos();
             return run -> run.world().freezeNode(name, nanos);
         }
         if (verb.equals("start")) {
--- a/tarragonarch-standin/src/main/java/org/tarragonarch/standin/scenario/TraceRun.java
+++ b/tarragonarch-standin/src/main/java/org/tarragonarch/standin/scenario/TraceRun.java
@@ -25,7 +25,7 @@
 import org.tarragonarch.model.report.NodePhase;
 
 /** What one node does when its trace is replayed; only what shows in its actions is to be seen. */
-final class TraceRun implements Observed, Observed.ObservedNode {
+final class TraceRun implements ObservedRun, ObservedRun.ObservedNode {
     private static final String COMPLETE = "complete";
 
     private final Map<SubmissionId, ObservedSubmission> answers = new LinkedHashMap<>();
@@ -38,13 +38,13 @@
     private NodePhase phase = NodePhase.STARTING;
 
     /** Returns a time of the trace as the time since its first action. */
-    long sinceStart(long nanos) {
+    long nanosSinceStart(long nanos) {
         startNanos = startNanos < 0 ? nanos : startNanos;
         return nanos - startNanos;
     }
 
-    void acted(TraceLine line, Action action) {
-        long nanos = sinceStart(line.nanos());
+    void recordAction(TraceLine line, Action action) {
+        long nanos = nanosSinceStart(line.nanos());
         if (line.event() instanceof SubmissionArrived arrived) {
             arrivedNanos.putIfAbsent(arrived.id(), nanos);
         }
@@ -116,12 +116,12 @@
     }
 
     @Override
-    public int noted(NoteEvent event) {
+    public int noteCount(NoteEvent event) {
         return notes.getOrDefault(event, 0);
     }
 
     @Override
-    public int peersAlive() {
-        return noted(NoteEvent.PEER_ALIVE) - noted(NoteEvent.PEER_SILENT);
+    public int livePeerCount() {
+        return noteCount(NoteEvent.PEER_ALIVE) - noteCount(NoteEvent.PEER_SILENT);
     }
 }
--- a/tarragonarch-standin/src/test/java/org/tarragonarch/standin/CommandNamesTest.java
+++ b/tarragonarch-standin/src/test/java/org/tarragonarch/standin/CommandNamesTest.java
@@ -29,7 +29,7 @@
             ScenarioMain.class);
 
     @Test
-    public void testCommands_areThoseOfTheList() throws IOException {
+    public void testCommands_matchExpectedList() throws IOException {
         ImmutableList.Builder<String> lines = ImmutableList.builder();
         PROGRAMS.forEach(program -> addCommand(new CommandLine(program).getCommandSpec(), lines));
         String expected = Resources.toString(Resources.getResource("outer-names/commands.txt"), StandardCharsets.UTF_8);
--- a/tarragonarch-standin/src/test/java/org/tarragonarch/standin/LoadMainTest.java
+++ b/tarragonarch-standin/src/test/java/org/tarragonarch/standin/LoadMainTest.java
@@ -17,12 +17,12 @@
     }
 
     @Test(dataProvider = "words")
-    public void testShapeAndPattern_areAccepted(String shape, String pattern) {
+    public void testShapeAndPattern_accepted(String shape, String pattern) {
         assertEquals(run(shape, pattern), 0);
     }
 
     @Test
-    public void testShapeAndPattern_othersAreNot() {
+    public void testShapeAndPattern_unknownWordRejected() {
         assertNotEquals(run("other", "steady"), 0);
         assertNotEquals(run("derwent", "other"), 0);
         assertEquals(LoadShape.values().length, 2);
--- a/tarragonarch-standin/src/test/java/org/tarragonarch/standin/StandInControl.java
+++ b/tarragonarch-standin/src/test/java/org/tarragonarch/standin/StandInControl.java
@@ -28,7 +28,7 @@
     }
 
     /** Switches a fault on; the text is the fault's name with its parameters. */
-    public void fault(String nameAndQuery) throws Exception {
+    public void switchOnFault(String nameAndQuery) throws Exception {
         send(request("/faults/" + nameAndQuery).POST(HttpRequest.BodyPublishers.noBody()));
     }
 
--- a/tarragonarch-standin/src/test/java/org/tarragonarch/standin/endpoint/StandInEndpointTest.java
+++ b/tarragonarch-standin/src/test/java/org/tarragonarch/standin/endpoint/StandInEndpointTest.java
@@ -77,7 +77,7 @@
     }
 
     @Test
-    public void testTasks_busyOnceSlotsAreTaken() throws Exception {
+    public void testTasks_refusedWhenSlotsAreFull() throws Exception {
         List<CompletableFuture<HttpResponse<String>>> running = new ArrayList<>();
         for (int i = 0; i < 2; i++) {
             running.add(client.sendAsync(task("t" + i, "sleep", "{\"ms\":400}"), HttpResponse.BodyHandlers.ofString()));
@@ -95,22 +95,22 @@
     }
 
     @Test
-    public void testFaults_startedButNoSoundAnswer() throws Exception {
-        control.fault("cut-short?count=1");
+    public void testFaults_startedWithoutValidAnswer() throws Exception {
+        control.switchOnFault("cut-short?count=1");
         assertThrows(IOException.class, () -> run("t1", "sleep", "{\"ms\":1}"));
-        control.fault("close-after-read?count=1");
+        control.switchOnFault("close-after-read?count=1");
         assertThrows(IOException.class, () -> run("t2", "sleep", "{\"ms\":1}"));
-        control.fault("wrong-id?count=1");
+        control.switchOnFault("wrong-id?count=1");
         assertFalse(run("t3", "sleep", "{\"ms\":1}")
                 .headers()
                 .firstValue("Task-Id")
                 .orElseThrow()
                 .equals("t3"));
-        control.fault("hang?count=1");
+        control.switchOnFault("hang?count=1");
         assertThrows(HttpTimeoutException.class, () -> run("t4", "sleep", "{\"ms\":1}", Duration.ofMillis(200)));
-        control.fault("answer-late?ms=400&count=1");
+        control.switchOnFault("answer-late?ms=400&count=1");
         assertThrows(HttpTimeoutException.class, () -> run("t5", "sleep", "{\"ms\":1}", Duration.ofMillis(200)));
-        control.fault("fail-all?count=1");
+        control.switchOnFault("fail-all?count=1");
         assertEquals(run("t6", "sleep", "{\"ms\":1}").statusCode(), 500);
 
         assertEquals(starts().size(), 6);
@@ -118,11 +118,11 @@
 
     @Test
     public void testFaults_notStarted() throws Exception {
-        control.fault("close-before-read?count=1");
+        control.switchOnFault("close-before-read?count=1");
         assertThrows(IOException.class, () -> run("t1", "sleep", "{\"ms\":1}"));
-        control.fault("busy?count=1");
+        control.switchOnFault("busy?count=1");
         assertEquals(run("t2", "sleep", "{\"ms\":1}").statusCode(), 503);
-        control.fault("refuse-connections?ms=500");
+        control.switchOnFault("refuse-connections?ms=500");
         awaitRefused();
 
         assertTrue(awaitListening(), "the endpoint listens again");
@@ -144,7 +144,7 @@
     }
 
     @Test
-    public void testDrain_finishesWhatRunsAndRefusesTheRest() throws Exception {
+    public void testDrain_finishesRunningTasksAndRefusesNewOnes() throws Exception {
         // The platform takes a worker away while a task runs on it. The task's answer must arrive whole, new tasks must
         // be told that they were not started, and the worker must be off the list in the end.
         CompletableFuture<HttpResponse<String>> answer =
--- a/tarragonarch-standin/src/test/java/org/tarragonarch/standin/explore/ExplorerTest.java
+++ b/tarragonarch-standin/src/test/java/org/tarragonarch/standin/explore/ExplorerTest.java
@@ -12,7 +12,7 @@
 
     /** Guards against tasks run twice, false not-run answers and lost answers under random faults. */
     @Test
-    public void testRun_noPromiseIsBroken() {
+    public void testRun_keepsPromises() {
         Explorer explorer = new Explorer();
         List<String> findings = new ArrayList<>();
         for (long seed = 1; seed <= SEEDS && findings.isEmpty(); seed++) {
@@ -23,18 +23,18 @@
 
     /** Guards against attempts over a cut link that the checker counts as new work. */
     @Test
-    public void testRun_triesOverACutLinkAreNoWork() {
+    public void testRun_attemptOverCutLinkIsNotNewWork() {
         assertEquals(new Explorer().run(20_644), Optional.empty());
     }
 
     /** Guards against a deadline that waits for the next event since a leaving node names a past wake time. */
     @Test
-    public void testRun_deadlineOfALeavingNode() {
+    public void testRun_deadlineOfLeavingNode() {
         assertEquals(new Explorer().run(84_215), Optional.empty());
     }
 
     @Test
-    public void testRun_sameSeedSameRun() {
+    public void testRun_isDeterministic() {
         Explorer first = new Explorer();
         Explorer second = new Explorer();
         first.run(42);
--- a/tarragonarch-standin/src/test/java/org/tarragonarch/standin/http/HttpServerTest.java
+++ b/tarragonarch-standin/src/test/java/org/tarragonarch/standin/http/HttpServerTest.java
@@ -17,7 +17,7 @@
     private static final Duration DEADLINE = Duration.ofSeconds(10);
 
     @Test
-    public void testExchange_forgottenOnceAnswered() throws Exception {
+    public void testExchange_releasedAfterAnswer() throws Exception {
         // A stand-in endpoint under load grows until it stalls, and the nodes' figures show delays that are the
         // stand-in's own. Connections last, so whatever is kept with a connection for each of its requests is never
         // freed.
--- a/tarragonarch-standin/src/test/java/org/tarragonarch/standin/load/LoadRunTest.java
+++ b/tarragonarch-standin/src/test/java/org/tarragonarch/standin/load/LoadRunTest.java
@@ -21,7 +21,7 @@
     private static final int JOBS = 200;
 
     @Test
-    public void testRun_soundAnswers() {
+    public void testRun_validAnswers() {
         ObjectNode result = runAgainst(exchange -> exchange.reply(complete(exchange, 0)));
 
         assertEquals(result.path("wrong-answers").asInt(), 0);
@@ -30,21 +30,21 @@
     }
 
     @Test
-    public void testRun_resultsInTheWrongOrderAreNoticed() {
+    public void testRun_resultsInWrongOrder() {
         ObjectNode result = runAgainst(exchange -> exchange.reply(complete(exchange, 1)));
 
         assertTrue(result.path("wrong-answers").asInt() > 0);
     }
 
     @Test
-    public void testRun_refusalsAndBrokenConnectionsAreCounted() {
+    public void testRun_refusalsAndBrokenConnections() {
         ObjectNode problem =
                 JsonNodeFactory.instance.objectNode().put("outcome", "not-run").put("code", "queue-full");
         ObjectNode result = runAgainst(exchange -> {
             if (exchange.path().contains("/jobs/")) {
                 exchange.close();
             } else {
-                exchange.reply(HttpReply.json(503, problem).with("Outcome", "not-run"));
+                exchange.reply(HttpReply.json(503, problem).withHeader("Outcome", "not-run"));
             }
         });
 
@@ -73,7 +73,7 @@
         for (LoadShape shape : LoadShape.values()) {
             SplittableRandom random = new SplittableRandom(5);
             for (int i = 0; i < 5_000; i++) {
-                JobPlan plan = shape.next(random);
+                JobPlan plan = shape.nextPlan(random);
                 assertTrue(plan.runTimesMillis().size() <= 110);
                 assertTrue(plan.runTimesMillis().stream().allMatch(millis -> millis >= 50 && millis <= 5_000));
             }
@@ -118,6 +118,6 @@
                 results.add(message.path("tasks").get((i + moved) % tasks).path("input"));
             }
         }
-        return HttpReply.json(200, answer).with("Outcome", "complete");
+        return HttpReply.json(200, answer).withHeader("Outcome", "complete");
     }
 }
--- a/tarragonarch-standin/src/test/java/org/tarragonarch/standin/platform/ClaimStoreTest.java
+++ b/tarragonarch-standin/src/test/java/org/tarragonarch/standin/platform/ClaimStoreTest.java
@@ -52,7 +52,7 @@
     }
 
     @Test
-    public void testInsertIfAbsent_takenKeyDoesNotHoldUpOthers() throws Exception {
+    public void testInsertIfAbsent_takenKeyDoesNotBlockOthers() throws Exception {
         Claim first = claim("upload/7?x=%2F", "token-1");
         claims.insertIfAbsent(List.of(first));
 
@@ -71,7 +71,7 @@
     public void testInsertIfAbsent_replyLost() throws Exception {
         // The platform inserts the claim, but the connection breaks before its reply arrives. Were the write reported
         // as not applied, the node would answer "not run" for a key that stays taken.
-        control.fault("reply-lost?part=tables&count=1");
+        control.switchOnFault("reply-lost?part=tables&count=1");
         Claim claim = claim("upload-1", "token-1");
 
         PlatformException lost = expectThrows(PlatformException.class, () -> claims.insertIfAbsent(List.of(claim)));
@@ -83,7 +83,7 @@
     @Test
     public void testInsertIfAbsent_cutSilentOrSlowMayHaveApplied() throws Exception {
         for (String fault : List.of("cut", "silent", "slow?ms=600")) {
-            control.fault(fault + (fault.contains("?") ? "&" : "?") + "part=tables&count=1");
+            control.switchOnFault(fault + (fault.contains("?") ? "&" : "?") + "part=tables&count=1");
             Claim claim = claim("key-" + fault.substring(0, 3), "token-1");
 
             PlatformException lost = expectThrows(PlatformException.class, () -> claims.insertIfAbsent(List.of(claim)));
@@ -94,8 +94,8 @@
     }
 
     @Test
-    public void testInsertIfAbsent_outHasNotApplied() throws Exception {
-        control.fault("out?part=tables");
+    public void testInsertIfAbsent_outageHasNotApplied() throws Exception {
+        control.switchOnFault("out?part=tables");
         Claim claim = claim("upload-1", "token-1");
 
         PlatformException out = expectThrows(PlatformException.class, () -> claims.insertIfAbsent(List.of(claim)));
@@ -122,7 +122,7 @@
 
     @Test
     public void testRead_lostReplyNeverCountsAsWrite() throws Exception {
-        control.fault("cut?part=tables&count=1");
+        control.switchOnFault("cut?part=tables&count=1");
 
         PlatformException lost = expectThrows(
                 PlatformException.class,
@@ -132,8 +132,8 @@
     }
 
     @Test
-    public void testFaults_strikeOneDomainOnly() throws Exception {
-        control.fault("out?client=hobart-*");
+    public void testFaults_affectOneDomainOnly() throws Exception {
+        control.switchOnFault("out?client=hobart-*");
         assertFalse(expectThrows(PlatformException.class, () -> client.vmList().list())
                 .mayHaveApplied());
 
--- a/tarragonarch-standin/src/test/java/org/tarragonarch/standin/platform/ConfigurationStoreTest.java
+++ b/tarragonarch-standin/src/test/java/org/tarragonarch/standin/platform/ConfigurationStoreTest.java
@@ -60,7 +60,7 @@
     }
 
     @Test
-    public void testAccept_racingOperatorIsTold() throws Exception {
+    public void testAccept_concurrentChangeNamesWinner() throws Exception {
         // Two operators change version 0 at once, and a third has built on the winner before the loser's write arrives.
         // The loser must learn who won, not who is newest.
         accept(0, "ann", "{}");
@@ -74,10 +74,10 @@
     }
 
     @Test
-    public void testAccept_replyLostIsSettledByChange() throws Exception {
+    public void testAccept_replyLostIsResolvedByChangeId() throws Exception {
         // The transaction takes effect and its reply is lost. The operator must hear that the change was accepted, and
         // the audit trail must hold it once.
-        control.fault("reply-lost?part=tables&count=1");
+        control.switchOnFault("reply-lost?part=tables&count=1");
 
         ConfigurationRow accepted = accept(0, "ann", "{}");
 
@@ -90,8 +90,8 @@
         // The reply is lost, and the reading that shall settle it still shows the old row. Were that taken as "not
         // accepted", the operator would be told a false refusal; sending the same transaction again finds the truth.
         accept(0, "ann", "{}");
-        control.fault("stale?table=configuration&key=current");
-        control.fault("reply-lost?part=tables&count=1");
+        control.switchOnFault("stale?table=configuration&key=current");
+        control.switchOnFault("reply-lost?part=tables&count=1");
 
         ConfigurationRow accepted = accept(1, "ben", "{\"teams\":{}}");
 
@@ -101,10 +101,10 @@
     }
 
     @Test
-    public void testAccept_staleReadBeforeFirstTry() throws Exception {
+    public void testAccept_staleReadBeforeFirstAttempt() throws Exception {
         // A reading shows no row yet although version 1 stands, so that the insertion fails. The operator's change of
         // version 0 has lost against ann's and must be told so.
-        control.fault("stale?table=configuration&key=current");
+        control.switchOnFault("stale?table=configuration&key=current");
         accept(0, "ann", "{}");
 
         ConfigurationConflictException conflict =
@@ -114,8 +114,8 @@
     }
 
     @Test
-    public void testAccept_objectStoreOutChangesNothing() throws Exception {
-        control.fault("out?part=objects");
+    public void testAccept_objectStoreOutageChangesNothing() throws Exception {
+        control.switchOnFault("out?part=objects");
 
         PlatformException out = expectThrows(PlatformException.class, () -> accept(0, "ann", "{}"));
 
@@ -126,7 +126,7 @@
 
     @Test
     public void testAccept_objectReplyLostIsStoredAgain() throws Exception {
-        control.fault("reply-lost?part=objects&count=1");
+        control.switchOnFault("reply-lost?part=objects&count=1");
 
         ConfigurationRow accepted = accept(0, "ann", "{}");
 
@@ -134,12 +134,12 @@
     }
 
     @Test
-    public void testAccept_replyLostAndNoReadingIsSaidToBeOpen() throws Exception {
+    public void testAccept_replyLostAndReadsFail() throws Exception {
         // The transaction's reply is lost, and from then on the table service does not answer: nobody can say whether
         // the change was accepted, and the error must say just that.
         accept(0, "ann", "{}");
-        control.fault("slow?part=tables&ms=0&count=1");
-        control.fault("cut?part=tables");
+        control.switchOnFault("slow?part=tables&ms=0&count=1");
+        control.switchOnFault("cut?part=tables");
 
         PlatformException open = expectThrows(PlatformException.class, () -> accept(1, "ben", "{\"teams\":{}}"));
 
@@ -147,8 +147,8 @@
     }
 
     @Test
-    public void testAccept_firstReadingFailsChangesNothing() throws Exception {
-        control.fault("silent?part=tables&count=1");
+    public void testAccept_firstReadFailsChangesNothing() throws Exception {
+        control.switchOnFault("silent?part=tables&count=1");
 
         PlatformException failed = expectThrows(PlatformException.class, () -> accept(0, "ann", "{}"));
 
--- a/tarragonarch-standin/src/test/java/org/tarragonarch/standin/platform/VmListTest.java
+++ b/tarragonarch-standin/src/test/java/org/tarragonarch/standin/platform/VmListTest.java
@@ -37,14 +37,14 @@
             assertEquals(client.vmList().list(), ImmutableList.of(worker));
             assertEquals(client.vmList().list(), ImmutableList.of(worker), "read again by its tag");
 
-            control.fault("vms-frozen");
+            control.switchOnFault("vms-frozen");
             control.post("/vms/hobart-w1/leaving", "");
             assertEquals(client.vmList().list().get(0).state(), VmState.LIVE);
 
             control.clearFaults();
             assertEquals(client.vmList().list().get(0).state(), VmState.LEAVING);
 
-            control.fault("vms-lag?ms=3600000");
+            control.switchOnFault("vms-lag?ms=3600000");
             assertTrue(client.vmList().list().isEmpty());
         }
     }
--- a/tarragonarch-standin/src/test/java/org/tarragonarch/standin/process/EndpointFaultTest.java
+++ b/tarragonarch-standin/src/test/java/org/tarragonarch/standin/process/EndpointFaultTest.java
@@ -75,7 +75,7 @@
     public void testIdempotent_lostAnswerIsTriedAgain() throws Exception {
         // A worker breaks off in the middle of an availability check. The check harms nobody if it runs twice, so the
         // customer at the desk must get the answer from the other worker.
-        cluster.endpoint(0).control().fault("close-after-read?count=1");
+        cluster.endpoint(0).control().switchOnFault("close-after-read?count=1");
         int again = 0;
         for (int i = 0; i < 10; i++) {
             assertTrue(request(Caller.IDEMPOTENT, "check-" + i).complete());
@@ -153,7 +153,7 @@
     public void testJob_oneLostTaskWithholdsTheOthers() throws Exception {
         // One task of a style check loses its answer. The member may not see the other parts as if they were the whole,
         // and none of the tasks may start a second time.
-        cluster.endpoint(0).control().fault("cut-short?count=1");
+        cluster.endpoint(0).control().switchOnFault("cut-short?count=1");
 
         CallerAnswer answer = cluster.caller()
                 .job(cluster.node(0), Caller.ONCE, "parts", 12, 100)
@@ -168,7 +168,7 @@
 
     private void onAll(String fault) throws Exception {
         for (int i = 0; i < ENDPOINTS; i++) {
-            cluster.endpoint(i).control().fault(fault);
+            cluster.endpoint(i).control().switchOnFault(fault);
         }
     }
 
--- a/tarragonarch-standin/src/test/java/org/tarragonarch/standin/process/GracefulShutdownTest.java
+++ b/tarragonarch-standin/src/test/java/org/tarragonarch/standin/process/GracefulShutdownTest.java
@@ -46,7 +46,7 @@
         // A worker is told to leave while the platform's list stands still, so that only the worker's own answers tell
         // the nodes. What runs on it must end well, and after two seconds nothing new may reach it.
         try (ProcessCluster cluster = ProcessCluster.start(2, 2, 8)) {
-            cluster.platform().fault("vms-frozen");
+            cluster.platform().switchOnFault("vms-frozen");
             List<CompletableFuture<CallerAnswer>> answers = new ArrayList<>();
             JsonNode lastLedger = null;
             long toldMillis = 0;
--- a/tarragonarch-standin/src/test/java/org/tarragonarch/standin/process/InterleavedLoadTest.java
+++ b/tarragonarch-standin/src/test/java/org/tarragonarch/standin/process/InterleavedLoadTest.java
@@ -26,10 +26,10 @@
         // twice, and what is said not to have run must not have started.
         try (ProcessCluster cluster = ProcessCluster.start(2, ENDPOINTS, SLOTS)) {
             for (int i = 0; i < ENDPOINTS; i++) {
-                cluster.endpoint(i).control().fault("cut-short?count=3");
-                cluster.endpoint(i).control().fault("wrong-id?count=3");
-                cluster.endpoint(i).control().fault("busy?count=20");
-                cluster.endpoint(i).control().fault("answer-late?ms=150&count=200");
+                cluster.endpoint(i).control().switchOnFault("cut-short?count=3");
+                cluster.endpoint(i).control().switchOnFault("wrong-id?count=3");
+                cluster.endpoint(i).control().switchOnFault("busy?count=20");
+                cluster.endpoint(i).control().switchOnFault("answer-late?ms=150&count=200");
             }
 
             ObjectNode result = LoadRun.run(options(cluster), line -> {});
--- a/tarragonarch-standin/src/test/java/org/tarragonarch/standin/process/KeyedSubmissionTest.java
+++ b/tarragonarch-standin/src/test/java/org/tarragonarch/standin/process/KeyedSubmissionTest.java
@@ -118,7 +118,7 @@
         // The table service takes longer for each call than a node waits. The claim may have been written or not, and
         // the reads that would tell have no reply either, so the renewal is refused. Then it must not have run, and
         // once the table service is itself again, the renewal goes through.
-        cluster.platform().fault("slow?part=tables&ms=1500");
+        cluster.platform().switchOnFault("slow?part=tables&ms=1500");
 
         CallerAnswer refused = renewal(0, "renewal-slow", 20).get(WAIT_MILLIS, TimeUnit.MILLISECONDS);
 
@@ -139,7 +139,7 @@
     public void testKey_replyOfClaimLost() throws Exception {
         // The claim is written and the connection breaks before the reply. The key stands under the node's own token,
         // so the node may run the renewal, once; a second push must get the same answer and no second start.
-        cluster.platform().fault("reply-lost?part=tables&count=1");
+        cluster.platform().switchOnFault("reply-lost?part=tables&count=1");
 
         CallerAnswer first = renewal(0, "renewal-lost", 50).get(WAIT_MILLIS, TimeUnit.MILLISECONDS);
         CallerAnswer again = renewal(0, "renewal-lost", 50).get(WAIT_MILLIS, TimeUnit.MILLISECONDS);
@@ -154,7 +154,7 @@
         // A desk's gateway pushes each of many renewals to two nodes at the same instant, while some replies of the
         // table service are lost. Each renewal may start once at most, and a node that says "not run" must be right:
         // the renewal of a key of which both nodes say so must not have started.
-        cluster.platform().fault("reply-lost?part=tables&count=4");
+        cluster.platform().switchOnFault("reply-lost?part=tables&count=4");
         List<List<CompletableFuture<CallerAnswer>>> pairs = new ArrayList<>();
         for (int i = 0; i < 20; i++) {
             pairs.add(List.of(renewal(0, "pair-" + i, 20), renewal(1, "pair-" + i, 20)));
@@ -177,7 +177,7 @@
     public void testKey_platformOut() throws Exception {
         // The platform is out for a while. Authors' checks go on, since nothing of them needs it; a renewal, which the
         // platform must keep from running twice, is refused at once with a time to come back, and really does not run.
-        cluster.platform().fault("out");
+        cluster.platform().switchOnFault("out");
 
         CallerAnswer unkeyed = cluster.caller()
                 .request(cluster.node(0), Caller.ONCE, "unkeyed", 20, null)
--- a/tarragonarch-standin/src/test/java/org/tarragonarch/standin/scenario/OuterNamesTest.java
+++ b/tarragonarch-standin/src/test/java/org/tarragonarch/standin/scenario/OuterNamesTest.java
@@ -36,22 +36,22 @@
             "drain-cut-short");
 
     @Test
-    public void testTakeConstant_faultsAreTheseOnly() throws Exception {
+    public void testNextConstant_faults() throws Exception {
         assertStandsForAll(EndpointFault.class, ImmutableList.of("none", "fails-all", "cuts-answer-short", "hangs"));
     }
 
     @Test
-    public void testTakeConstant_formsAreTheseOnly() throws Exception {
+    public void testNextConstant_forms() throws Exception {
         assertStandsForAll(SubmissionForm.class, ImmutableList.of("request", "job"));
     }
 
     @Test
-    public void testTakeConstant_phasesAreTheseOnly() throws Exception {
+    public void testNextConstant_phases() throws Exception {
         assertStandsForAll(NodePhase.class, ImmutableList.of("starting", "serving", "draining", "finishing", "left"));
     }
 
     @Test
-    public void testTakeConstant_notesAreTheseOnly() throws Exception {
+    public void testNextConstant_notes() throws Exception {
         assertStandsForAll(NoteEvent.class, NOTES);
     }
 
@@ -60,7 +60,7 @@
             throws ScenarioSyntaxException {
         Set<E> read = new TreeSet<>();
         for (String word : words) {
-            read.add(new Words(1, word).takeConstant(type));
+            read.add(new LineTokens(1, word).nextConstant(type));
         }
         assertEquals(read, ImmutableSet.copyOf(type.getEnumConstants()));
     }
--- a/tarragonarch-standin/src/test/java/org/tarragonarch/standin/scenario/ScenarioTest.java
+++ b/tarragonarch-standin/src/test/java/org/tarragonarch/standin/scenario/ScenarioTest.java
@@ -28,7 +28,7 @@
     }
 
     @Test(dataProvider = "scenarios")
-    public void testRun_comesAsExpected(Path file) throws Exception {
+    public void testRun_meetsExpectations(Path file) throws Exception {
         ImmutableList<String> failures =
                 ScenarioParser.parse(Files.readString(file), file.getParent()).run();
         String name = file.getFileName().toString();
@@ -47,13 +47,13 @@
     }
 
     @Test
-    public void testRun_sameScenarioSameRun() throws Exception {
+    public void testRun_isDeterministic() throws Exception {
         String text = HOBART + "at 5s submit j1 job tasks 3 to hobart-1\nexpect j1 complete before 1s";
         assertEquals(parse(text).run(), parse(text).run());
     }
 
     @Test
-    public void testRun_saysWhatDidNotCome() throws Exception {
+    public void testRun_reportsUnmetExpectations() throws Exception {
         ImmutableList<String> failures = parse(HOBART
                         + "at 5s submit j1 job tasks 3 runtime 200ms to hobart-1\n"
                         + "at 5100ms kill endpoint hobart-w1\n"
@@ -81,7 +81,7 @@
     }
 
     @Test(dataProvider = "wrongLines")
-    public void testParse_namesTheLineAndTheMistake(String line, String mistake) {
+    public void testParse_reportsLineAndMistake(String line, String mistake) {
         ScenarioSyntaxException wrong = expectThrows(ScenarioSyntaxException.class, () -> parse("seed 1\n\n" + line));
         assertTrue(wrong.getMessage().startsWith("line 3: "), wrong.getMessage());
         assertTrue(wrong.getMessage().contains(mistake), wrong.getMessage());
--- a/tarragonarch-standin/src/test/java/org/tarragonarch/standin/scenario/TraceScenarioTest.java
+++ b/tarragonarch-standin/src/test/java/org/tarragonarch/standin/scenario/TraceScenarioTest.java
@@ -51,7 +51,7 @@
     }
 
     @Test
-    public void testRun_otherOutcomesAreNamed() throws Exception {
+    public void testRun_reportsMismatches() throws Exception {
         ImmutableList<String> failures = parse("""
                         trace hobart-1_1.jsonl
                         expect every complete
