--- a/tarragonarch-standin/src/main/java/org/tarragonarch/standin/CompareMain.java
+++ b/tarragonarch-standin/src/main/java/org/tarragonarch/standin/CompareMain.java
@@ -11,17 +11,17 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Parameters;
 
-/** Prints several results of the load driver side by side, the first as the baseline. */
+/** Prints several results of the load driver side by side. */
 @Command(name = "compare", mixinStandardHelpOptions = true, description = "Results of the load driver, side by side.")
 public final class CompareMain implements Callable<Integer> {
     private static final String ROW = "%-14s %9s %8s %8s %8s %8s %9s %10s %10s %10s%n";
 
-    @Parameters(arity = "1..*", paramLabel = "FILE", description = "Result files, named after what they are of.")
+    @Parameters(arity = "1..*", paramLabel = "FILE", description = "The result files; a row is named after its file.")
     private List<Path> files = List.of();
 
     private CompareMain() {}
 
-    /** Runs the program. */
+    /** Prints the table and exits. */
     public static void main(String[] arguments) {
         System.exit(new CommandLine(new CompareMain()).execute(arguments));
     }
--- a/tarragonarch-standin/src/main/java/org/tarragonarch/standin/EndpointMain.java
+++ b/tarragonarch-standin/src/main/java/org/tarragonarch/standin/EndpointMain.java
@@ -18,7 +18,7 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 
-/** Runs stand-in endpoints until the process is asked to end, then drains them. */
+/** Runs stand-in endpoints until the process is terminated, then drains them. */
 @Command(name = "standin-endpoint", mixinStandardHelpOptions = true, description = "Endpoints that run small tasks.")
 public final class EndpointMain implements Callable<Integer> {
     private static final FluentLogger LOGGER = FluentLogger.forEnclosingClass();
@@ -26,36 +26,39 @@
     @Option(names = "--name", required = true, description = "the endpoint's name")
     private String name;
 
-    @Option(names = "--domain", required = true, description = "the failure domain it stands in")
+    @Option(names = "--domain", required = true, description = "the endpoint's failure domain")
     private String domain;
 
     @Option(names = "--address", required = true, description = "where to listen, as ip:port")
     private String address;
 
-    @Option(names = "--platform", description = "the platform at which to register, as ip:port")
+    @Option(names = "--platform", description = "the platform to register with, as ip:port")
     private String platform;
 
     @Option(names = "--services", split = ",", required = true, description = "the services to run tasks for")
     private List<String> services = List.of();
 
-    @Option(names = "--slots", defaultValue = "8", description = "how many tasks run at once (${DEFAULT-VALUE})")
+    @Option(
+            names = "--slots",
+            defaultValue = "8",
+            description = "the number of tasks that run at once (${DEFAULT-VALUE})")
     private int slots;
 
     @Option(
             names = "--linger-ms",
             defaultValue = "3000",
-            description = "the least time between the order to end and the end, in milliseconds (${DEFAULT-VALUE})")
+            description = "the minimum time from termination signal to exit, in milliseconds (${DEFAULT-VALUE})")
     private long lingerMillis;
 
     @Option(
             names = "--count",
             defaultValue = "1",
-            description = "how many endpoints, named NAME-1 and so on, on ports that follow one another")
+            description = "the number of endpoints; several are named NAME-1 and so on, on consecutive ports")
     private int count;
 
     private EndpointMain() {}
 
-    /** Starts the program. */
+    /** Starts the endpoints. */
     public static void main(String[] arguments) {
         System.exit(new CommandLine(new EndpointMain()).execute(arguments));
     }
@@ -91,7 +94,7 @@
             try {
                 endpoint.drain();
             } catch (InterruptedException e) {
-                LOGGER.atWarning().withCause(e).log("an endpoint's draining was interrupted");
+                LOGGER.atWarning().withCause(e).log("the draining of an endpoint was interrupted");
             }
         });
     }
--- a/tarragonarch-standin/src/main/java/org/tarragonarch/standin/LoadMain.java
+++ b/tarragonarch-standin/src/main/java/org/tarragonarch/standin/LoadMain.java
@@ -20,12 +20,12 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 
-/** Puts load on entry nodes and checks every answer; ends with 1 if an answer was wrong. */
+/** Submits load to entry nodes and checks every answer; exits with 1 if an answer was wrong. */
 @Command(
         name = "load",
         mixinStandardHelpOptions = true,
         showDefaultValues = true,
-        description = "Submits jobs at random times whether or not earlier ones were answered.")
+        description = "Submits jobs at random times, whether or not earlier ones were answered.")
 public final class LoadMain implements Callable<Integer> {
     @Option(names = "--callers", split = ",", required = true, description = "the nodes' caller addresses")
     private List<String> callers = List.of();
@@ -39,10 +39,10 @@
     @Option(names = "--token", required = true, description = "the caller's token")
     private String token;
 
-    @Option(names = "--service", required = true, description = "the service")
+    @Option(names = "--service", required = true, description = "the name of the service")
     private String service;
 
-    @Option(names = "--kind", defaultValue = "sleep", description = "the kind of work; it gives its input back")
+    @Option(names = "--kind", defaultValue = "sleep", description = "the kind of task; its result must be its input")
     private String kind;
 
     @Option(names = "--shape", defaultValue = "derwent", description = "derwent or kivilahti")
@@ -51,37 +51,46 @@
     @Option(names = "--pattern", defaultValue = "steady", description = "steady or bursts")
     private String pattern;
 
-    @Option(names = "--slots", defaultValue = "0", description = "the slots of all endpoints together")
+    @Option(names = "--slots", defaultValue = "0", description = "the total slots of all endpoints")
     private int slots;
 
     @Option(names = "--load", defaultValue = "0.5", description = "the load as a share of the slots")
     private double load;
 
-    @Option(names = "--jobs-per-second", description = "the rate of submissions, instead of --load")
+    @Option(names = "--jobs-per-second", description = "the rate of submissions; overrides --load")
     private Double jobsPerSecond;
 
-    @Option(names = "--duration-ms", defaultValue = "10000", description = "how long submissions arrive")
+    @Option(names = "--duration-ms", defaultValue = "10000", description = "the time during which submissions arrive")
     private long durationMillis;
 
-    @Option(names = "--max-jobs", defaultValue = "100000", description = "the most submissions")
+    @Option(names = "--max-jobs", defaultValue = "100000", description = "the maximum number of submissions")
     private int maxJobs;
 
     @Option(names = "--time-allowed-ms", defaultValue = "30000", description = "the time allowed for an answer")
     private long patienceMillis;
 
-    @Option(names = "--declared-factor", defaultValue = "1", description = "declared over true run time; 0 for none")
+    @Option(
+            names = "--declared-factor",
+            defaultValue = "1",
+            description = "ratio of declared to actual run time; 0 for none")
     private double declaredFactor;
 
-    @Option(names = "--keyed-share", defaultValue = "0", description = "share of submissions with an idempotency key")
+    @Option(
+            names = "--keyed-share",
+            defaultValue = "0",
+            description = "the share of submissions with an idempotency key")
     private double keyedShare;
 
-    @Option(names = "--cancel-at-ms", description = "when to cancel half of what runs")
+    @Option(names = "--cancel-at-ms", description = "when to cancel half of the open submissions")
     private Long cancelAtMillis;
 
-    @Option(names = "--round-trip-us", defaultValue = "1000", description = "part of the ideal, in microseconds")
+    @Option(
+            names = "--round-trip-us",
+            defaultValue = "1000",
+            description = "network time in the ideal response time, in microseconds")
     private long roundTripMicros;
 
-    @Option(names = "--seed", defaultValue = "7", description = "the seed")
+    @Option(names = "--seed", defaultValue = "7", description = "the seed of arrival times and submissions")
     private long seed;
 
     @Option(names = "--out", description = "the file to write the result to")
@@ -89,7 +98,7 @@
 
     private LoadMain() {}
 
-    /** Starts the program. */
+    /** Runs the load and exits. */
     public static void main(String[] arguments) {
         System.exit(new CommandLine(new LoadMain()).execute(arguments));
     }
@@ -108,7 +117,7 @@
     }
 
     private LoadOptions options() {
-        LoadShape chosen = LoadShape.valueOf(shape.toUpperCase(Locale.ROOT));
+        LoadShape loadShape = LoadShape.valueOf(shape.toUpperCase(Locale.ROOT));
         return new LoadOptions(
                 addresses(callers),
                 addresses(admins),
@@ -116,9 +125,9 @@
                 token,
                 service,
                 kind,
-                chosen,
+                loadShape,
                 ArrivalPattern.valueOf(pattern.toUpperCase(Locale.ROOT)),
-                jobsPerSecond != null ? jobsPerSecond : chosen.jobsPerSecond(load, slots),
+                jobsPerSecond != null ? jobsPerSecond : loadShape.jobsPerSecond(load, slots),
                 slots,
                 Duration.ofMillis(durationMillis),
                 maxJobs,
@@ -130,7 +139,7 @@
                 seed);
     }
 
-    private static ImmutableList<Address> addresses(List<String> texts) {
-        return texts.stream().map(Address::parse).collect(ImmutableList.toImmutableList());
+    private static ImmutableList<Address> addresses(List<String> values) {
+        return values.stream().map(Address::parse).collect(ImmutableList.toImmutableList());
     }
 }
--- a/tarragonarch-standin/src/main/java/org/tarragonarch/standin/PlatformMain.java
+++ b/tarragonarch-standin/src/main/java/org/tarragonarch/standin/PlatformMain.java
@@ -17,8 +17,8 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 
-/** Runs a stand-in platform until the process is ended. */
-@Command(name = "standin-platform", mixinStandardHelpOptions = true, description = "A platform in memory, for tests.")
+/** Runs a stand-in platform until the process is terminated. */
+@Command(name = "standin-platform", mixinStandardHelpOptions = true, description = "An in-memory platform for tests.")
 public final class PlatformMain implements Callable<Integer> {
     @Option(names = "--address", required = true, description = "where to listen, as ip:port")
     private String address;
@@ -26,29 +26,28 @@
     @Option(
             names = "--entry-vm",
             paramLabel = "NAME=DOMAIN@IP:PORT",
-            description =
-                    "an entry VM that is on the list from the start, with its node's peer address; may be repeated")
+            description = "an entry VM to list at the start, with its node's peer address; may be repeated")
     private Map<String, String> entryVms = new LinkedHashMap<>();
 
     private PlatformMain() {}
 
-    /** Starts the program. */
+    /** Starts the platform. */
     public static void main(String[] arguments) {
         System.exit(new CommandLine(new PlatformMain()).execute(arguments));
     }
 
     @Override
     public Integer call() throws InterruptedException {
-        Address listening = Address.parse(address);
-        StandInPlatform platform = StandInPlatform.start(listening.ip(), listening.port());
-        entryVms.forEach((name, place) -> platform.addVm(entryVm(name, place)));
+        Address listenAddress = Address.parse(address);
+        StandInPlatform platform = StandInPlatform.start(listenAddress.ip(), listenAddress.port());
+        entryVms.forEach((name, location) -> platform.addVm(entryVm(name, location)));
         System.out.println("platform listens on " + platform.address());
         new CountDownLatch(1).await();
         return CommandLine.ExitCode.OK;
     }
 
-    private static VmRecord entryVm(String name, String place) {
-        List<String> parts = Splitter.on('@').splitToList(place);
+    private static VmRecord entryVm(String name, String location) {
+        List<String> parts = Splitter.on('@').splitToList(location);
         return new VmRecord(
                 name,
                 VmRole.ENTRY,
--- a/tarragonarch-standin/src/main/java/org/tarragonarch/standin/endpoint/EndpointOptions.java
+++ b/tarragonarch-standin/src/main/java/org/tarragonarch/standin/endpoint/EndpointOptions.java
@@ -12,16 +12,16 @@
 import org.tarragonarch.model.id.ServiceName;
 
 /**
- * How a stand-in endpoint is set up.
+ * The options of a stand-in endpoint.
  *
- * @param id its name
- * @param domain the failure domain it stands in
- * @param ip the IP number it listens on
- * @param port the port, or 0 for any free one
- * @param platform the platform at which it registers itself, if at all
- * @param services the services it runs tasks for
- * @param slots how many tasks it runs at once
- * @param linger how long it stays at least once it is draining, so that late senders are answered
+ * @param id the endpoint's id
+ * @param domain the endpoint's failure domain
+ * @param ip the IP address to listen on
+ * @param port the port to listen on, or 0 for any free port
+ * @param platform the platform to register with; empty for none
+ * @param services the services whose tasks it runs
+ * @param slots the number of tasks it runs at once
+ * @param linger the minimum time between the start of draining and the end, so that late senders are answered
  */
 public record EndpointOptions(
         EndpointId id,
@@ -32,7 +32,11 @@
         ImmutableSet<ServiceName> services,
         int slots,
         Duration linger) {
-    /** Checks the parts. */
+    /**
+     * Creates the options.
+     *
+     * @throws IllegalArgumentException if the number of slots is not positive
+     */
     public EndpointOptions {
         checkNotNull(id, "id");
         checkNotNull(domain, "domain");
--- a/tarragonarch-standin/src/main/java/org/tarragonarch/standin/endpoint/Fault.java
+++ b/tarragonarch-standin/src/main/java/org/tarragonarch/standin/endpoint/Fault.java
@@ -2,7 +2,7 @@
 
 import java.util.Optional;
 
-/** One fault that is switched on, with the tasks it strikes and how often it still does. */
+/** An active fault, with the kind of task it affects and the number of tasks it still affects. */
 final class Fault {
     private final FaultType type;
     private final Optional<String> kind;
@@ -24,9 +24,9 @@
         return milliseconds;
     }
 
-    /** Returns whether the fault strikes a task of a kind, which uses up one of its strikes. */
-    synchronized boolean tryApply(String kindOfTask) {
-        if (remaining == 0 || !kind.map(kindOfTask::equals).orElse(true)) {
+    /** Returns whether the fault affects a task of a kind; if it does, decrements the remaining count. */
+    synchronized boolean tryApply(String taskKind) {
+        if (remaining == 0 || !kind.map(taskKind::equals).orElse(true)) {
             return false;
         }
         remaining--;
--- a/tarragonarch-standin/src/main/java/org/tarragonarch/standin/endpoint/FaultSwitches.java
+++ b/tarragonarch-standin/src/main/java/org/tarragonarch/standin/endpoint/FaultSwitches.java
@@ -5,7 +5,7 @@
 import java.util.concurrent.CopyOnWriteArrayList;
 import org.tarragonarch.standin.http.HttpExchange;
 
-/** The faults that are switched on at an endpoint. */
+/** The active faults of an endpoint. */
 final class FaultSwitches {
     private final List<Fault> faults = new CopyOnWriteArrayList<>();
 
@@ -21,7 +21,7 @@
         faults.clear();
     }
 
-    /** Returns the fault that strikes a task whose request was read. */
+    /** Returns the fault to apply to a task whose request was read, and counts its use. */
     Optional<Fault> takeFault(String kind) {
         return faults.stream()
                 .filter(fault -> fault.type() != FaultType.CLOSE_BEFORE_READ)
@@ -29,7 +29,7 @@
                 .findFirst();
     }
 
-    /** Returns whether a connection is to be closed at a request's head. */
+    /** Returns whether to close a connection after the head of a request, with the body unread. */
     boolean shouldCloseUnread() {
         return faults.stream()
                 .filter(fault -> fault.type() == FaultType.CLOSE_BEFORE_READ)
--- a/tarragonarch-standin/src/main/java/org/tarragonarch/standin/endpoint/FaultType.java
+++ b/tarragonarch-standin/src/main/java/org/tarragonarch/standin/endpoint/FaultType.java
@@ -1,6 +1,6 @@
 package org.tarragonarch.standin.endpoint;
 
-/** What an endpoint may do wrong with a task. */
+/** The types of fault of a stand-in endpoint. */
 enum FaultType {
     FAIL_ALL("fail-all"),
     HANG("hang"),
@@ -23,6 +23,6 @@
                 return type;
             }
         }
-        throw new IllegalArgumentException("'" + word + "' is no fault");
+        throw new IllegalArgumentException("'" + word + "' is not a fault");
     }
 }
--- a/tarragonarch-standin/src/main/java/org/tarragonarch/standin/endpoint/Ledger.java
+++ b/tarragonarch-standin/src/main/java/org/tarragonarch/standin/endpoint/Ledger.java
@@ -8,7 +8,7 @@
 import java.util.List;
 import java.util.Set;
 
-/** What an endpoint started and refused: the evidence on which tests rest their verdicts. */
+/** The record of the tasks that an endpoint started and refused, which tests check. */
 final class Ledger {
     private final List<Start> starts = new ArrayList<>();
     private final Set<String> tasks = new HashSet<>();
@@ -33,7 +33,7 @@
         uselessStops++;
     }
 
-    /** Returns the counts, and each start where these are wanted. */
+    /** Returns the counts as JSON, with each start if requested. */
     synchronized ObjectNode json(boolean withStarts) {
         ObjectNode json = JsonNodeFactory.instance
                 .objectNode()
--- a/tarragonarch-standin/src/main/java/org/tarragonarch/standin/endpoint/Registration.java
+++ b/tarragonarch-standin/src/main/java/org/tarragonarch/standin/endpoint/Registration.java
@@ -14,7 +14,7 @@
 import org.tarragonarch.model.platform.VmRecord;
 import org.tarragonarch.platform.VmRecordJson;
 
-/** Keeps an endpoint's line in the platform's list, in place of the platform itself; a failure is only logged. */
+/** Maintains an endpoint's entry in the platform's list of VMs; failures are logged and otherwise ignored. */
 final class Registration implements AutoCloseable {
     private static final FluentLogger LOGGER = FluentLogger.forEnclosingClass();
     private static final MediaType JSON = MediaType.get("application/json");
@@ -34,8 +34,8 @@
 
     void register(VmRecord vm) {
         try {
-            byte[] line = mapper.writeValueAsBytes(VmRecordJson.write(vm));
-            send(new Request.Builder().url(base).post(RequestBody.create(line, JSON)));
+            byte[] entry = mapper.writeValueAsBytes(VmRecordJson.write(vm));
+            send(new Request.Builder().url(base).post(RequestBody.create(entry, JSON)));
         } catch (JsonProcessingException e) {
             throw new IllegalStateException("a JSON tree cannot be written", e);
         }
@@ -58,10 +58,12 @@
     private void send(Request.Builder request) {
         try (Response response = client.newCall(request.build()).execute()) {
             if (!response.isSuccessful()) {
-                LOGGER.atWarning().log("platform answered %s to the registration of %s", response.code(), name);
+                LOGGER.atWarning().log(
+                        "platform answered %s to a change of the registration of %s", response.code(), name);
             }
         } catch (IOException e) {
-            LOGGER.atWarning().log("platform not reached for the registration of %s: %s", name, e.getMessage());
+            LOGGER.atWarning().log(
+                    "platform is unreachable for a change of the registration of %s: %s", name, e.getMessage());
         }
     }
 }
--- a/tarragonarch-standin/src/main/java/org/tarragonarch/standin/endpoint/RunningTask.java
+++ b/tarragonarch-standin/src/main/java/org/tarragonarch/standin/endpoint/RunningTask.java
@@ -6,7 +6,7 @@
 import org.tarragonarch.standin.http.HttpExchange;
 import org.tarragonarch.standin.http.HttpReply;
 
-/** A task that holds a slot, and the way its answer is to go wrong. */
+/** A task that occupies a slot, and the fault to apply to its answer. */
 final class RunningTask {
     private static final int OK = 200;
     private static final int FAILED = 500;
@@ -29,12 +29,12 @@
         return id;
     }
 
-    /** Notes that the result is no longer wanted. */
+    /** Records that the result is no longer wanted. */
     void recordStop() {
         start.recordStop();
     }
 
-    /** Returns whether this call was the one that ended the task. */
+    /** Ends the task; returns false if it has ended already. */
     boolean tryEnd() {
         if (!ended.compareAndSet(false, true)) {
             return false;
@@ -43,10 +43,10 @@
         return true;
     }
 
-    void succeed(JsonNode result, ReplyDecorator decoration) {
+    void succeed(JsonNode result, ReplyDecorator decorator) {
         FaultType type = fault.map(Fault::type).orElse(null);
         boolean wrongId = type == FaultType.WRONG_ID;
-        HttpReply reply = decoration.apply(HttpReply.json(OK, result).withHeader(TASK_ID, wrongId ? id + "0" : id));
+        HttpReply reply = decorator.apply(HttpReply.json(OK, result).withHeader(TASK_ID, wrongId ? id + "0" : id));
         if (type == FaultType.CUT_SHORT) {
             exchange.replyCutShort(reply);
         } else if (type == FaultType.ANSWER_LATE) {
@@ -56,11 +56,11 @@
         }
     }
 
-    void fail(String detail, ReplyDecorator decoration) {
-        exchange.reply(decoration.apply(HttpReply.error(FAILED, detail).withHeader(TASK_ID, id)));
+    void fail(String detail, ReplyDecorator decorator) {
+        exchange.reply(decorator.apply(HttpReply.error(FAILED, detail).withHeader(TASK_ID, id)));
     }
 
-    /** Adds to an answer what the endpoint's state asks for. */
+    /** Adds headers to an answer according to the endpoint's state. */
     @FunctionalInterface
     interface ReplyDecorator {
         HttpReply apply(HttpReply reply);
--- a/tarragonarch-standin/src/main/java/org/tarragonarch/standin/endpoint/StandInEndpoint.java
+++ b/tarragonarch-standin/src/main/java/org/tarragonarch/standin/endpoint/StandInEndpoint.java
@@ -19,8 +19,8 @@
 /**
  * An endpoint that implements docs/ENDPOINT-PROTOCOL.md, runs small tasks and fails on demand.
  *
- * <p>Safe for use by many threads. A running task holds a slot but no thread, so that the number of connections is not
- * bounded by threads.
+ * <p>Safe for use by multiple threads. A running task occupies a slot but no thread, so that threads do not limit the
+ * number of connections.
  */
 public final class StandInEndpoint implements AutoCloseable {
     private static final int OK = 200;
@@ -48,19 +48,19 @@
         this.server = HttpServer.start(options.ip(), options.port(), this::handle, faults::shouldCloseUnread);
     }
 
-    /** Starts an endpoint and registers it with the platform, if there is one. */
+    /** Starts an endpoint and registers it with the platform, if one is configured. */
     public static StandInEndpoint start(EndpointOptions options) {
         StandInEndpoint endpoint = new StandInEndpoint(options);
-        endpoint.registration.ifPresent(platform -> platform.register(endpoint.line()));
+        endpoint.registration.ifPresent(platform -> platform.register(endpoint.vmRecord()));
         return endpoint;
     }
 
-    /** Returns where the endpoint listens. */
+    /** Returns the address on which the endpoint listens. */
     public Address address() {
         return server.address();
     }
 
-    /** Leaves in good order: refuses new tasks, waits until the running ones have ended, then closes. */
+    /** Drains the endpoint: refuses new tasks, waits for the running tasks and the linger time, then closes. */
     public void drain() throws InterruptedException {
         long deadline = System.nanoTime() + options.linger().toNanos();
         synchronized (this) {
@@ -85,7 +85,7 @@
         registration.ifPresent(Registration::close);
     }
 
-    private VmRecord line() {
+    private VmRecord vmRecord() {
         return new VmRecord(
                 options.id().value(),
                 VmRole.ENDPOINT,
@@ -99,7 +99,7 @@
     private void handle(HttpExchange exchange) {
         String path = exchange.path();
         if (path.equals("/tasks") && exchange.method().equals("POST")) {
-            takeTask(exchange);
+            startTask(exchange);
         } else if (path.startsWith("/tasks/") && exchange.method().equals("DELETE")) {
             stopTask(exchange, path.substring("/tasks/".length()));
         } else if (path.equals("/health")) {
@@ -116,7 +116,7 @@
         }
     }
 
-    private void takeTask(HttpExchange exchange) {
+    private void startTask(HttpExchange exchange) {
         String id = required(exchange, TASK_ID);
         String kindName = required(exchange, "Task-Kind");
         int attempt = exchange.header("Task-Attempt").map(Integer::parseInt).orElse(1);
@@ -139,12 +139,12 @@
         }
         Optional<Fault> fault = faults.takeFault(kindName);
         Start start = new Start(id, attempt, kindName, tag);
-        Optional<RunningTask> started = begin(id, exchange, fault, start);
+        Optional<RunningTask> started = allocateSlot(id, exchange, fault, start);
         started.ifPresent(task -> run(task, fault.map(Fault::type), exchange, result, millis));
     }
 
-    /** Takes a slot for the task, or says why not. */
-    private synchronized Optional<RunningTask> begin(
+    /** Allocates a slot for a task, or answers with a refusal. */
+    private synchronized Optional<RunningTask> allocateSlot(
             String id, HttpExchange exchange, Optional<Fault> fault, Start start) {
         if (draining) {
             ledger.recordDrainingRefusal();
@@ -175,7 +175,7 @@
             return;
         }
         if (fault.filter(type -> type == FaultType.FAIL_ALL).isPresent()) {
-            finish(task, () -> task.fail("told to fail", this::decorate));
+            finish(task, () -> task.fail("failed by an active fault", this::decorate));
             return;
         }
         if (fault.filter(type -> type == FaultType.CLOSE_AFTER_READ).isPresent()) {
@@ -185,7 +185,7 @@
                 () -> finish(task, () -> task.succeed(result, this::decorate)), runTimeMillis, TimeUnit.MILLISECONDS);
     }
 
-    /** Ends the task and frees its slot before the answer leaves, so that the slot is free when the answer is read. */
+    /** Ends a task. Frees the slot before it answers, so that the slot is free when the client reads the answer. */
     private void finish(RunningTask task, Runnable answer) {
         if (!task.tryEnd()) {
             return;
@@ -208,7 +208,7 @@
             return;
         }
         task.recordStop();
-        finish(task, () -> task.fail("stopped as asked", this::decorate));
+        finish(task, () -> task.fail("stopped on request", this::decorate));
         exchange.reply(decorate(HttpReply.empty(NO_CONTENT)));
     }
 
@@ -236,7 +236,8 @@
     }
 
     private static String required(HttpExchange exchange, String header) {
-        return exchange.header(header).orElseThrow(() -> new IllegalArgumentException("header " + header + " missing"));
+        return exchange.header(header)
+                .orElseThrow(() -> new IllegalArgumentException("header " + header + " is missing"));
     }
 
     private static Thread daemon(Runnable work) {
--- a/tarragonarch-standin/src/main/java/org/tarragonarch/standin/endpoint/TaskKind.java
+++ b/tarragonarch-standin/src/main/java/org/tarragonarch/standin/endpoint/TaskKind.java
@@ -12,7 +12,7 @@
 import java.util.List;
 import java.util.Locale;
 
-/** The kinds of task that a stand-in endpoint runs. */
+/** The kinds of task of a stand-in endpoint. */
 enum TaskKind {
     /** Counts the words of a text. */
     WORD_COUNT("word-count") {
@@ -21,7 +21,7 @@
             return JSON.objectNode().put("words", words(input).size());
         }
     },
-    /** Finds the words of a text that are not in a small list. */
+    /** Returns the words of a text that are not in a small word list. */
     SPELLING("spelling") {
         @Override
         JsonNode result(JsonNode input) {
@@ -36,18 +36,18 @@
             return result;
         }
     },
-    /** Says whether a domain name is free: names under six letters and a few others are taken. */
+    /** Returns whether a domain name is available: names of under six letters and a few others are taken. */
     AVAILABILITY("availability") {
         @Override
         JsonNode result(JsonNode input) {
-            checkArgument(input.path("domain").isTextual(), "the input lacks its 'domain'");
+            checkArgument(input.path("domain").isTextual(), "the input has no 'domain'");
             String domain = input.path("domain").textValue();
             String label = Splitter.on('.').split(domain).iterator().next();
             boolean available = label.length() >= SHORTEST_FREE_NAME && !TAKEN_NAMES.contains(label);
             return JSON.objectNode().put("domain", domain).put("available", available);
         }
     },
-    /** Does nothing for a while and gives its input back. */
+    /** Waits for the time in the input, then returns the input. */
     SLEEP("sleep") {
         @Override
         JsonNode result(JsonNode input) {
@@ -56,7 +56,7 @@
 
         @Override
         long runTimeMillis(JsonNode input) {
-            checkArgument(input.path("ms").canConvertToInt(), "the input lacks its 'ms'");
+            checkArgument(input.path("ms").canConvertToInt(), "the input has no 'ms'");
             return input.has(RUN_TIME)
                     ? super.runTimeMillis(input)
                     : input.path("ms").longValue();
@@ -111,20 +111,24 @@
                 return kind;
             }
         }
-        throw new IllegalArgumentException("'" + word + "' is no kind of task here");
+        throw new IllegalArgumentException("'" + word + "' is not a kind of task");
     }
 
-    /** Returns the task's result; throws {@link IllegalArgumentException} if the input has the wrong form. */
+    /**
+     * Returns the result of a task.
+     *
+     * @throws IllegalArgumentException if the input is malformed
+     */
     abstract JsonNode result(JsonNode input);
 
-    /** Returns how long the task takes, in milliseconds. */
+    /** Returns the run time of a task, in milliseconds. */
     long runTimeMillis(JsonNode input) {
         return input.path(RUN_TIME).asLong(DEFAULT_MILLIS);
     }
 
     private static List<String> words(JsonNode input) {
         JsonNode text = input.isObject() ? input.path("text") : input;
-        checkArgument(text.isTextual(), "the input is no text");
+        checkArgument(text.isTextual(), "the input is not text");
         return Splitter.on(CharMatcher.whitespace()).omitEmptyStrings().splitToList(text.textValue());
     }
 }
--- a/tarragonarch-standin/src/main/java/org/tarragonarch/standin/endpoint/package-info.java
+++ b/tarragonarch-standin/src/main/java/org/tarragonarch/standin/endpoint/package-info.java
@@ -1,2 +1,2 @@
-/** The stand-in for endpoints: runs small tasks in slots, keeps a ledger of starts and fails on demand. */
+/** The stand-in for endpoints, which runs small tasks in slots, records task starts and fails on demand. */
 package org.tarragonarch.standin.endpoint;
--- a/tarragonarch-standin/src/main/java/org/tarragonarch/standin/explore/EndpointFault.java
+++ b/tarragonarch-standin/src/main/java/org/tarragonarch/standin/explore/EndpointFault.java
@@ -1,13 +1,13 @@
 package org.tarragonarch.standin.explore;
 
-/** What a fake endpoint may do wrong. */
+/** The fault of a fake endpoint. */
 public enum EndpointFault {
-    /** Nothing. */
+    /** Works correctly. */
     NONE,
-    /** Fails every task at once. */
+    /** Fails every task after one millisecond. */
     FAILS_ALL,
-    /** Runs the task and breaks the connection in the middle of the answer. */
+    /** Runs the task and breaks the connection in the middle of the response. */
     CUTS_ANSWER_SHORT,
-    /** Takes the task and never answers. */
+    /** Accepts the task and never answers. */
     HANGS
 }
--- a/tarragonarch-standin/src/main/java/org/tarragonarch/standin/explore/ExploreMain.java
+++ b/tarragonarch-standin/src/main/java/org/tarragonarch/standin/explore/ExploreMain.java
@@ -6,7 +6,7 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 
-/** Explores any number of seeds from the command line. */
+/** Runs the explorer over a range of seeds and prints what it finds. */
 @Command(
         name = "explore",
         mixinStandardHelpOptions = true,
@@ -17,7 +17,7 @@
     @Option(names = "--first", description = "The first seed (default: ${DEFAULT-VALUE}).")
     private long first = 1;
 
-    @Option(names = "--seeds", description = "How many seeds (default: ${DEFAULT-VALUE}).")
+    @Option(names = "--seeds", description = "The number of seeds (default: ${DEFAULT-VALUE}).")
     private long seeds = 1_000;
 
     @Option(names = "--most", description = "Stop after this many findings (default: ${DEFAULT-VALUE}).")
@@ -25,7 +25,7 @@
 
     private ExploreMain() {}
 
-    /** Runs the program. */
+    /** Explores the seeds and exits with the code listed in the usage. */
     public static void main(String[] arguments) {
         System.exit(new CommandLine(new ExploreMain()).execute(arguments));
     }
--- a/tarragonarch-standin/src/main/java/org/tarragonarch/standin/explore/Explorer.java
+++ b/tarragonarch-standin/src/main/java/org/tarragonarch/standin/explore/Explorer.java
@@ -7,7 +7,7 @@
 import java.util.Optional;
 import org.tarragonarch.core.node.NodePolicy;
 
-/** Runs random plans against a small world and reports the first broken promise with the shortest plan found. */
+/** An explorer that runs random plans in a small world and reports a broken promise with a shortened plan. */
 public final class Explorer {
     private static final ImmutableList<String> NODES = ImmutableList.of("hobart-1", "hobart-2", "launceston-1");
     private static final ImmutableList<String> ENDPOINTS =
@@ -22,37 +22,37 @@
     private long submissions;
     private long starts;
 
-    /** Returns how many steps all runs took together. */
+    /** Returns the total number of steps of all runs. */
     public long steps() {
         return steps;
     }
 
-    /** Returns how many submissions all runs sent together. */
+    /** Returns the total number of submissions of all runs. */
     public long submissions() {
         return submissions;
     }
 
-    /** Returns how many task starts the ledgers of all runs hold together. */
+    /** Returns the total number of task starts in the ledgers of all runs. */
     public long starts() {
         return starts;
     }
 
-    /** Runs one seed; returns what was broken and the shortest plan found that still breaks it. */
+    /** Runs the plan of one seed; returns the broken promise and the shortest plan found that breaks it, if any. */
     public Optional<Finding> run(long seed) {
         ImmutableList<PlanStep> plan = RandomPlan.draw(seed, NODES, ENDPOINTS);
-        Optional<String> broken = tryPlan(seed, plan);
-        return broken.map(what -> new Finding(seed, what, shorten(seed, plan, what)));
+        Optional<String> violation = tryPlan(seed, plan);
+        return violation.map(message -> new Finding(seed, message, shorten(seed, plan, message)));
     }
 
-    private ImmutableList<String> shorten(long seed, ImmutableList<PlanStep> plan, String what) {
-        String promise = promiseOf(what);
+    private ImmutableList<String> shorten(long seed, ImmutableList<PlanStep> plan, String violation) {
+        String promise = promiseOf(violation);
         List<PlanStep> shortest = new ArrayList<>(plan);
         for (int size = Math.max(1, shortest.size() / 2); size >= 1; size /= 2) {
             for (int start = 0; start < shortest.size(); ) {
                 List<PlanStep> fewer = new ArrayList<>(shortest);
                 fewer.subList(start, Math.min(start + size, fewer.size())).clear();
-                Optional<String> still = tryPlan(seed, ImmutableList.copyOf(fewer));
-                if (still.filter(message -> promiseOf(message).equals(promise)).isPresent()) {
+                Optional<String> found = tryPlan(seed, ImmutableList.copyOf(fewer));
+                if (found.filter(message -> promiseOf(message).equals(promise)).isPresent()) {
                     shortest = fewer;
                 } else {
                     start += size;
@@ -74,7 +74,7 @@
         } catch (Violation violation) {
             return Optional.of(violation.getMessage());
         } catch (RuntimeException bug) {
-            // Whatever a decision throws would end a node's control thread.
+            // An exception in a decision would end a node's control thread.
             return Optional.of("no decision fails: " + bug + " in " + bug.getStackTrace()[0]);
         } finally {
             steps += world.time().steps();
@@ -115,11 +115,12 @@
             }
         }
         for (FakeNode node : world.nodes()) {
-            boolean newest = node.catalog()
+            boolean upToDate = node.catalog()
                     .filter(catalog -> catalog.version().equals(world.platform().newestVersion()))
                     .isPresent();
-            if (node.alive() && !newest) {
-                throw world.violation("a configuration comes into force everywhere", node.name() + " lacks it");
+            if (node.alive() && !upToDate) {
+                throw world.violation(
+                        "a configuration comes into force everywhere", node.name() + " does not have the newest");
             }
         }
     }
@@ -127,8 +128,8 @@
     /**
      * A broken promise.
      *
-     * @param seed the seed that broke it
-     * @param violation the promise, by what it was broken, and when
+     * @param seed the seed of the plan
+     * @param violation the promise, what broke it, and when
      * @param plan the shortest plan found that still breaks it
      */
     public record Finding(long seed, String violation, ImmutableList<String> plan) {
--- a/tarragonarch-standin/src/main/java/org/tarragonarch/standin/explore/FakeEndpoint.java
+++ b/tarragonarch-standin/src/main/java/org/tarragonarch/standin/explore/FakeEndpoint.java
@@ -10,7 +10,7 @@
 import org.tarragonarch.model.id.Address;
 import org.tarragonarch.model.id.TaskId;
 
-/** An endpoint with slots, a few faults, and a line in the ledger for each start. */
+/** A fake endpoint with slots and a switchable fault, which reports each start to the promise checker. */
 public final class FakeEndpoint {
     private static final long FAIL_NANOS = 1_000_000;
     private static final long ROUND_TRIP_NANOS = 3_000_000;
@@ -20,12 +20,12 @@
     private final VirtualTime time;
     private final PromiseChecker checker;
     private final Map<TaskId, Reply> running = new LinkedHashMap<>();
-    private final Map<String, LateContact> recordLateContact = new HashMap<>();
+    private final Map<String, LateContact> lateContacts = new HashMap<>();
     private final Set<String> refused = new HashSet<>();
-    private EndpointFault setFault = EndpointFault.NONE;
+    private EndpointFault fault = EndpointFault.NONE;
     private Address address;
     private boolean alive = true;
-    private boolean isDraining;
+    private boolean draining;
     private long drainingSinceNanos = Long.MAX_VALUE;
 
     FakeEndpoint(String name, int slots, VirtualTime time, PromiseChecker checker) {
@@ -35,14 +35,14 @@
         this.checker = checker;
     }
 
-    /** Makes the endpoint listen here and nowhere else. */
-    void listen(Address at) {
-        address = at;
+    /** Makes the endpoint listen on an address, in place of any earlier one. */
+    void listen(Address where) {
+        address = where;
     }
 
-    /** Returns whether the endpoint runs and listens here. */
-    boolean listensAt(Address at) {
-        return alive && at.equals(address);
+    /** Returns whether the endpoint runs and listens on an address. */
+    boolean listensAt(Address where) {
+        return alive && where.equals(address);
     }
 
     /** Returns the endpoint's name. */
@@ -55,87 +55,91 @@
     }
 
     boolean isDraining() {
-        return isDraining;
+        return draining;
     }
 
-    /** Makes the endpoint do this wrong from now on. */
-    public void setFault(EndpointFault next) {
-        setFault = next;
+    /** Sets the endpoint's fault. */
+    public void setFault(EndpointFault newFault) {
+        fault = newFault;
     }
 
-    /** Starts to leave: finishes what runs and refuses the rest. */
+    /** Starts to leave: finishes the running tasks and refuses new ones. */
     public void drain() {
-        isDraining = true;
+        draining = true;
         drainingSinceNanos = time.nowNanos();
     }
 
-    /** Ends the endpoint at once; what runs is lost. */
+    /** Ends the endpoint at once; its running tasks are lost. */
     public void kill() {
         alive = false;
-        Map<TaskId, Reply> cut = new LinkedHashMap<>(running);
+        Map<TaskId, Reply> lost = new LinkedHashMap<>(running);
         running.clear();
-        cut.values().forEach(reply -> reply.complete(SendResult.LOST, false));
+        lost.values().forEach(reply -> reply.complete(SendResult.LOST, false));
     }
 
-    /** Starts again after a kill or a drain, empty and well. */
+    /** Starts again after a kill or a drain, without tasks and without a fault. */
     public void restart() {
         alive = true;
-        isDraining = false;
+        draining = false;
         drainingSinceNanos = Long.MAX_VALUE;
-        setFault = EndpointFault.NONE;
-        recordLateContact.clear();
+        fault = EndpointFault.NONE;
+        lateContacts.clear();
         refused.clear();
     }
 
-    /** Records that this endpoint itself has notified a node that it is leaving. */
+    /** Records that a node received a refusal because this endpoint is leaving. */
     void recordRefusal(String node) {
-        if (isDraining) {
+        if (draining) {
             refused.add(node);
         }
     }
 
-    /** Returns whether a node sends although this endpoint itself notified it that it is leaving. */
+    /** Returns whether a node received such a refusal from this endpoint. */
     boolean hasRefused(String node) {
-        return isDraining && refused.contains(node);
+        return draining && refused.contains(node);
     }
 
     /**
-     * Counts the contacts of a node that should know by now that this endpoint is leaving.
+     * Records a contact by a node and returns the number of its late contacts.
      *
-     * <p>Several sends within one round trip are one contact: a node that wakes from a pause sends what waited before
-     * the first refusal can reach it.
+     * <p>A contact is late if this endpoint has been leaving for longer than the grace period. Several sends within one
+     * round trip count as one contact, because a node that resumes from a pause sends its waiting tasks before the
+     * first refusal can reach it.
+     *
+     * @param node the name of the run of the node
+     * @param graceNanos the time after which a node should know that this endpoint is leaving
      */
     int recordLateContact(String node, long graceNanos) {
         long now = time.nowNanos();
-        if (!isDraining || now < drainingSinceNanos + graceNanos) {
+        if (!draining || now < drainingSinceNanos + graceNanos) {
             return 0;
         }
-        LateContact before = recordLateContact.get(node);
+        LateContact before = lateContacts.get(node);
         LateContact contact = before == null
                 ? new LateContact(1, now)
                 : new LateContact(
                         now > before.nanos() + ROUND_TRIP_NANOS ? before.count() + 1 : before.count(), before.nanos());
-        recordLateContact.put(node, contact);
+        lateContacts.put(node, contact);
         return contact.count();
     }
 
-    /** Records a task; the reply is called once, unless the endpoint hangs. */
+    /** Receives a task; the reply is called once, unless the endpoint hangs. */
     void receive(SendTask send, long runNanos, Reply reply) {
         if (!listensAt(send.address())) {
             reply.complete(SendResult.CONNECT_FAILED, false);
-        } else if (isDraining) {
+        } else if (draining) {
             reply.complete(SendResult.REFUSED_DRAINING, true);
         } else if (running.size() >= slots) {
             reply.complete(SendResult.REFUSED_BUSY, false);
         } else {
             checker.recordStart(send.task(), send.attempt(), name);
             running.put(send.task(), reply);
-            long nanos = setFault == EndpointFault.FAILS_ALL ? FAIL_NANOS : runNanos;
+            long nanos = fault == EndpointFault.FAILS_ALL ? FAIL_NANOS : runNanos;
             time.scheduleAfter(nanos, () -> finish(send.task(), reply));
         }
     }
 
-    /** Stops a task whose result nobody wants. */
+    /** Stops a task whose result is no longer wanted. */
     void stop(TaskId task) {
         Reply reply = running.remove(task);
         if (reply != null) {
@@ -144,26 +148,26 @@
     }
 
     private void finish(TaskId task, Reply reply) {
-        if (running.get(task) != reply || setFault == EndpointFault.HANGS) {
+        if (running.get(task) != reply || fault == EndpointFault.HANGS) {
             return;
         }
         running.remove(task);
-        switch (setFault) {
-            case FAILS_ALL -> reply.complete(SendResult.TASK_FAILED, isDraining);
-            case CUTS_ANSWER_SHORT -> reply.complete(SendResult.LOST, isDraining);
+        switch (fault) {
+            case FAILS_ALL -> reply.complete(SendResult.TASK_FAILED, draining);
+            case CUTS_ANSWER_SHORT -> reply.complete(SendResult.LOST, draining);
             default -> {
                 checker.recordSuccess(task);
-                reply.complete(SendResult.SUCCEEDED, isDraining);
+                reply.complete(SendResult.SUCCEEDED, draining);
             }
         }
     }
 
     private record LateContact(int count, long nanos) {}
 
-    /** Takes the endpoint's answer to one task. */
+    /** A callback for the endpoint's answer to one task. */
     @FunctionalInterface
     interface Reply {
-        /** Takes the end of the exchange, as the endpoint sees it. */
+        /** Completes the exchange with the result that the endpoint saw and whether the endpoint is leaving. */
         void complete(SendResult result, boolean leaving);
     }
 }
--- a/tarragonarch-standin/src/main/java/org/tarragonarch/standin/explore/FakeNode.java
+++ b/tarragonarch-standin/src/main/java/org/tarragonarch/standin/explore/FakeNode.java
@@ -50,13 +50,13 @@
 import org.tarragonarch.model.report.NodePhase;
 import org.tarragonarch.model.service.ServiceCatalog;
 
-/** One run of one node: the real core, with a shell of fakes around it. */
+/** One run of a node: the real core, driven by fake outer services. */
 public final class FakeNode {
     private final NodeIdentity identity;
     private final World world;
     private final EventRecorder recorder;
     private final EntryNode core;
-    private final Deque<Event> held = new ArrayDeque<>();
+    private final Deque<Event> heldEvents = new ArrayDeque<>();
     private final Map<NoteEvent, Integer> notes = new HashMap<>();
     private Optional<ServiceCatalog> catalog = Optional.empty();
     private NodePhase phase = NodePhase.STARTING;
@@ -66,11 +66,11 @@
     private long wakeNanos;
     private long nextSubmission;
 
-    FakeNode(TraceHeader made, EventRecorder recorder, World world) {
-        this.identity = made.identity();
+    FakeNode(TraceHeader header, EventRecorder recorder, World world) {
+        this.identity = header.identity();
         this.world = world;
         this.recorder = recorder;
-        this.core = made.newNode();
+        this.core = header.newNode();
     }
 
     NodeIdentity identity() {
@@ -87,12 +87,12 @@
         return name() + "#" + identity.incarnation();
     }
 
-    /** Returns whether this run goes on. */
+    /** Returns whether this run has not ended. */
     public boolean alive() {
         return alive;
     }
 
-    /** Returns the phase. */
+    /** Returns the phase of the node. */
     public NodePhase phase() {
         return phase;
     }
@@ -102,12 +102,12 @@
         return catalog;
     }
 
-    /** Returns a snapshot of the core. */
+    /** Returns a snapshot of the core's status. */
     public NodeStatus status() {
         return core.status();
     }
 
-    /** Returns how often something was noted. */
+    /** Returns how often the node noted an event. */
     public int noteCount(NoteEvent event) {
         return notes.getOrDefault(event, 0);
     }
@@ -120,7 +120,7 @@
         return unfrozenNanos;
     }
 
-    /** Returns the next submission that a caller sends to this node. */
+    /** Creates the arrival of the next submission to this node. */
     SubmissionArrived nextArrival(
             SubmissionForm form, KindName kind, Optional<String> key, int tasks, Optional<Duration> timeAllowed) {
         byte[] content = (kind + "/" + form + "/" + key + "/" + tasks).getBytes(StandardCharsets.UTF_8);
@@ -149,19 +149,19 @@
     void unfreeze() {
         frozen = false;
         unfrozenNanos = world.time().nowNanos();
-        while (!held.isEmpty() && alive) {
-            handle(held.remove());
+        while (!heldEvents.isEmpty() && alive) {
+            handle(heldEvents.remove());
         }
         deliver(new TimePassed());
     }
 
-    /** Hands an event to the core, now, or on waking if the node is frozen. */
+    /** Passes an event to the core, or holds it until the node is unfrozen. */
     void deliver(Event event) {
         if (!alive) {
             return;
         }
         if (frozen) {
-            held.add(event);
+            heldEvents.add(event);
         } else {
             handle(event);
         }
@@ -171,10 +171,10 @@
         List<Action> actions = new ArrayList<>();
         recorder.record(world.time().nowNanos(), event);
         core.handle(world.time().nowNanos(), event, actions::add);
-        ImmutableList.copyOf(actions).forEach(this::act);
+        ImmutableList.copyOf(actions).forEach(this::perform);
     }
 
-    private void act(Action action) {
+    private void perform(Action action) {
         if (action instanceof AnswerProblem answer) {
             world.recordAnswer(this, answer.submission(), Optional.of(answer.problem()));
         } else if (action instanceof AnswerComplete answer) {
@@ -195,11 +195,11 @@
             catalog = Optional.of(inForce.catalog());
             world.recordConfiguration(this, inForce.catalog());
         } else {
-            actOutside(action);
+            callShell(action);
         }
     }
 
-    private void actOutside(Action action) {
+    private void callShell(Action action) {
         Shell shell = world.shell();
         if (action instanceof SendTask send) {
             shell.sendTask(this, send);
@@ -228,8 +228,8 @@
         }
     }
 
-    private void wake(long planned) {
-        if (planned == wakeNanos && !frozen) {
+    private void wake(long plannedNanos) {
+        if (plannedNanos == wakeNanos && !frozen) {
             deliver(new TimePassed());
         }
     }
--- a/tarragonarch-standin/src/main/java/org/tarragonarch/standin/explore/FakePlatform.java
+++ b/tarragonarch-standin/src/main/java/org/tarragonarch/standin/explore/FakePlatform.java
@@ -17,9 +17,9 @@
 import org.tarragonarch.model.platform.VmRecord;
 import org.tarragonarch.model.service.ServiceCatalog;
 
-/** The platform's table service, object store and VM list, in memory, with the faults that the brief names. */
+/** An in-memory fake of the platform's table service, object store and VM list, with switchable faults. */
 public final class FakePlatform {
-    private static final long LEAST_WRITE_NANOS = 2_000_000;
+    private static final long MIN_WRITE_NANOS = 2_000_000;
     private static final int WRITE_SPREAD_NANOS = 6_000_000;
     private static final int LATE_WRITE_SPREAD_NANOS = 2_000_000_000;
     private static final long TIMEOUT_NANOS = 500_000_000;
@@ -30,60 +30,60 @@
     private final Map<ConfigurationVersion, ServiceCatalog> objects = new HashMap<>();
     private final Map<String, VmRecord> vms = new LinkedHashMap<>();
     private final List<ConfigurationRow> rows = new ArrayList<>();
-    private boolean setOut;
-    private double setReplyLostShare;
-    private double setStaleReadShare;
+    private boolean out;
+    private double replyLostShare;
+    private double staleReadShare;
     private long listLagNanos;
-    private long listSeenNanos;
+    private long listVisibleNanos;
 
     FakePlatform(VirtualTime time, Random random) {
         this.time = time;
         this.random = random;
     }
 
-    /** Takes the whole platform out, or brings it back. */
-    public void setOut(boolean isOut) {
-        setOut = isOut;
+    /** Sets whether the whole platform is out of service. */
+    public void setOut(boolean newOut) {
+        out = newOut;
     }
 
-    /** Sets the share of writes that take effect, soon or late, although their reply is lost. */
+    /** Sets the share of writes that take effect, on time or late, although their reply is lost. */
     public void setReplyLostShare(double share) {
-        setReplyLostShare = share;
+        replyLostShare = share;
     }
 
-    /** Sets the share of reads of the configuration row that give an older row. */
+    /** Sets the share of reads of the configuration row that return an older row. */
     public void setStaleReadShare(double share) {
-        setStaleReadShare = share;
+        staleReadShare = share;
     }
 
-    /** Sets how long a change of the VM list takes to be seen. */
+    /** Sets the delay in nanoseconds until a change of the VM list is visible. */
     public void setListLag(long nanos) {
         listLagNanos = nanos;
     }
 
-    /** Puts a VM on the list, or changes its line, once the lag is over. */
+    /** Adds or replaces a VM in the list; the change becomes visible after the lag. */
     public void listVm(VmRecord vm) {
         changeList(() -> vms.put(vm.name(), vm));
     }
 
-    /** Takes a VM off the list, once the lag is over. */
+    /** Removes a VM from the list; the change becomes visible after the lag. */
     public void unlistVm(String name) {
         changeList(() -> vms.remove(name));
     }
 
-    // The list lags but never goes back: changes are seen in the order in which they were made.
+    // The list lags but never reverts: changes become visible in the order in which they were made.
     private void changeList(Runnable change) {
-        listSeenNanos = Math.max(listSeenNanos, time.nowNanos() + listLagNanos);
-        time.scheduleAt(listSeenNanos, change);
+        listVisibleNanos = Math.max(listVisibleNanos, time.nowNanos() + listLagNanos);
+        time.scheduleAt(listVisibleNanos, change);
     }
 
-    /** Accepts a configuration. */
+    /** Stores a configuration and makes its row the newest. */
     public void acceptConfiguration(ConfigurationRow row, ServiceCatalog catalog) {
         rows.add(row);
         objects.put(catalog.version(), catalog);
     }
 
-    /** Returns the version accepted last. */
+    /** Returns the version of the newest row. */
     public ConfigurationVersion newestVersion() {
         return rows.isEmpty()
                 ? ConfigurationVersion.NONE
@@ -91,7 +91,7 @@
     }
 
     boolean isOut() {
-        return setOut;
+        return out;
     }
 
     long timeoutNanos() {
@@ -106,7 +106,7 @@
         if (rows.isEmpty()) {
             return Optional.empty();
         }
-        boolean stale = random.nextDouble() < setStaleReadShare;
+        boolean stale = random.nextDouble() < staleReadShare;
         return Optional.of(rows.get(stale ? random.nextInt(rows.size()) : rows.size() - 1));
     }
 
@@ -114,15 +114,15 @@
         return Optional.ofNullable(objects.get(version));
     }
 
-    /** Writes claims; {@code done} gets nothing where the reply is lost. */
+    /** Writes claims whose keys are absent; {@code done} receives an empty value if the reply is lost. */
     void insertIfAbsent(List<Claim> wanted, Consumer<Optional<ImmutableList<ClaimResult>>> done) {
-        boolean lost = random.nextDouble() < setReplyLostShare;
-        long applied = LEAST_WRITE_NANOS + random.nextInt(WRITE_SPREAD_NANOS);
+        boolean lost = random.nextDouble() < replyLostShare;
+        long delay = MIN_WRITE_NANOS + random.nextInt(WRITE_SPREAD_NANOS);
         if (lost && random.nextBoolean()) {
-            // The write is held up somewhere and takes effect after its sender has given up on it.
-            applied = TIMEOUT_NANOS + random.nextInt(LATE_WRITE_SPREAD_NANOS);
+            // The write is delayed and takes effect after its sender has timed out.
+            delay = TIMEOUT_NANOS + random.nextInt(LATE_WRITE_SPREAD_NANOS);
         }
-        time.scheduleAfter(applied, () -> {
+        time.scheduleAfter(delay, () -> {
             wanted.forEach(claim -> claims.putIfAbsent(claim.key(), claim));
             if (!lost) {
                 done.accept(Optional.of(currentClaims(wanted)));
@@ -140,8 +140,8 @@
     }
 
     void releaseClaim(Claim claim) {
-        Claim standing = claims.get(claim.key());
-        if (standing != null && standing.token().equals(claim.token())) {
+        Claim current = claims.get(claim.key());
+        if (current != null && current.token().equals(claim.token())) {
             claims.remove(claim.key());
         }
     }
--- a/tarragonarch-standin/src/main/java/org/tarragonarch/standin/explore/LeavingPromise.java
+++ b/tarragonarch-standin/src/main/java/org/tarragonarch/standin/explore/LeavingPromise.java
@@ -2,11 +2,11 @@
 
 import java.time.Duration;
 
-/** The promise that an endpoint which leaves gets no new work after a few seconds. */
+/** The promise that a leaving endpoint gets no new work after a few seconds. */
 final class LeavingPromise {
-    /** How long after an endpoint began to leave a node may still send to it for the first time. */
+    /** The time after an endpoint begins to leave in which a node that it has not refused may still send to it. */
     private static final long LEAVING_GRACE_NANOS = Duration.ofSeconds(5).toNanos();
-    /** A node that knew nothing may find out by one contact; a second one breaks the promise. */
+    /** A node that does not know may learn of it by one contact; a second contact breaks the promise. */
     private static final int LATE_CONTACTS_ALLOWED = 1;
 
     private static final String PROMISE = "a leaving endpoint gets no new work after a few seconds";
@@ -18,17 +18,18 @@
     }
 
     /**
-     * Checks one send to an endpoint.
+     * Checks one sending of a task to an endpoint.
      *
-     * @throws Violation if the node should have known that the endpoint leaves
+     * @throws Violation if the node should have known that the endpoint is leaving
      */
     void checkSend(FakeNode node, String name, FakeEndpoint endpoint) {
         if (endpoint.hasRefused(node.runName())) {
-            throw checker.violation(PROMISE, node.name() + " sent to " + name + " although that refused before");
+            throw checker.violation(PROMISE, node.name() + " sent to " + name + " after that endpoint had refused");
         }
         int contacts = endpoint.recordLateContact(node.runName(), LEAVING_GRACE_NANOS);
         if (contacts > LATE_CONTACTS_ALLOWED) {
-            throw checker.violation(PROMISE, node.name() + " sent to " + name + " " + contacts + " times");
+            throw checker.violation(
+                    PROMISE, node.name() + " sent to " + name + " " + contacts + " times after the grace period");
         }
     }
 }
--- a/tarragonarch-standin/src/main/java/org/tarragonarch/standin/explore/Ledger.java
+++ b/tarragonarch-standin/src/main/java/org/tarragonarch/standin/explore/Ledger.java
@@ -10,19 +10,19 @@
 import org.tarragonarch.model.id.SubmissionId;
 import org.tarragonarch.model.id.TaskId;
 
-/** What the endpoints really started and finished: the verdict on the promises rests on it, not on a node's word. */
+/** The record of what the endpoints started and finished. Promises are checked against it, not against the nodes. */
 public final class Ledger {
     private final Map<TaskId, List<Start>> starts = new HashMap<>();
-    private final Set<SubmissionId> hasStarted = new HashSet<>();
-    private final Set<TaskId> hasSucceeded = new HashSet<>();
+    private final Set<SubmissionId> startedSubmissions = new HashSet<>();
+    private final Set<TaskId> succeededTasks = new HashSet<>();
 
     void recordStart(TaskId task, int attempt, String endpoint, long nowNanos) {
         starts.computeIfAbsent(task, id -> new ArrayList<>()).add(new Start(attempt, endpoint, nowNanos));
-        hasStarted.add(task.submission());
+        startedSubmissions.add(task.submission());
     }
 
     void recordSuccess(TaskId task) {
-        hasSucceeded.add(task);
+        succeededTasks.add(task);
     }
 
     /** Returns the starts of a task. */
@@ -32,15 +32,15 @@
 
     /** Returns whether any task of a submission has started. */
     public boolean hasStarted(SubmissionId submission) {
-        return hasStarted.contains(submission);
+        return startedSubmissions.contains(submission);
     }
 
     /** Returns whether a task has succeeded. */
     public boolean hasSucceeded(TaskId task) {
-        return hasSucceeded.contains(task);
+        return succeededTasks.contains(task);
     }
 
-    /** Returns how many starts there were. */
+    /** Returns the number of starts. */
     public int startCount() {
         return starts.values().stream().mapToInt(List::size).sum();
     }
@@ -48,9 +48,9 @@
     /**
      * One start of a task at an endpoint.
      *
-     * @param attempt the attempt that the node named
-     * @param endpoint where it started
-     * @param nanos when
+     * @param attempt the number of the attempt, as the node sent it
+     * @param endpoint the endpoint's name
+     * @param nanos the virtual time of the start
      */
     public record Start(int attempt, String endpoint, long nanos) {}
 }
--- a/tarragonarch-standin/src/main/java/org/tarragonarch/standin/explore/Network.java
+++ b/tarragonarch-standin/src/main/java/org/tarragonarch/standin/explore/Network.java
@@ -4,10 +4,10 @@
 import java.util.Random;
 import java.util.Set;
 
-/** Which directed links are cut, and how long a message takes over one that is not. */
+/** The network: which directed links are cut, and the delay of messages over the others. */
 public final class Network {
-    private static final long LEAST_DELAY_NANOS = 200_000;
-    private static final int SPREAD_NANOS = 1_000_000;
+    private static final long MIN_DELAY_NANOS = 200_000;
+    private static final int DELAY_SPREAD_NANOS = 1_000_000;
 
     private final Set<Link> cuts = new HashSet<>();
     private final Random random;
@@ -43,7 +43,7 @@
     }
 
     long nextDelayNanos() {
-        return LEAST_DELAY_NANOS + random.nextInt(SPREAD_NANOS);
+        return MIN_DELAY_NANOS + random.nextInt(DELAY_SPREAD_NANOS);
     }
 
     private record Link(String from, String to) {}
--- a/tarragonarch-standin/src/main/java/org/tarragonarch/standin/explore/PlanStep.java
+++ b/tarragonarch-standin/src/main/java/org/tarragonarch/standin/explore/PlanStep.java
@@ -3,11 +3,11 @@
 import java.util.function.Consumer;
 
 /**
- * One thing that a random plan does to a world.
+ * One step of a random plan.
  *
- * @param nanos when
- * @param text what, for a person
- * @param effect what, for the world
+ * @param nanos the virtual time of the step
+ * @param text a description of the step
+ * @param effect the effect on the world
  */
 record PlanStep(long nanos, String text, Consumer<World> effect) {
     @Override
--- a/tarragonarch-standin/src/main/java/org/tarragonarch/standin/explore/PromiseChecker.java
+++ b/tarragonarch-standin/src/main/java/org/tarragonarch/standin/explore/PromiseChecker.java
@@ -15,11 +15,11 @@
 import org.tarragonarch.model.outcome.Outcome;
 import org.tarragonarch.model.outcome.Problem;
 
-/** Checks every start and every answer against the promises of the system, as they happen. */
+/** A checker of every task start and every answer against the promises of the system. */
 public final class PromiseChecker {
     private final VirtualTime time;
     private final Ledger ledger;
-    private final Map<SubmissionId, SentSubmission> recordSent = new HashMap<>();
+    private final Map<SubmissionId, SentSubmission> submissions = new HashMap<>();
     private final Map<ClaimKey, Set<Integer>> startedByKey = new HashMap<>();
     private final Map<ClaimKey, Set<Integer>> succeededByKey = new HashMap<>();
     private final Map<String, ConfigurationVersion> inForce = new HashMap<>();
@@ -30,21 +30,21 @@
     }
 
     void recordSent(SentSubmission submission) {
-        recordSent.put(submission.submission().id(), submission);
+        submissions.put(submission.submission().id(), submission);
     }
 
-    /** Returns every submission that was sent, as a view. */
+    /** Returns an unmodifiable view of all submissions. */
     public Collection<SentSubmission> sentSubmissions() {
-        return Collections.unmodifiableCollection(recordSent.values());
+        return Collections.unmodifiableCollection(submissions.values());
     }
 
     void recordStart(TaskId task, int attempt, String endpoint) {
-        SentSubmission submission = recordSent.get(task.submission());
-        boolean again = !ledger.starts(task).isEmpty();
-        if (again && submission.submission().form() == SubmissionForm.JOB) {
+        SentSubmission submission = submissions.get(task.submission());
+        boolean startedBefore = !ledger.starts(task).isEmpty();
+        if (startedBefore && submission.submission().form() == SubmissionForm.JOB) {
             throw violation("no task of a submission starts twice", task + " started again at " + endpoint);
         }
-        if (again && !submission.idempotent()) {
+        if (startedBefore && !submission.idempotent()) {
             throw violation("a non-idempotent request runs at most once", task + " started again at " + endpoint);
         }
         if (submission.isAnswered() && submission.outcome().equals(Outcome.NOT_RUN.word())) {
@@ -62,7 +62,7 @@
 
     void recordSuccess(TaskId task) {
         ledger.recordSuccess(task);
-        recordSent
+        submissions
                 .get(task.submission())
                 .claimKey()
                 .ifPresent(key -> succeededByKey
@@ -70,8 +70,8 @@
                         .add(task.index()));
     }
 
-    void recordAnswer(SubmissionId id, Optional<Problem> problem, long nodeThawedNanos) {
-        SentSubmission submission = recordSent.get(id);
+    void recordAnswer(SubmissionId id, Optional<Problem> problem, long nodeUnfrozenNanos) {
+        SentSubmission submission = submissions.get(id);
         if (submission.isAnswered()) {
             throw violation("every submission has one answer", id + " was answered again");
         }
@@ -81,7 +81,7 @@
         } else {
             checkProblem(submission, problem.get());
         }
-        long latest = Math.max(submission.deadlineNanos(), nodeThawedNanos);
+        long latest = Math.max(submission.deadlineNanos(), nodeUnfrozenNanos);
         if (time.nowNanos() > latest) {
             throw violation("what is given up on is answered at once", id + " was answered after its deadline");
         }
@@ -95,13 +95,13 @@
     }
 
     private void checkComplete(SentSubmission submission) {
-        Set<Integer> byKey = submission
+        Set<Integer> succeededIndexes = submission
                 .claimKey()
                 .map(key -> succeededByKey.getOrDefault(key, Set.of()))
                 .orElse(Set.of());
         for (int index = 0; index < submission.submission().tasks().size(); index++) {
             TaskId task = new TaskId(submission.submission().id(), index);
-            if (!ledger.hasSucceeded(task) && !byKey.contains(index)) {
+            if (!ledger.hasSucceeded(task) && !succeededIndexes.contains(index)) {
                 throw violation("a complete answer holds every result", task + " has not succeeded");
             }
         }
--- a/tarragonarch-standin/src/main/java/org/tarragonarch/standin/explore/SampleCatalog.java
+++ b/tarragonarch-standin/src/main/java/org/tarragonarch/standin/explore/SampleCatalog.java
@@ -18,39 +18,39 @@
 import org.tarragonarch.model.service.ServiceObjective;
 import org.tarragonarch.model.service.TeamDefinition;
 
-/** The small configuration that the explorer and the scenarios run with. */
+/** The small configuration that the explorer and the scenarios use. */
 public final class SampleCatalog {
-    /** The one service. */
+    /** The only service. */
     public static final ServiceName SERVICE = ServiceName.of("proof-board");
-    /** A kind that may run more than once. */
+    /** A kind whose tasks may run more than once. */
     public static final KindName IDEMPOTENT = KindName.of("spelling");
-    /** A kind that must run at most once. */
+    /** A kind whose tasks must run at most once. */
     public static final KindName NON_IDEMPOTENT = KindName.of("word-count");
-    /** The one caller. */
+    /** The only caller. */
     public static final CallerName CALLER = CallerName.of("upload-page");
-    /** How long a submission may take when it states no time. */
+    /** The time allowed for a submission that states none. */
     public static final Duration DEFAULT_DEADLINE = Duration.ofSeconds(5);
 
     private static final TeamName TEAM = TeamName.of("proofreaders");
-    private static final int MANY = 1_000;
+    private static final int AMPLE_LIMIT = 1_000;
 
     private SampleCatalog() {}
 
-    /** Returns the configuration as accepted under this version. */
+    /** Returns the configuration with a version; even versions differ from odd ones in the service's objective. */
     public static ServiceCatalog withVersion(long version) {
         ServiceDefinition service = new ServiceDefinition(
                 SERVICE,
                 version % 2 == 0 ? ServiceObjective.FEW_MESSAGES : ServiceObjective.RESPONSE_TIME,
                 ImmutableMap.of(IDEMPOTENT, kind(IDEMPOTENT, true), NON_IDEMPOTENT, kind(NON_IDEMPOTENT, false)),
                 ImmutableSet.of(CALLER),
-                MANY,
-                MANY);
+                AMPLE_LIMIT,
+                AMPLE_LIMIT);
         byte[] text = ("version " + version).getBytes(StandardCharsets.UTF_8);
         return new ServiceCatalog(
                 ConfigurationVersion.of(version),
                 ContentDigest.of(text),
                 ImmutableMap.copyOf(Map.of(SERVICE, service)),
-                ImmutableMap.of(TEAM, new TeamDefinition(TEAM, 1, MANY)),
+                ImmutableMap.of(TEAM, new TeamDefinition(TEAM, 1, AMPLE_LIMIT)),
                 ImmutableMap.of(CALLER, new CallerDefinition(CALLER, TEAM, ContentDigest.of(text))),
                 ImmutableMap.of(),
                 ImmutableSet.of());
--- a/tarragonarch-standin/src/main/java/org/tarragonarch/standin/explore/SentSubmission.java
+++ b/tarragonarch-standin/src/main/java/org/tarragonarch/standin/explore/SentSubmission.java
@@ -5,7 +5,7 @@
 import org.tarragonarch.model.id.ClaimKey;
 import org.tarragonarch.model.outcome.Problem;
 
-/** One submission that a caller sent, and what became of it. */
+/** One submission that a caller sent, and its answer once there is one. */
 public final class SentSubmission {
     private final SubmissionArrived submission;
     private final boolean idempotent;
@@ -21,17 +21,17 @@
         this.deadlineNanos = deadlineNanos;
     }
 
-    /** Returns what was sent. */
+    /** Returns the submission as it arrived at the node. */
     public SubmissionArrived submission() {
         return submission;
     }
 
-    /** Returns whether its kind is idempotent. */
+    /** Returns whether the kind of the submission is idempotent. */
     public boolean idempotent() {
         return idempotent;
     }
 
-    /** Returns when it was sent. */
+    /** Returns when the submission was sent, in virtual nanoseconds. */
     public long sentNanos() {
         return sentNanos;
     }
@@ -44,30 +44,30 @@
         return submission.key().map(key -> new ClaimKey(submission.service(), submission.caller(), key));
     }
 
-    void recordAnswer(Optional<Problem> why, long nowNanos) {
-        problem = why;
+    void recordAnswer(Optional<Problem> newProblem, long nowNanos) {
+        problem = newProblem;
         answeredNanos = nowNanos;
     }
 
-    /** Returns whether the caller was answered. */
+    /** Returns whether the caller received an answer. */
     public boolean isAnswered() {
         return answeredNanos >= 0;
     }
 
-    /** Returns when the caller was answered; -1 if it was not. */
+    /** Returns when the caller received the answer, in virtual nanoseconds; -1 if there is none. */
     public long answeredNanos() {
         return answeredNanos;
     }
 
-    /** Returns the word of the outcome, or {@code none} while there is no answer. */
+    /** Returns the outcome's word, or {@code none} while there is no answer. */
     public String outcome() {
         if (!isAnswered()) {
             return "none";
         }
-        return problem.map(why -> why.code().outcome().word()).orElse("complete");
+        return problem.map(cause -> cause.code().outcome().word()).orElse("complete");
     }
 
-    /** Returns why there are no results, if the caller was answered so. */
+    /** Returns the problem, if the answer was one. */
     public Optional<Problem> problem() {
         return problem;
     }
--- a/tarragonarch-standin/src/main/java/org/tarragonarch/standin/explore/Shell.java
+++ b/tarragonarch-standin/src/main/java/org/tarragonarch/standin/explore/Shell.java
@@ -37,11 +37,11 @@
 import org.tarragonarch.model.id.SubmissionId;
 import org.tarragonarch.model.service.ServiceCatalog;
 
-/** Carries the nodes' actions to the fakes, over links that may be cut, and brings back events. */
+/** Performs the nodes' actions on the fakes, over links that may be cut, and delivers the resulting events. */
 final class Shell {
     private static final long CONNECT_TIMEOUT_NANOS = 300_000_000;
     private static final int RELEASE_SPREAD_NANOS = 1_000_000_000;
-    private static final int ENDS_PER_REPEATED_END = 20;
+    private static final int ENDS_PER_REPEATED_ONE = 20;
     private static final int REPEAT_SPREAD_NANOS = 200_000_000;
     private static final String PLATFORM = World.PLATFORM;
 
@@ -61,7 +61,7 @@
         AtomicBoolean ended = new AtomicBoolean();
         time.scheduleAfter(send.timeAllowed().toNanos(), () -> end(node, send, SendResult.LOST, false, ended));
         if (!network.isOpen(node.name(), endpoint) || !network.isOpen(endpoint, node.name())) {
-            sendOverCut(node, send, ended);
+            sendOverCutLink(node, send, ended);
             return;
         }
         world.checkSend(node, endpoint, send.address());
@@ -74,8 +74,8 @@
                 }));
     }
 
-    // On a new connection nothing leaves over a cut link; on a pooled one the bytes leave and may even arrive.
-    private void sendOverCut(FakeNode node, SendTask send, AtomicBoolean ended) {
+    // A new connection cannot be opened over a cut link. On a pooled one the request is sent and may still arrive.
+    private void sendOverCutLink(FakeNode node, SendTask send, AtomicBoolean ended) {
         boolean pooled = world.random().nextBoolean();
         if (!pooled) {
             time.scheduleAfter(CONNECT_TIMEOUT_NANOS, () -> end(node, send, SendResult.CONNECT_FAILED, false, ended));
@@ -100,8 +100,8 @@
                     leaving,
                     result.name().toLowerCase(Locale.ROOT));
             node.deliver(event);
-            if (world.random().nextInt(ENDS_PER_REPEATED_END) == 0) {
-                // A shell that reports an end twice must not confuse a later attempt with it.
+            if (world.random().nextInt(ENDS_PER_REPEATED_ONE) == 0) {
+                // The core must not attribute a repeated end to a later attempt.
                 time.scheduleAfter(world.random().nextInt(REPEAT_SPREAD_NANOS), () -> node.deliver(event));
             }
         }
@@ -128,7 +128,7 @@
     }
 
     void writeClaims(FakeNode node, WriteClaims write) {
-        if (platformReached(node)) {
+        if (canReachPlatform(node)) {
             world.platform().insertIfAbsent(write.claims(), results -> {
                 if (results.isPresent()) {
                     node.deliver(new ClaimsWritten(write.batch(), results.get()));
@@ -144,17 +144,17 @@
     }
 
     void readClaims(FakeNode node, ReadClaims read) {
-        boolean reached = platformReached(node);
+        boolean reached = canReachPlatform(node);
         time.scheduleAfter(2 * network.nextDelayNanos(), () -> {
-            ImmutableList<ClaimResult> standing = world.platform().currentClaims(read.claims());
+            ImmutableList<ClaimResult> current = world.platform().currentClaims(read.claims());
             Event event =
-                    reached ? new ClaimsRead(read.batch(), standing) : new ClaimsUncertain(read.batch(), false, "out");
+                    reached ? new ClaimsRead(read.batch(), current) : new ClaimsUncertain(read.batch(), false, "out");
             node.deliver(event);
         });
     }
 
     void releaseClaim(FakeNode node, ReleaseClaim release) {
-        if (platformReached(node)) {
+        if (canReachPlatform(node)) {
             int delay = world.random().nextInt(RELEASE_SPREAD_NANOS);
             time.scheduleAfter(delay, () -> world.platform().releaseClaim(release.claim()));
         }
@@ -164,7 +164,7 @@
         Optional<FakeNode> holder = world.node(ask.peer().value());
         boolean open = network.isOpen(node.name(), ask.peer().value());
         if (holder.isEmpty() || !holder.get().alive() || !open) {
-            time.scheduleAfter(CONNECT_TIMEOUT_NANOS, () -> notToBeHad(node, ask.waiting()));
+            time.scheduleAfter(CONNECT_TIMEOUT_NANOS, () -> deliverUnavailable(node, ask.waiting()));
             return;
         }
         Question question = new Question(node, ask.waiting(), holder.get());
@@ -185,16 +185,17 @@
         }
     }
 
-    /** Breaks the connections of a node that ended: nodes that asked it for an answer are notified. */
+    /** Breaks the connections of a node that ended, and notifies the nodes that asked it for an answer. */
     void breakConnections(FakeNode holder) {
         for (Question question : questions) {
             if (question.holder() == holder) {
-                time.scheduleAfter(network.nextDelayNanos(), () -> notToBeHad(question.asker(), question.waiting()));
+                time.scheduleAfter(
+                        network.nextDelayNanos(), () -> deliverUnavailable(question.asker(), question.waiting()));
             }
         }
     }
 
-    private static void notToBeHad(FakeNode asker, SubmissionId waiting) {
+    private static void deliverUnavailable(FakeNode asker, SubmissionId waiting) {
         asker.deliver(new PeerAnswerArrived(waiting, PeerAnswer.NOT_TO_BE_HAD, Optional.empty()));
     }
 
@@ -208,7 +209,7 @@
     }
 
     void readVmList(FakeNode node) {
-        boolean reached = platformReached(node);
+        boolean reached = canReachPlatform(node);
         time.scheduleAfter(2 * network.nextDelayNanos(), () -> {
             Event event =
                     reached ? new VmListRead(world.platform().vms()) : new PlatformFailed(PlatformPart.VM_LIST, "out");
@@ -217,7 +218,7 @@
     }
 
     void readConfigurationRow(FakeNode node) {
-        boolean reached = platformReached(node);
+        boolean reached = canReachPlatform(node);
         time.scheduleAfter(2 * network.nextDelayNanos(), () -> {
             Event event = reached
                     ? new ConfigurationRowRead(world.platform().configurationRow())
@@ -230,16 +231,16 @@
         String source = load.peer().map(peer -> peer.value()).orElse(PLATFORM);
         boolean reached = load.peer().isPresent()
                 ? network.isOpen(node.name(), source) && network.isOpen(source, node.name())
-                : platformReached(node);
+                : canReachPlatform(node);
         time.scheduleAfter(2 * network.nextDelayNanos(), () -> {
-            Optional<ServiceCatalog> found = reached ? find(load) : Optional.empty();
+            Optional<ServiceCatalog> found = reached ? findCatalog(load) : Optional.empty();
             Event event = found.<Event>map(catalog -> new ConfigurationLoaded(catalog, source))
-                    .orElseGet(() -> new ConfigurationLoadFailed(load.version(), source, "not to be had"));
+                    .orElseGet(() -> new ConfigurationLoadFailed(load.version(), source, "unavailable"));
             node.deliver(event);
         });
     }
 
-    private Optional<ServiceCatalog> find(LoadConfiguration load) {
+    private Optional<ServiceCatalog> findCatalog(LoadConfiguration load) {
         Optional<ServiceCatalog> found = load.peer().isPresent()
                 ? world.node(load.peer().get().value())
                         .filter(peer -> peer.alive() && !peer.frozen())
@@ -249,7 +250,7 @@
                 load.digest().map(digest -> digest.equals(catalog.digest())).orElse(true));
     }
 
-    private boolean platformReached(FakeNode node) {
+    private boolean canReachPlatform(FakeNode node) {
         return !world.platform().isOut() && network.isOpen(node.name(), PLATFORM);
     }
 
--- a/tarragonarch-standin/src/main/java/org/tarragonarch/standin/explore/Violation.java
+++ b/tarragonarch-standin/src/main/java/org/tarragonarch/standin/explore/Violation.java
@@ -1,6 +1,6 @@
 package org.tarragonarch.standin.explore;
 
-/** A promise was broken; the message says which, by what and when. */
+/** Thrown when a promise is broken; the message names the promise, what broke it, and the virtual time. */
 public final class Violation extends RuntimeException {
     private static final long serialVersionUID = 1L;
 
--- a/tarragonarch-standin/src/main/java/org/tarragonarch/standin/explore/VmRecords.java
+++ b/tarragonarch-standin/src/main/java/org/tarragonarch/standin/explore/VmRecords.java
@@ -10,7 +10,7 @@
 import org.tarragonarch.model.platform.VmRole;
 import org.tarragonarch.model.platform.VmState;
 
-/** The VMs of nodes and endpoints, each on an address of its own, as the platform lists them. */
+/** The VM records of nodes and endpoints, each with its own address, as the platform lists them. */
 final class VmRecords {
     private final FakePlatform platform;
     private final Map<String, VmRecord> records = new HashMap<>();
@@ -20,14 +20,14 @@
         this.platform = platform;
     }
 
-    /** Lists a node; one that was listed before keeps its address. */
+    /** Lists a node; a node that was listed before keeps its address. */
     VmRecord listNode(String name, String domain) {
         VmRecord vm = records.computeIfAbsent(name, key -> record(name, VmRole.ENTRY, domain, ImmutableSet.of(), 0));
         platform.listVm(vm);
         return vm;
     }
 
-    /** Lists an endpoint on a new address. */
+    /** Lists an endpoint with a new address. */
     VmRecord listEndpoint(String name, String domain, int slots) {
         VmRecord vm = record(name, VmRole.ENDPOINT, domain, ImmutableSet.of(SampleCatalog.SERVICE), slots);
         records.put(name, vm);
@@ -35,7 +35,7 @@
         return vm;
     }
 
-    /** Lists a VM as one that leaves. */
+    /** Lists a VM as leaving. */
     void listLeaving(String name) {
         VmRecord vm = records.get(name);
         platform.listVm(new VmRecord(
--- a/tarragonarch-standin/src/main/java/org/tarragonarch/standin/explore/World.java
+++ b/tarragonarch-standin/src/main/java/org/tarragonarch/standin/explore/World.java
@@ -35,13 +35,13 @@
 import org.tarragonarch.model.service.ServiceCatalog;
 
 /**
- * A handful of nodes' cores, fake endpoints and a fake platform on one virtual clock.
+ * A simulated cluster: the cores of several nodes, fake endpoints and a fake platform on one virtual clock.
  *
- * <p>A test of the decisions, not a cluster simulator: it models no machine, and of the network only cuts and delays.
- * The same seed and the same calls give the same run.
+ * <p>It tests the decisions of the nodes. It does not model machines, and models only cuts and delays of the network.
+ * Runs with the same seed and the same calls are identical.
  */
 public final class World {
-    /** The name by which links to the platform are cut. */
+    /** The name of the platform in links. */
     public static final String PLATFORM = "platform";
 
     private static final OperatorName OPERATOR = OperatorName.of("ann");
@@ -59,7 +59,7 @@
     private final Map<String, FakeEndpoint> endpoints = new LinkedHashMap<>();
     private final VmRecords records;
     private final Map<SubmissionId, Long> runNanos = new HashMap<>();
-    private Function<TraceHeader, EventRecorder> recorders = made -> EventRecorder.NONE;
+    private Function<TraceHeader, EventRecorder> recorderFactory = header -> EventRecorder.NONE;
     private long nextIncarnation = 1;
 
     private World(long seed, NodePolicy policy) {
@@ -73,14 +73,14 @@
         this.shell = new Shell(this);
     }
 
-    /** Returns a world without nodes and endpoints. */
+    /** Creates a world without nodes and endpoints. */
     public static World create(long seed, NodePolicy policy) {
         return new World(seed, policy);
     }
 
-    /** Records every run of a node that starts from now on, each by a recorder of its own. */
-    public void recordWith(Function<TraceHeader, EventRecorder> each) {
-        recorders = each;
+    /** Sets the factory of recorderFactory; each run of a node that starts afterwards has its own. */
+    public void recordWith(Function<TraceHeader, EventRecorder> factory) {
+        recorderFactory = factory;
     }
 
     /** Returns the clock. */
@@ -88,7 +88,7 @@
         return time;
     }
 
-    /** Returns the links. */
+    /** Returns the network. */
     public Network network() {
         return network;
     }
@@ -98,12 +98,12 @@
         return platform;
     }
 
-    /** Returns the starts at all endpoints. */
+    /** Returns the ledger of all endpoints. */
     public Ledger ledger() {
         return ledger;
     }
 
-    /** Returns every submission sent, as a view. */
+    /** Returns an unmodifiable view of all submissions. */
     public Collection<SentSubmission> sent() {
         return checker.sentSubmissions();
     }
@@ -121,8 +121,8 @@
         VmRecord vm = records.listNode(name, domain);
         NodeIdentity identity = new NodeIdentity(
                 NodeId.of(name), Incarnation.of(nextIncarnation++), FailureDomain.of(domain), vm.address());
-        TraceHeader made = new TraceHeader(identity, policy, random.nextLong());
-        FakeNode node = new FakeNode(made, recorders.apply(made), this);
+        TraceHeader header = new TraceHeader(identity, policy, random.nextLong());
+        FakeNode node = new FakeNode(header, recorderFactory.apply(header), this);
         nodes.put(name, node);
         time.scheduleAfter(0, () -> node.deliver(new TimePassed()));
     }
@@ -133,12 +133,12 @@
         endpoints.get(name).listen(records.listEndpoint(name, domain, slots).address());
     }
 
-    /** Returns the present run of a node. */
+    /** Returns the current run of a node, if the node was ever started. */
     public Optional<FakeNode> node(String name) {
         return Optional.ofNullable(nodes.get(name));
     }
 
-    /** Returns every node's present run. */
+    /** Returns the current run of every node. */
     public ImmutableList<FakeNode> nodes() {
         return ImmutableList.copyOf(nodes.values());
     }
@@ -153,14 +153,14 @@
         return ImmutableList.copyOf(endpoints.values());
     }
 
-    /** Kills a node: its callers' connections break and it keeps nothing. */
+    /** Kills a node: its connections break and its state is lost. */
     public void killNode(String name) {
         FakeNode node = nodes.get(name);
         node.kill();
         shell.breakConnections(node);
     }
 
-    /** Starts a node again on its old address, as a new run. */
+    /** Starts a node again as a new run on its old address; does nothing if the node is alive. */
     public void restartNode(String name) {
         FakeNode old = nodes.get(name);
         if (!old.alive()) {
@@ -168,7 +168,7 @@
         }
     }
 
-    /** Stops a node's threads for a while; what arrives meanwhile is handled on waking. */
+    /** Pauses a node; the events that arrive meanwhile are handled when it is unfrozen. */
     public void freezeNode(String name, long nanos) {
         FakeNode node = nodes.get(name);
         if (!node.frozen()) {
@@ -177,18 +177,18 @@
         }
     }
 
-    /** Asks a node to leave. */
+    /** Requests that a node drain. */
     public void drainNode(String name) {
         nodes.get(name).deliver(new DrainRequested("scenario"));
     }
 
-    /** Makes an endpoint leave, and puts that on the list, which lags. */
+    /** Makes an endpoint leave and lists it as leaving; the list may lag. */
     public void drainEndpoint(String name) {
         endpoints.get(name).drain();
         records.listLeaving(name);
     }
 
-    /** Starts an endpoint again under its name, on a new address as a replaced VM would be. */
+    /** Starts an endpoint again under its name, on a new address, like a replaced VM. */
     public void restartEndpoint(String name) {
         VmRecord old = records.get(name);
         endpoints.get(name).restart();
@@ -196,7 +196,7 @@
         endpoints.get(name).listen(vm.address());
     }
 
-    /** Accepts the next configuration, as an operator's program would. */
+    /** Stores the next configuration at the platform, as an operator's program would. */
     public void acceptConfiguration() {
         ServiceCatalog catalog =
                 SampleCatalog.withVersion(platform.newestVersion().next().value());
@@ -211,15 +211,15 @@
     }
 
     /**
-     * Sends a submission to a node; to a node that is not there, nothing is sent.
+     * Sends a submission to a node; returns an empty value if the node is not alive.
      *
-     * @param node the node the balancer chose
-     * @param form request or job
+     * @param node the name of the node
+     * @param form the form: request or job
      * @param kind a kind of {@link SampleCatalog}
-     * @param key the idempotency key
-     * @param tasks how many tasks
-     * @param taskNanos how long each runs
-     * @param timeAllowed the caller's deadline
+     * @param key the idempotency key, if any
+     * @param tasks the number of tasks
+     * @param taskNanos the run time of each task
+     * @param timeAllowed the time allowed by the caller; the kind's deadline if empty
      */
     public Optional<SentSubmission> submit(
             String node,
@@ -236,7 +236,7 @@
         SubmissionArrived arrived = target.nextArrival(form, kind, key, tasks, timeAllowed);
         runNanos.put(arrived.id(), taskNanos);
         Duration allowed = timeAllowed.orElse(SampleCatalog.DEFAULT_DEADLINE);
-        // The node may be frozen when the submission arrives; its deadline counts from when the node sees it.
+        // A frozen node counts the deadline from when it is unfrozen and handles the submission.
         long slack = target.frozen() ? Duration.ofMinutes(1).toNanos() : 0;
         SentSubmission sent = new SentSubmission(
                 arrived,
@@ -248,23 +248,23 @@
         return Optional.of(sent);
     }
 
-    /** Cancels a submission, or hangs up on it. */
+    /** Cancels a submission, at the caller's request or because the caller hung up. */
     public void cancel(SentSubmission sent, CancelCause cause) {
         ownerOf(sent.submission().id())
                 .ifPresent(node ->
                         node.deliver(new CancelRequested(sent.submission().id(), cause)));
     }
 
-    /** Returns the run that owns a submission, if it still goes on. */
+    /** Returns the run of a node that received a submission, if that run is alive. */
     public Optional<FakeNode> ownerOf(SubmissionId id) {
         return Optional.ofNullable(nodes.get(id.node().value()))
                 .filter(node -> node.identity().incarnation().equals(id.incarnation()) && node.alive());
     }
 
-    /** Runs everything planned until then. */
+    /** Runs all steps that are due by a time. */
     public void runUntil(long nanos) {
         while (time.runNext(nanos)) {
-            // Each round runs one step.
+            // Each iteration runs one step.
         }
     }
 
--- a/tarragonarch-standin/src/main/java/org/tarragonarch/standin/http/HttpExchange.java
+++ b/tarragonarch-standin/src/main/java/org/tarragonarch/standin/http/HttpExchange.java
@@ -21,7 +21,7 @@
 import java.util.Optional;
 import java.util.concurrent.TimeUnit;
 
-/** One request and the ways to answer it, sound or faulty. */
+/** One request, with methods to answer it correctly or faultily. */
 public final class HttpExchange {
     private static final ObjectMapper MAPPER = new ObjectMapper();
 
@@ -44,27 +44,27 @@
         open.add(this);
     }
 
-    /** Returns the method, in capitals. */
+    /** Returns the request method, in capitals. */
     public String method() {
         return method;
     }
 
-    /** Returns the decoded path. */
+    /** Returns the decoded path of the request. */
     public String path() {
         return target.path();
     }
 
-    /** Returns the value of a query parameter. */
+    /** Returns the first value of a query parameter, if present. */
     public Optional<String> query(String name) {
         return target.parameters().getOrDefault(name, List.of()).stream().findFirst();
     }
 
-    /** Returns the value of a header. */
+    /** Returns the first value of a header, if present. */
     public Optional<String> header(String name) {
         return Optional.ofNullable(headers.get(name));
     }
 
-    /** Returns the body; not copied. */
+    /** Returns the body without copying it. */
     public byte[] body() {
         return body;
     }
@@ -72,7 +72,7 @@
     /**
      * Returns the body as JSON.
      *
-     * @throws IllegalArgumentException if it is none
+     * @throws IllegalArgumentException if the body is not valid JSON
      */
     public JsonNode json() {
         try {
@@ -82,27 +82,27 @@
             }
             return json;
         } catch (IOException e) {
-            throw new IllegalArgumentException("the body is no JSON", e);
+            throw new IllegalArgumentException("the body is not valid JSON", e);
         }
     }
 
-    /** Runs something on this connection's thread after a delay. */
+    /** Runs an action on this connection's event loop after a delay. */
     public void scheduleAfter(long milliseconds, Runnable action) {
         channel.eventLoop().schedule(action, milliseconds, TimeUnit.MILLISECONDS);
     }
 
-    /** Answers. */
+    /** Sends an answer; closes the connection if either side asked for that. */
     public void reply(HttpReply reply) {
-        boolean lasting = keepAlive && !"close".equals(reply.headers().get("Connection"));
+        boolean persistent = keepAlive && !"close".equals(reply.headers().get("Connection"));
         FullHttpResponse response = response(reply);
         ChannelFuture written = channel.writeAndFlush(response);
         written.addListener(done -> open.remove(this));
-        if (!lasting) {
+        if (!persistent) {
             written.addListener(ChannelFutureListener.CLOSE);
         }
     }
 
-    /** Answers with the whole length announced, but only half of the body, and closes the connection. */
+    /** Sends an answer that announces the full length but has only half of the body, then closes the connection. */
     public void replyCutShort(HttpReply reply) {
         FullHttpResponse response = response(reply);
         response.content().writerIndex(reply.body().length / 2);
--- a/tarragonarch-standin/src/main/java/org/tarragonarch/standin/http/HttpHandler.java
+++ b/tarragonarch-standin/src/main/java/org/tarragonarch/standin/http/HttpHandler.java
@@ -1,8 +1,8 @@
 package org.tarragonarch.standin.http;
 
-/** Handles requests of a stand-in; runs on a network thread and must not block. */
+/** A handler of the requests to a stand-in; it runs on an event loop and must not block. */
 @FunctionalInterface
 public interface HttpHandler {
-    /** Handles one whole request; the answer may be given later and by any thread. */
+    /** Handles one complete request; the answer may be sent later and from any thread. */
     void handle(HttpExchange exchange);
 }
--- a/tarragonarch-standin/src/main/java/org/tarragonarch/standin/http/HttpReply.java
+++ b/tarragonarch-standin/src/main/java/org/tarragonarch/standin/http/HttpReply.java
@@ -8,9 +8,9 @@
 /**
  * An answer to a request.
  *
- * @param status the status code
- * @param headers headers besides the length
- * @param body the body; not copied
+ * @param status the HTTP status code
+ * @param headers the headers except {@code Content-Length}
+ * @param body the body, which is not copied
  */
 public record HttpReply(int status, ImmutableMap<String, String> headers, byte[] body) {
     private static final ObjectMapper MAPPER = new ObjectMapper();
@@ -26,7 +26,7 @@
         }
     }
 
-    /** Returns an answer with a JSON object that only says what was wrong. */
+    /** Returns an answer with a JSON object that holds only a description of the error. */
     public static HttpReply error(int status, String detail) {
         return json(status, MAPPER.createObjectNode().put("detail", detail));
     }
@@ -36,12 +36,12 @@
         return new HttpReply(status, ImmutableMap.of(), NO_BODY);
     }
 
-    /** Returns this answer with one more header. */
+    /** Returns a copy of this answer with an additional header. */
     public HttpReply withHeader(String name, String value) {
-        ImmutableMap<String, String> more = ImmutableMap.<String, String>builder()
+        ImmutableMap<String, String> allHeaders = ImmutableMap.<String, String>builder()
                 .putAll(headers)
                 .put(name, value)
                 .buildOrThrow();
-        return new HttpReply(status, more, body);
+        return new HttpReply(status, allHeaders, body);
     }
 }
--- a/tarragonarch-standin/src/main/java/org/tarragonarch/standin/http/HttpServer.java
+++ b/tarragonarch-standin/src/main/java/org/tarragonarch/standin/http/HttpServer.java
@@ -20,7 +20,7 @@
 import java.util.function.BooleanSupplier;
 import org.tarragonarch.model.id.Address;
 
-/** Serves HTTP/1.1 on one address; its few threads are shared by all connections and never block. */
+/** An HTTP/1.1 server on one address; all connections share a few event loops, which never block. */
 public final class HttpServer implements AutoCloseable {
     private static final int THREADS = 2;
     private static final int BACKLOG = 1024;
@@ -42,10 +42,10 @@
     /**
      * Starts a server.
      *
-     * @param ip the IP number to listen on
-     * @param port the port, or 0 for any free one
-     * @param handler what answers requests
-     * @param closeUnread asked at each request's head; where true, the connection is closed with the rest unread
+     * @param ip the IP address to listen on
+     * @param port the port to listen on, or 0 for any free port
+     * @param handler the handler of requests
+     * @param closeUnread evaluated at the head of each request; if true, the connection is closed with the body unread
      */
     public static HttpServer start(String ip, int port, HttpHandler handler, BooleanSupplier closeUnread) {
         HttpServer server = new HttpServer(handler, closeUnread);
@@ -53,25 +53,25 @@
         return server;
     }
 
-    /** Returns where the server listens, or last listened. */
+    /** Returns the address on which the server listens or last listened. */
     public synchronized Address address() {
         return address;
     }
 
-    /** Stops listening and closes all connections, so that connections are refused until {@link #resumeListening}. */
+    /** Stops listening and closes all connections; connections are refused until {@link #resumeListening}. */
     public synchronized void refuseConnections() {
         listening.close().syncUninterruptibly();
         connections.close();
     }
 
-    /** Listens again on the same address. */
+    /** Resumes listening on the same address. */
     public synchronized void resumeListening() {
         if (!listening.isOpen()) {
             bind(address.ip(), address.port());
         }
     }
 
-    /** Waits until the answers to all requests read so far have left; returns whether that came true in time. */
+    /** Waits until all requests read so far are answered; returns false if the time ran out. */
     public boolean awaitAnswered(long milliseconds) throws InterruptedException {
         return open.awaitEmpty(milliseconds);
     }
--- a/tarragonarch-standin/src/main/java/org/tarragonarch/standin/http/OpenExchanges.java
+++ b/tarragonarch-standin/src/main/java/org/tarragonarch/standin/http/OpenExchanges.java
@@ -4,7 +4,7 @@
 import java.util.Set;
 import java.util.concurrent.TimeUnit;
 
-/** The requests that were read and whose answers have not left yet. */
+/** The exchanges whose requests were read and whose answers are not sent yet. */
 final class OpenExchanges {
     private final Set<HttpExchange> open = new HashSet<>();
 
@@ -17,7 +17,7 @@
         notifyAll();
     }
 
-    /** Waits until every answer has left; returns whether that came true in time. */
+    /** Waits until all answers are sent; returns false if the time ran out. */
     synchronized boolean awaitEmpty(long milliseconds) throws InterruptedException {
         long deadline = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(milliseconds);
         while (!open.isEmpty()) {
--- a/tarragonarch-standin/src/main/java/org/tarragonarch/standin/http/RequestDispatcher.java
+++ b/tarragonarch-standin/src/main/java/org/tarragonarch/standin/http/RequestDispatcher.java
@@ -6,7 +6,7 @@
 import io.netty.handler.codec.http.FullHttpRequest;
 import java.io.IOException;
 
-/** Hands whole requests to the handler and turns its complaints into answers. */
+/** Passes complete requests to the handler, and answers 400 to an {@link IllegalArgumentException} of the handler. */
 final class RequestDispatcher extends SimpleChannelInboundHandler<FullHttpRequest> {
     private static final FluentLogger LOGGER = FluentLogger.forEnclosingClass();
     private static final int BAD_REQUEST = 400;
@@ -33,7 +33,7 @@
 
     @Override
     public void channelInactive(ChannelHandlerContext context) {
-        // Callers send one request at a time on a connection, so only the newest can be without an answer.
+        // Clients send one request at a time on a connection, so only the newest can be unanswered.
         if (newest != null) {
             open.remove(newest);
         }
@@ -43,7 +43,7 @@
     @Override
     public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
         if (!(cause instanceof IOException)) {
-            LOGGER.atWarning().withCause(cause).log("a stand-in's connection failed");
+            LOGGER.atWarning().withCause(cause).log("a connection to a stand-in failed");
         }
         context.close();
     }
--- a/tarragonarch-standin/src/main/java/org/tarragonarch/standin/http/UnreadRequestCloser.java
+++ b/tarragonarch-standin/src/main/java/org/tarragonarch/standin/http/UnreadRequestCloser.java
@@ -6,7 +6,7 @@
 import io.netty.util.ReferenceCountUtil;
 import java.util.function.BooleanSupplier;
 
-/** Closes connections at a request's head while a fault is switched on. */
+/** Closes a connection after the head of a request while the corresponding fault is active. */
 final class UnreadRequestCloser extends ChannelInboundHandlerAdapter {
     private final BooleanSupplier closeUnread;
     private boolean closed;
@@ -18,7 +18,7 @@
     @Override
     public void channelRead(ChannelHandlerContext context, Object message) {
         if (!closed && message instanceof HttpRequest request) {
-            // The switches themselves stay reachable, or the fault could never be switched off.
+            // Requests to switch faults are exempt; otherwise the fault could not be switched off.
             closed = !request.uri().startsWith("/faults") && closeUnread.getAsBoolean();
         }
         if (closed) {
--- a/tarragonarch-standin/src/main/java/org/tarragonarch/standin/http/package-info.java
+++ b/tarragonarch-standin/src/main/java/org/tarragonarch/standin/http/package-info.java
@@ -1,7 +1,7 @@
 /**
- * A small HTTP/1.1 server of the stand-ins, on Netty itself.
+ * A small HTTP/1.1 server for the stand-ins, built directly on Netty.
  *
- * <p>The faults that the stand-ins provoke lie below what a web framework lets a handler do: a connection closed before
- * the request is read, a body cut short, a listening port that goes away and comes back.
+ * <p>Web frameworks do not let a handler cause the faults that the stand-ins need: a connection closed before the
+ * request is read, a truncated body, and a port that stops and resumes listening.
  */
 package org.tarragonarch.standin.http;
--- a/tarragonarch-standin/src/main/java/org/tarragonarch/standin/load/AnswerCheck.java
+++ b/tarragonarch-standin/src/main/java/org/tarragonarch/standin/load/AnswerCheck.java
@@ -3,10 +3,10 @@
 import java.util.Optional;
 
 /**
- * What an answer says, and what is wrong with it if anything is.
+ * The result of checking an answer.
  *
- * @param outcome the outcome's word, or {@code no-answer}
- * @param error why the answer is not one to this submission; empty if it is sound
+ * @param outcome the outcome's word; {@code wrong} if the answer is not valid
+ * @param error why the answer is not valid for its submission; empty if it is valid
  */
 record AnswerCheck(String outcome, Optional<String> error) {
     static final String NO_ANSWER = "no-answer";
@@ -16,7 +16,7 @@
         return new AnswerCheck(outcome, Optional.empty());
     }
 
-    static AnswerCheck error(String why) {
-        return new AnswerCheck(WRONG, Optional.of(why));
+    static AnswerCheck error(String detail) {
+        return new AnswerCheck(WRONG, Optional.of(detail));
     }
 }
--- a/tarragonarch-standin/src/main/java/org/tarragonarch/standin/load/ArrivalPattern.java
+++ b/tarragonarch-standin/src/main/java/org/tarragonarch/standin/load/ArrivalPattern.java
@@ -1,15 +1,15 @@
 package org.tarragonarch.standin.load;
 
-/** How the rate of arrivals changes with time; each pattern has the mean 1. */
+/** A pattern of the arrival rate over time; the mean of each pattern's factor is 1. */
 public enum ArrivalPattern {
-    /** Always the same rate. */
+    /** A constant rate. */
     STEADY {
         @Override
         double factor(long nanos) {
             return 1;
         }
     },
-    /** One second in five at three times the mean rate, the others at half of it. */
+    /** Three times the mean rate for one second in five, and half the mean rate otherwise. */
     BURSTS {
         @Override
         double factor(long nanos) {
@@ -20,10 +20,10 @@
     private static final long PERIOD_NANOS = 5_000_000_000L;
     private static final long BURST_NANOS = 1_000_000_000L;
 
-    /** Returns the rate at a time since the start, as a multiple of the mean rate. */
+    /** Returns the rate as a multiple of the mean rate, at a time in nanoseconds since the start. */
     abstract double factor(long nanos);
 
-    /** Returns the highest multiple. */
+    /** Returns the maximum of the factor. */
     double maxFactor() {
         return Math.max(factor(0), factor(BURST_NANOS));
     }
--- a/tarragonarch-standin/src/main/java/org/tarragonarch/standin/load/Arrivals.java
+++ b/tarragonarch-standin/src/main/java/org/tarragonarch/standin/load/Arrivals.java
@@ -4,27 +4,27 @@
 
 import java.util.SplittableRandom;
 
-/** The times of a seeded Poisson process whose rate follows a pattern. */
+/** The arrival times of a seeded Poisson process whose rate follows a pattern. */
 final class Arrivals {
     private static final double NANOS_PER_SECOND = 1e9;
 
     private final SplittableRandom random;
     private final ArrivalPattern pattern;
-    private final double highestRate;
+    private final double maxRate;
     private double nanos;
 
     Arrivals(SplittableRandom random, ArrivalPattern pattern, double meanPerSecond) {
         checkArgument(meanPerSecond > 0, "rate %s is not positive", meanPerSecond);
         this.random = random;
         this.pattern = pattern;
-        this.highestRate = meanPerSecond * pattern.maxFactor();
+        this.maxRate = meanPerSecond * pattern.maxFactor();
     }
 
     /** Returns the next arrival's time since the start, in nanoseconds. */
     long nextNanos() {
-        // Draws at the highest rate and keeps each arrival with the share that the pattern asks for at that time.
+        // Thinning: draws arrivals at the maximum rate and keeps each with probability factor / maximum.
         do {
-            nanos += -Math.log(1 - random.nextDouble()) / highestRate * NANOS_PER_SECOND;
+            nanos += -Math.log(1 - random.nextDouble()) / maxRate * NANOS_PER_SECOND;
         } while (random.nextDouble() >= pattern.factor((long) nanos) / pattern.maxFactor());
         return (long) nanos;
     }
--- a/tarragonarch-standin/src/main/java/org/tarragonarch/standin/load/Counters.java
+++ b/tarragonarch-standin/src/main/java/org/tarragonarch/standin/load/Counters.java
@@ -17,13 +17,14 @@
 import okhttp3.Response;
 import org.tarragonarch.model.id.Address;
 
-/** Sums of the counters of all nodes and of the ledgers of all endpoints, at one time. */
+/** The sums of the counters of all nodes and of the ledgers of all endpoints at one time. */
 final class Counters {
     private static final FluentLogger LOGGER = FluentLogger.forEnclosingClass();
     private static final ObjectMapper MAPPER = new ObjectMapper();
-    /** A counter of a node in the scraper's text: its name, its labels and its value. */
+    /** Matches a counter line of a node's metrics: name, labels and value. */
     private static final Pattern COUNTER = Pattern.compile("(tarragonarch_\\w+_total)(\\{[^}]*})? (\\S+)");
 
+    /** Matches the label of the node, which is removed to sum a counter over all nodes. */
     private static final Pattern NODE_LABEL = Pattern.compile("(?<=\\{)node=\"[^\"]*\",?|,node=\"[^\"]*\"");
 
     private static final String WASTED = "tarragonarch_wasted_messages_total";
@@ -33,7 +34,7 @@
 
     private Counters() {}
 
-    /** Reads all that can be reached; what cannot is logged and left out. */
+    /** Reads all nodes and endpoints; one that cannot be read is logged and left out. */
     static Counters read(OkHttpClient client, LoadOptions options) {
         Counters counters = new Counters();
         for (Address admin : options.admins()) {
@@ -45,22 +46,22 @@
         return counters;
     }
 
-    /** Returns by how much each counter rose since an earlier reading, and what was wasted for each useful start. */
+    /** Returns the increase of each counter since an earlier reading, and the wasted messages per useful start. */
     ObjectNode increaseSince(Counters earlier) {
         ObjectNode json = JsonNodeFactory.instance.objectNode();
-        ObjectNode counted = json.putObject("nodes");
-        putRise(counted, nodes, earlier.nodes);
+        ObjectNode counters = json.putObject("nodes");
+        putIncrease(counters, nodes, earlier.nodes);
         ObjectNode ledgers = json.putObject("endpoints");
-        putRise(ledgers, endpoints, earlier.endpoints);
+        putIncrease(ledgers, endpoints, earlier.endpoints);
         double useful = ledgers.path("distinct-tasks").asDouble();
         if (useful > 0) {
             json.put("wasted-per-useful-start-by-ledgers", wasted(ledgers, useful) / useful);
-            json.put("wasted-per-useful-start-by-nodes", wasted(counted) / useful);
+            json.put("wasted-per-useful-start-by-nodes", wasted(counters) / useful);
         }
         return json;
     }
 
-    /** Returns the messages that the endpoints saw and that no useful start came of; reports are not among them. */
+    /** Returns the number of messages to the endpoints that led to no useful start; reports are not counted. */
     private static double wasted(ObjectNode ledgers, double useful) {
         double repeated = ledgers.path("started").asDouble() - useful;
         double refused = ledgers.path("refused-busy").asDouble()
@@ -68,10 +69,10 @@
         return repeated + refused + ledgers.path("useless-stops").asDouble();
     }
 
-    /** Returns the messages that the nodes themselves count as wasted, reports and probes among them. */
-    private static double wasted(ObjectNode counted) {
+    /** Returns the number of messages that the nodes count as wasted, including reports and probes. */
+    private static double wasted(ObjectNode counters) {
         double sum = 0;
-        for (Map.Entry<String, JsonNode> counter : counted.properties()) {
+        for (Map.Entry<String, JsonNode> counter : counters.properties()) {
             if (counter.getKey().startsWith(WASTED)) {
                 sum += counter.getValue().asDouble();
             }
@@ -79,11 +80,11 @@
         return sum;
     }
 
-    private static void putRise(ObjectNode json, Map<String, Double> now, Map<String, Double> before) {
+    private static void putIncrease(ObjectNode json, Map<String, Double> now, Map<String, Double> before) {
         now.forEach((name, value) -> {
-            double rise = value - before.getOrDefault(name, 0.0);
-            if (rise != 0) {
-                json.put(name, rise);
+            double increase = value - before.getOrDefault(name, 0.0);
+            if (increase != 0) {
+                json.put(name, increase);
             }
         });
     }
@@ -106,7 +107,7 @@
                 endpoints.merge(field.getKey(), field.getValue().asDouble(), Double::sum);
             }
         } catch (IOException e) {
-            LOGGER.atWarning().log("a ledger is no JSON: %s", e.getMessage());
+            LOGGER.atWarning().log("a ledger is not valid JSON: %s", e.getMessage());
         }
     }
 
--- a/tarragonarch-standin/src/main/java/org/tarragonarch/standin/load/JobCall.java
+++ b/tarragonarch-standin/src/main/java/org/tarragonarch/standin/load/JobCall.java
@@ -14,7 +14,7 @@
 import org.tarragonarch.model.id.Address;
 import org.tarragonarch.model.outcome.Outcome;
 
-/** One submission on its way: writes the message, and checks that the answer is whole and its own. */
+/** One call of the load driver: builds the requests and checks that the answer is complete and matches. */
 final class JobCall {
     private static final ObjectMapper MAPPER = new ObjectMapper();
     private static final MediaType JSON = MediaType.get("application/json");
@@ -59,13 +59,13 @@
         try {
             answer = MAPPER.readTree(body);
         } catch (IOException e) {
-            return AnswerCheck.error("status " + status + " with a body that is no JSON");
+            return AnswerCheck.error("status " + status + " with a body that is not JSON");
         }
-        String said = answer.path("outcome").asText();
-        if (!said.equals(outcome)) {
-            return AnswerCheck.error("outcome '" + outcome + "' in the header, '" + said + "' in the body");
+        String bodyOutcome = answer.path("outcome").asText();
+        if (!bodyOutcome.equals(outcome)) {
+            return AnswerCheck.error("outcome '" + outcome + "' in the header, '" + bodyOutcome + "' in the body");
         }
-        return status == OK ? checkResults(answer, said) : checkProblem(answer, said);
+        return status == OK ? checkResults(answer, bodyOutcome) : checkProblem(answer, bodyOutcome);
     }
 
     private AnswerCheck checkResults(JsonNode answer, String outcome) {
@@ -81,9 +81,9 @@
                     results.size() + " results for " + plan.runTimesMillis().size() + " tasks");
         }
         for (int i = 0; i < results.size(); i++) {
-            Optional<AnswerCheck> wrong = checkResult(results.get(i), i);
-            if (wrong.isPresent()) {
-                return wrong.get();
+            Optional<AnswerCheck> error = checkResult(results.get(i), i);
+            if (error.isPresent()) {
+                return error.get();
             }
         }
         return AnswerCheck.valid(outcome);
@@ -94,7 +94,7 @@
         String found = result.path("tag").asText();
         return found.equals(expected)
                 ? Optional.empty()
-                : Optional.of(AnswerCheck.error("result of '" + found + "' given for '" + expected + "'"));
+                : Optional.of(AnswerCheck.error("result of '" + found + "' in place of '" + expected + "'"));
     }
 
     private AnswerCheck checkProblem(JsonNode answer, String outcome) {
@@ -102,12 +102,12 @@
             return AnswerCheck.error("a problem with outcome '" + outcome + "'");
         }
         if (answer.has("results") || answer.has("result")) {
-            return AnswerCheck.error("a problem that carries results");
+            return AnswerCheck.error("a problem that contains results");
         }
         String echoed = answer.path("request-id").asText(requestId);
         return echoed.equals(requestId)
                 ? AnswerCheck.valid(outcome)
-                : AnswerCheck.error("problem of '" + echoed + "' given for '" + requestId + "'");
+                : AnswerCheck.error("problem of '" + echoed + "' in place of '" + requestId + "'");
     }
 
     private Request.Builder authorized(String path) {
--- a/tarragonarch-standin/src/main/java/org/tarragonarch/standin/load/JobPlan.java
+++ b/tarragonarch-standin/src/main/java/org/tarragonarch/standin/load/JobPlan.java
@@ -5,15 +5,15 @@
 import com.google.common.collect.ImmutableList;
 
 /**
- * One submission as it will be made.
+ * The plan of one submission.
  *
- * @param single whether it is a request, not a job
- * @param runTimesMillis how long each task really takes, in milliseconds
+ * @param single whether the submission is a single request rather than a job
+ * @param runTimesMillis the actual run time of each task, in milliseconds
  */
 record JobPlan(boolean single, ImmutableList<Integer> runTimesMillis) {
     JobPlan {
-        checkArgument(!runTimesMillis.isEmpty(), "a submission without tasks");
-        checkArgument(!single || runTimesMillis.size() == 1, "a request has one task");
+        checkArgument(!runTimesMillis.isEmpty(), "a submission has at least one task");
+        checkArgument(!single || runTimesMillis.size() == 1, "a request has exactly one task");
     }
 
     /** Returns the run time of the slowest task, in milliseconds. */
@@ -21,7 +21,7 @@
         return runTimesMillis.stream().mapToInt(Integer::intValue).max().orElseThrow();
     }
 
-    /** Returns the run time of all tasks together, in milliseconds. */
+    /** Returns the sum of the run times of all tasks, in milliseconds. */
     long workMillis() {
         return runTimesMillis.stream().mapToLong(Integer::longValue).sum();
     }
--- a/tarragonarch-standin/src/main/java/org/tarragonarch/standin/load/LoadOptions.java
+++ b/tarragonarch-standin/src/main/java/org/tarragonarch/standin/load/LoadOptions.java
@@ -9,26 +9,26 @@
 import org.tarragonarch.model.id.Address;
 
 /**
- * What a run of the load driver does.
+ * The options of a run of the load driver. Load goes to loopback only and is bounded in time and count.
  *
- * @param callers the nodes' caller addresses, used in turn
+ * @param callers the addresses of the nodes for callers, used in turn
  * @param admins the nodes' administration addresses, whose metrics are read; may be empty
  * @param endpoints the stand-in endpoints, whose ledgers are read; may be empty
  * @param token the caller's token
- * @param service the service called
- * @param kind the kind of work; it must give its input back
+ * @param service the name of the service
+ * @param kind the kind of task; its result must be its input
  * @param shape the mix of submissions
- * @param pattern how the rate changes with time
+ * @param pattern the pattern of the rate over time
  * @param jobsPerSecond the mean rate of submissions
- * @param slots the slots of all endpoints together, for the figure of useful work; 0 if not known
- * @param duration how long submissions arrive
- * @param maxJobs the most submissions
- * @param timeAllowed how long an answer is awaited
- * @param declaredFactor declared run time over the true one; 0 declares none
+ * @param slots the total slots of all endpoints, for the share of useful work; 0 if unknown
+ * @param duration the time during which submissions arrive
+ * @param maxJobs the maximum number of submissions
+ * @param timeAllowed the time allowed for an answer
+ * @param declaredFactor the ratio of the declared to the actual run time; 0 declares none
  * @param keyedShare the share of submissions with an idempotency key
- * @param cancelAt when half of the running submissions are cancelled, if ever
- * @param roundTrip the round trips that a submission cannot avoid, part of the ideal
- * @param seed the seed of arrivals and submissions
+ * @param cancelAt when half of the open submissions are cancelled, since the start; empty for never
+ * @param roundTrip the network time of a submission, which is part of its ideal response time
+ * @param seed the seed of arrival times and submissions
  */
 public record LoadOptions(
         ImmutableList<Address> callers,
@@ -49,20 +49,25 @@
         Optional<Duration> cancelAt,
         Duration roundTrip,
         long seed) {
-    private static final Duration LONGEST = Duration.ofMinutes(10);
-    private static final int MOST_JOBS = 1_000_000;
+    private static final Duration MAX_DURATION = Duration.ofMinutes(10);
+    private static final int MAX_JOBS = 1_000_000;
 
-    /** Checks the parts; load goes to loopback only and is bounded in time and count. */
+    /**
+     * Creates the options.
+     *
+     * @throws IllegalArgumentException if an option is out of range or an address is not on loopback
+     */
     public LoadOptions {
-        checkArgument(!callers.isEmpty(), "no node to call");
+        checkArgument(!callers.isEmpty(), "there are no caller addresses");
         checkLoopback(callers);
         checkLoopback(admins);
         checkLoopback(endpoints);
         checkArgument(jobsPerSecond > 0, "rate %s is not positive", jobsPerSecond);
-        checkArgument(duration.compareTo(LONGEST) <= 0, "duration %s is over %s", duration, LONGEST);
-        checkArgument(maxJobs > 0 && maxJobs <= MOST_JOBS, "%s jobs are not between 1 and %s", maxJobs, MOST_JOBS);
+        checkArgument(duration.compareTo(MAX_DURATION) <= 0, "duration %s exceeds %s", duration, MAX_DURATION);
+        checkArgument(
+                maxJobs > 0 && maxJobs <= MAX_JOBS, "number of jobs %s is not between 1 and %s", maxJobs, MAX_JOBS);
         checkArgument(declaredFactor >= 0, "declared factor %s is negative", declaredFactor);
-        checkArgument(keyedShare >= 0 && keyedShare <= 1, "share %s is not between 0 and 1", keyedShare);
+        checkArgument(keyedShare >= 0 && keyedShare <= 1, "keyed share %s is not between 0 and 1", keyedShare);
     }
 
     private static void checkLoopback(ImmutableList<Address> addresses) {
--- a/tarragonarch-standin/src/main/java/org/tarragonarch/standin/load/LoadResult.java
+++ b/tarragonarch-standin/src/main/java/org/tarragonarch/standin/load/LoadResult.java
@@ -10,23 +10,23 @@
 import org.HdrHistogram.Histogram;
 import org.tarragonarch.model.outcome.Outcome;
 
-/** The figures of a run; safe for use by many threads. */
+/** The results of a run. Safe for use by multiple threads. */
 final class LoadResult {
     private static final int DIGITS = 3;
     private static final double MICROS_PER_MILLI = 1000;
     private static final double RATIO_UNIT = 1000;
-    private static final int MAX_WRONG_SHOWN = 20;
+    private static final int MAX_ERRORS_SHOWN = 20;
 
     private final Histogram responseMicros = new Histogram(DIGITS);
     private final Histogram refusalMicros = new Histogram(DIGITS);
     private final Histogram ratioThousandths = new Histogram(DIGITS);
     private final Map<String, Integer> outcomes = new TreeMap<>();
     private final Map<String, Integer> problems = new TreeMap<>();
-    private final List<String> wrong = new ArrayList<>();
-    private int recordSent;
-    private int recordAnswer;
-    private int recordNotSent;
-    private int refusalsWithoutTime;
+    private final List<String> errors = new ArrayList<>();
+    private int sent;
+    private int answered;
+    private int notSent;
+    private int refusalsWithoutRetryAfter;
     private long sentWorkMillis;
     private long completeWorkMillis;
     private long workMillisWhileArriving;
@@ -34,42 +34,42 @@
     private boolean arriving = true;
 
     synchronized void recordSent(JobPlan plan) {
-        recordSent++;
+        sent++;
         sentWorkMillis += plan.workMillis();
     }
 
-    /** Notes a submission that the driver itself did not send since too many were open. */
+    /** Records a submission that the driver did not send because too many were open. */
     synchronized void recordNotSent() {
-        recordNotSent++;
+        notSent++;
     }
 
-    synchronized void recordNoAnswer(String why) {
-        recordAnswer++;
+    synchronized void recordNoAnswer(String cause) {
+        answered++;
         outcomes.merge(AnswerCheck.NO_ANSWER, 1, Integer::sum);
-        problems.merge(AnswerCheck.NO_ANSWER + " " + why, 1, Integer::sum);
+        problems.merge(AnswerCheck.NO_ANSWER + " " + cause, 1, Integer::sum);
     }
 
-    /** Notes a refusal that offers no time to come back although one is due. */
+    /** Records a refusal without the required {@code Retry-After} header. */
     synchronized void recordRefusalWithoutRetryAfter() {
-        refusalsWithoutTime++;
+        refusalsWithoutRetryAfter++;
     }
 
     synchronized void recordProblem(String outcomeAndCode) {
         problems.merge(outcomeAndCode, 1, Integer::sum);
     }
 
-    synchronized void recordAnswer(JobPlan plan, AnswerCheck verdict, long nanos, double idealMillis) {
-        recordAnswer++;
-        outcomes.merge(verdict.outcome(), 1, Integer::sum);
-        verdict.error().ifPresent(wrong::add);
+    synchronized void recordAnswer(JobPlan plan, AnswerCheck check, long nanos, double idealMillis) {
+        answered++;
+        outcomes.merge(check.outcome(), 1, Integer::sum);
+        check.error().ifPresent(errors::add);
         long micros = nanos / 1000;
-        if (verdict.outcome().equals(Outcome.COMPLETE.word())) {
+        if (check.outcome().equals(Outcome.COMPLETE.word())) {
             responseMicros.recordValue(micros);
             ratioThousandths.recordValue(Math.round(micros / MICROS_PER_MILLI / idealMillis * RATIO_UNIT));
             completeWorkMillis += plan.workMillis();
             workMillisWhileArriving += arriving ? plan.workMillis() : 0;
             completeTasks += plan.runTimesMillis().size();
-        } else if (verdict.outcome().equals(Outcome.NOT_RUN.word())) {
+        } else if (check.outcome().equals(Outcome.NOT_RUN.word())) {
             refusalMicros.recordValue(micros);
         }
     }
@@ -79,17 +79,17 @@
     }
 
     synchronized String progress(long second) {
-        return second + " s: " + recordSent + " sent, " + (recordSent - recordAnswer) + " open, " + outcomes
-                + ", ratio p50 " + ratio(50) + " p99 " + ratio(99);
+        return second + " s: " + sent + " sent, " + (sent - answered) + " open, " + outcomes + ", ratio p50 "
+                + ratio(50) + " p99 " + ratio(99);
     }
 
-    /** Returns the figures; the share of useful work is left out where the number of slots is not known. */
+    /** Returns the results as JSON; the shares of useful work are left out if the number of slots is 0. */
     synchronized ObjectNode json(int slots, double arrivalSeconds, double totalSeconds) {
         ObjectNode json = JsonNodeFactory.instance
                 .objectNode()
-                .put("sent", recordSent)
-                .put("answered", recordAnswer)
-                .put("held-back-by-driver", recordNotSent)
+                .put("sent", sent)
+                .put("answered", answered)
+                .put("held-back-by-driver", notSent)
                 .put("arrival-seconds", arrivalSeconds)
                 .put("total-seconds", totalSeconds)
                 .put("complete-tasks", completeTasks);
@@ -100,15 +100,15 @@
         putQuantiles(json.putObject("response-ms"), responseMicros, MICROS_PER_MILLI);
         putQuantiles(json.putObject("ratio-to-ideal"), ratioThousandths, RATIO_UNIT);
         putQuantiles(json.putObject("not-run-ms"), refusalMicros, MICROS_PER_MILLI);
-        json.put("refusals-without-retry-after", refusalsWithoutTime);
+        json.put("refusals-without-retry-after", refusalsWithoutRetryAfter);
         if (slots > 0) {
             json.put("offered-share", sentWorkMillis / (slots * 1000.0 * arrivalSeconds));
             json.put("useful-share-while-arriving", workMillisWhileArriving / (slots * 1000.0 * arrivalSeconds));
             json.put("useful-share-in-all", completeWorkMillis / (slots * 1000.0 * totalSeconds));
         }
-        json.put("wrong-answers", wrong.size());
+        json.put("wrong-answers", errors.size());
         ArrayNode shown = json.putArray("wrong-shown");
-        wrong.stream().limit(MAX_WRONG_SHOWN).forEach(shown::add);
+        errors.stream().limit(MAX_ERRORS_SHOWN).forEach(shown::add);
         return json;
     }
 
--- a/tarragonarch-standin/src/main/java/org/tarragonarch/standin/load/LoadRun.java
+++ b/tarragonarch-standin/src/main/java/org/tarragonarch/standin/load/LoadRun.java
@@ -24,12 +24,12 @@
 /**
  * One run of the load driver.
  *
- * <p>Response times count from the time a submission was due, not from when it was sent, so that a driver that falls
- * behind makes the figures worse, never better.
+ * <p>Response times are measured from the time at which a submission was due, not from when it was sent, so that a
+ * driver that falls behind reports longer response times, never shorter ones.
  */
 public final class LoadRun {
-    private static final int MOST_OPEN = 4_000;
-    private static final int IDLE_CONNECTIONS = 1_000;
+    private static final int MAX_OPEN = 4_000;
+    private static final int MAX_IDLE_CONNECTIONS = 1_000;
     private static final long NANOS_PER_SECOND = 1_000_000_000L;
     private static final double NANOS_PER_MILLI = 1e6;
     private static final ObjectMapper MAPPER = new ObjectMapper();
@@ -51,12 +51,12 @@
         this.plans = seeds.split();
         this.keys = seeds.split();
         Dispatcher dispatcher = new Dispatcher();
-        dispatcher.setMaxRequests(MOST_OPEN);
-        dispatcher.setMaxRequestsPerHost(MOST_OPEN);
-        // The driver waits a little longer than it allows the node, so that the node's own answer is the one counted.
+        dispatcher.setMaxRequests(MAX_OPEN);
+        dispatcher.setMaxRequestsPerHost(MAX_OPEN);
+        // The client's timeout exceeds the time allowed, so that the answer of the node is counted, not a timeout.
         this.client = new OkHttpClient.Builder()
                 .dispatcher(dispatcher)
-                .connectionPool(new ConnectionPool(IDLE_CONNECTIONS, 1, TimeUnit.MINUTES))
+                .connectionPool(new ConnectionPool(MAX_IDLE_CONNECTIONS, 1, TimeUnit.MINUTES))
                 .retryOnConnectionFailure(false)
                 .readTimeout(options.timeAllowed().plusSeconds(2))
                 .callTimeout(options.timeAllowed().plusSeconds(2))
@@ -64,10 +64,10 @@
     }
 
     /**
-     * Makes a run and returns its figures as JSON; {@code wrong-answers} must be 0.
+     * Runs the load and returns the results as JSON; {@code wrong-answers} is 0 if every answer was valid.
      *
-     * @param options what to do
-     * @param progress takes one line a second
+     * @param options the options of the run
+     * @param progress the receiver of one progress line per second
      */
     public static ObjectNode run(LoadOptions options, Consumer<String> progress) {
         return new LoadRun(options, progress).run();
@@ -116,7 +116,7 @@
         JobPlan plan = options.shape().nextPlan(plans);
         String requestId = "load-" + options.seed() + "-" + job;
         boolean keyed = keys.nextDouble() < options.keyedShare();
-        if (client.dispatcher().runningCallsCount() >= MOST_OPEN) {
+        if (client.dispatcher().runningCallsCount() >= MAX_OPEN) {
             result.recordNotSent();
             return;
         }
@@ -160,7 +160,7 @@
         return (System.nanoTime() - start) / (double) NANOS_PER_SECOND;
     }
 
-    /** Takes one submission's answer. */
+    /** The callback for the answer to one submission. */
     private final class Answer implements Callback {
         private final JobCall call;
         private final long due;
@@ -175,10 +175,10 @@
             try (response) {
                 byte[] body = response.body().bytes();
                 long nanos = System.nanoTime() - due;
-                AnswerCheck verdict = call.check(response.code(), response.header("Outcome", ""), body);
+                AnswerCheck check = call.check(response.code(), response.header("Outcome", ""), body);
                 double ideal = call.plan().slowestMillis() + options.roundTrip().toNanos() / NANOS_PER_MILLI;
-                result.recordAnswer(call.plan(), verdict, nanos, ideal);
-                noteProblem(verdict, response, body);
+                result.recordAnswer(call.plan(), check, nanos, ideal);
+                recordProblem(check, response, body);
             } catch (IOException e) {
                 result.recordNoAnswer(e.getClass().getSimpleName());
             } finally {
@@ -192,20 +192,20 @@
             open.remove(call);
         }
 
-        private void noteProblem(AnswerCheck verdict, Response response, byte[] body) throws IOException {
-            if (verdict.error().isPresent() || verdict.outcome().equals(Outcome.COMPLETE.word())) {
+        private void recordProblem(AnswerCheck check, Response response, byte[] body) throws IOException {
+            if (check.error().isPresent() || check.outcome().equals(Outcome.COMPLETE.word())) {
                 return;
             }
             JsonNode problem = MAPPER.readTree(body);
-            result.recordProblem(verdict.outcome() + " " + problem.path("code").asText());
-            boolean timeDue = response.code() == 429 || response.code() == 503;
-            if (timeDue && response.header("Retry-After") == null) {
+            result.recordProblem(check.outcome() + " " + problem.path("code").asText());
+            boolean retryAfterRequired = response.code() == 429 || response.code() == 503;
+            if (retryAfterRequired && response.header("Retry-After") == null) {
                 result.recordRefusalWithoutRetryAfter();
             }
         }
     }
 
-    /** Takes the answer to a cancellation, which contains nothing that the submission's own answer does not. */
+    /** The callback for the answer to a cancellation, which is ignored. */
     private static final class Ignored implements Callback {
         @Override
         public void onResponse(Call http, Response response) {
@@ -214,7 +214,7 @@
 
         @Override
         public void onFailure(Call http, IOException e) {
-            // The submission's own answer shows whether it was cancelled.
+            // The answer to the submission shows whether it was cancelled.
         }
     }
 }
--- a/tarragonarch-standin/src/main/java/org/tarragonarch/standin/load/LoadShape.java
+++ b/tarragonarch-standin/src/main/java/org/tarragonarch/standin/load/LoadShape.java
@@ -4,10 +4,10 @@
 import java.util.SplittableRandom;
 
 /**
- * The mixes of submissions of the two users.
+ * The mix of submissions of one of two users.
  *
- * <p>Sizes of jobs are spread evenly by their logarithm from 1 to 110 tasks, run times by their logarithm from 50 ms
- * up, and a few tasks take several seconds.
+ * <p>Job sizes are log-uniform from 1 to 110 tasks. Run times are log-uniform from 50 ms, except for a small share of
+ * tasks that take several seconds.
  */
 public enum LoadShape {
     /** Uploads of manuscripts: mostly jobs, up to a second a task, 2 in 100 tasks take 2 to 5 s. */
@@ -33,7 +33,7 @@
         this.shareSlow = shareSlow;
     }
 
-    /** Draws the next submission. */
+    /** Draws the plan of the next submission. */
     JobPlan nextPlan(SplittableRandom random) {
         boolean single = random.nextDouble() < shareSingle;
         int tasks = single ? 1 : (int) logUniform(random, 1, MAX_TASKS + 1);
@@ -45,16 +45,16 @@
     }
 
     /**
-     * Returns the rate of submissions whose tasks keep a share of some slots busy.
+     * Returns the rate of submissions whose tasks occupy a share of the slots on average.
      *
-     * @param load the share, 0.8 for 80%
-     * @param slots how many slots there are
+     * @param load the share, such as 0.8 for 80%
+     * @param slots the number of slots
      */
     public double jobsPerSecond(double load, int slots) {
         return load * slots * MILLIS_PER_SECOND / meanWorkMillis();
     }
 
-    /** Returns the mean run time of all tasks of a submission together, in milliseconds, from a fixed sample. */
+    /** Returns the mean work of a submission, the sum of its run times in milliseconds, from a fixed sample. */
     double meanWorkMillis() {
         SplittableRandom random = new SplittableRandom(SAMPLE_SEED);
         long work = 0;
--- a/tarragonarch-standin/src/main/java/org/tarragonarch/standin/load/package-info.java
+++ b/tarragonarch-standin/src/main/java/org/tarragonarch/standin/load/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The load driver: submissions arrive by a seeded random process whether or not earlier ones were answered, so that a
- * stall shows in the response times instead of holding the load back.
+ * The load driver. Submissions arrive by a seeded random process, whether or not earlier ones were answered, so that a
+ * stall increases the response times instead of reducing the load.
  */
 package org.tarragonarch.standin.load;
--- a/tarragonarch-standin/src/main/java/org/tarragonarch/standin/platform/Fault.java
+++ b/tarragonarch-standin/src/main/java/org/tarragonarch/standin/platform/Fault.java
@@ -2,9 +2,9 @@
 
 import java.util.Optional;
 
-/** One fault that is switched on, with whom it meets and how often it still strikes. */
+/** An active fault, with the calls it affects and the number of calls it still affects. */
 final class Fault {
-    private static final String ANY_SUFFIX = "*";
+    private static final String WILDCARD = "*";
 
     private final FaultType type;
     private final Optional<Part> part;
@@ -15,11 +15,11 @@
     /**
      * Creates a fault.
      *
-     * @param type what goes wrong
-     * @param part the part it strikes; empty for all
-     * @param client the clients it strikes, by name, or by the beginning of the name if a star ends it; empty for all
-     * @param milliseconds the delay of a slow answer
-     * @param count how many calls it strikes
+     * @param type the type of the fault
+     * @param part the affected part of the platform; empty for all
+     * @param client the affected client's name, or a prefix of names followed by {@code *}; empty for all
+     * @param milliseconds the delay of a slow answer, in milliseconds
+     * @param count the number of calls it affects
      */
     Fault(FaultType type, Optional<Part> part, Optional<String> client, long milliseconds, int count) {
         this.type = type;
@@ -37,12 +37,12 @@
         return milliseconds;
     }
 
-    /** Returns whether the fault strikes this call, which uses up one of its strikes. */
+    /** Returns whether the fault affects a call; if it does, decrements the remaining count. */
     synchronized boolean tryApply(Part called, Optional<String> caller, boolean write) {
-        boolean concerned = part.map(called::equals).orElse(true)
+        boolean matches = part.map(called::equals).orElse(true)
                 && client.map(pattern -> matches(pattern, caller.orElse(""))).orElse(true)
                 && (write || type != FaultType.REPLY_LOST);
-        if (!concerned || remaining == 0) {
+        if (!matches || remaining == 0) {
             return false;
         }
         remaining--;
@@ -50,7 +50,7 @@
     }
 
     private static boolean matches(String pattern, String name) {
-        return pattern.endsWith(ANY_SUFFIX)
+        return pattern.endsWith(WILDCARD)
                 ? name.startsWith(pattern.substring(0, pattern.length() - 1))
                 : name.equals(pattern);
     }
--- a/tarragonarch-standin/src/main/java/org/tarragonarch/standin/platform/FaultType.java
+++ b/tarragonarch-standin/src/main/java/org/tarragonarch/standin/platform/FaultType.java
@@ -1,6 +1,6 @@
 package org.tarragonarch.standin.platform;
 
-/** What may be wrong with a part of the platform. */
+/** The types of fault of a part of the platform. */
 enum FaultType {
     /** Answers 503 at once and applies nothing. */
     OUT("out"),
@@ -25,6 +25,6 @@
                 return type;
             }
         }
-        throw new IllegalArgumentException("'" + word + "' is no fault");
+        throw new IllegalArgumentException("'" + word + "' is not a fault");
     }
 }
--- a/tarragonarch-standin/src/main/java/org/tarragonarch/standin/platform/Part.java
+++ b/tarragonarch-standin/src/main/java/org/tarragonarch/standin/platform/Part.java
@@ -2,7 +2,7 @@
 
 import java.util.Optional;
 
-/** The parts of the platform, which fail apart from one another. */
+/** The parts of the platform, which fail independently. */
 enum Part {
     TABLES("tables"),
     OBJECTS("objects"),
@@ -20,7 +20,7 @@
                 return part;
             }
         }
-        throw new IllegalArgumentException("'" + word + "' is no part of the platform");
+        throw new IllegalArgumentException("'" + word + "' is not a part of the platform");
     }
 
     /** Returns the part that serves a path. */
--- a/tarragonarch-standin/src/main/java/org/tarragonarch/standin/platform/Row.java
+++ b/tarragonarch-standin/src/main/java/org/tarragonarch/standin/platform/Row.java
@@ -7,10 +7,10 @@
 /**
  * One row of a table.
  *
- * @param key its key
- * @param version how often it was written
- * @param value its value
- * @param insertedNanos when it was inserted, by the process's monotonic clock
+ * @param key the row's key
+ * @param version the number of times the row was written
+ * @param value the row's value
+ * @param insertedNanos when the row was inserted, by {@link System#nanoTime}
  */
 record Row(String key, long version, JsonNode value, long insertedNanos) {
     ObjectNode json() {
--- a/tarragonarch-standin/src/main/java/org/tarragonarch/standin/platform/StandInPlatform.java
+++ b/tarragonarch-standin/src/main/java/org/tarragonarch/standin/platform/StandInPlatform.java
@@ -20,9 +20,9 @@
 import org.tarragonarch.standin.http.HttpServer;
 
 /**
- * A platform in memory that implements docs/PLATFORM-PROTOCOL.md and fails on demand.
+ * An in-memory platform that implements docs/PLATFORM-PROTOCOL.md and fails on demand.
  *
- * <p>Safe for use by many threads. Nothing is kept when the process ends.
+ * <p>Safe for use by multiple threads. Nothing is persisted.
  */
 public final class StandInPlatform implements AutoCloseable {
     private static final int OK = 200;
@@ -47,17 +47,17 @@
         this.server = HttpServer.start(ip, port, this::handle, () -> false);
     }
 
-    /** Starts a platform on an IP number and a port, or on any free port where that is 0. */
+    /** Starts a platform on an IP address and a port; port 0 selects any free port. */
     public static StandInPlatform start(String ip, int port) {
         return new StandInPlatform(ip, port);
     }
 
-    /** Returns where the platform listens. */
+    /** Returns the address on which the platform listens. */
     public Address address() {
         return server.address();
     }
 
-    /** Puts a VM on the list. */
+    /** Adds a VM to the list, or replaces its entry. */
     public void addVm(VmRecord vm) {
         vms.put(vm);
     }
@@ -80,10 +80,10 @@
             exchange.reply(serve(exchange));
             return;
         }
-        strike(fault.get(), exchange);
+        applyFault(fault.get(), exchange);
     }
 
-    private void strike(Fault fault, HttpExchange exchange) {
+    private void applyFault(Fault fault, HttpExchange exchange) {
         switch (fault.type()) {
             case OUT -> exchange.reply(HttpReply.error(UNAVAILABLE, "out").withHeader("Not-Applied", "true"));
             case CUT -> exchange.close();
@@ -93,7 +93,7 @@
                 exchange.close();
             }
             case SILENT -> {
-                // Neither an answer nor an effect: the caller has to give up by itself.
+                // No answer and no effect; the client must time out.
             }
             default -> throw new AssertionError(fault.type());
         }
@@ -129,7 +129,7 @@
                 .orElse(HttpReply.error(NOT_FOUND, "no such row"));
     }
 
-    /** Reads a row, as it stood at the switch where a stale read is switched on. */
+    /** Reads a row; if stale reads are switched on for it, returns its state at that time. */
     private Optional<Row> read(String table, String key) {
         Optional<Row> stale = staleRows.get(table + "/" + key);
         return stale != null ? stale : tables.read(table, key);
--- a/tarragonarch-standin/src/main/java/org/tarragonarch/standin/platform/TableStore.java
+++ b/tarragonarch-standin/src/main/java/org/tarragonarch/standin/platform/TableStore.java
@@ -11,7 +11,7 @@
 import java.util.TreeMap;
 import java.util.concurrent.TimeUnit;
 
-/** Tables in memory; every call is one transaction. */
+/** In-memory tables; every call is one transaction. */
 final class TableStore {
     private final Map<String, NavigableMap<String, Row>> tables = new HashMap<>();
 
@@ -19,7 +19,7 @@
         return Optional.ofNullable(table(table).get(key));
     }
 
-    /** Returns rows of keys between two bounds, the first included and the second not; an absent bound is open. */
+    /** Returns the rows from one key, inclusive, to another, exclusive; an empty bound does not limit the range. */
     synchronized ImmutableList<Row> scan(
             String table, Optional<String> from, Optional<String> to, boolean descending, int limit) {
         NavigableMap<String, Row> range = table(table);
@@ -33,25 +33,25 @@
                 .values().stream().limit(limit).collect(ImmutableList.toImmutableList());
     }
 
-    /** Inserts the row if its key is absent and returns what stands there, and whether it is the new row. */
+    /** Inserts a row if its key is absent; returns the row now stored and whether it was inserted. */
     synchronized Inserted insertIfAbsent(String table, String key, JsonNode value) {
         Row row = new Row(key, 1, value, System.nanoTime());
-        Row standing = table(table).putIfAbsent(key, row);
-        return standing == null ? new Inserted(true, row) : new Inserted(false, standing);
+        Row current = table(table).putIfAbsent(key, row);
+        return current == null ? new Inserted(true, row) : new Inserted(false, current);
     }
 
-    /** Applies all operations, or none if one's condition does not hold. */
+    /** Applies all operations, or none and returns the first operation whose condition does not hold. */
     synchronized Optional<Failure> transact(List<Operation> operations) {
         List<Runnable> changes = new ArrayList<>();
         for (int i = 0; i < operations.size(); i++) {
             Operation operation = operations.get(i);
-            Optional<Row> standing = read(operation.table(), operation.key());
-            if (!operation.type().holds(operation, standing)) {
-                return Optional.of(new Failure(i, standing));
+            Optional<Row> current = read(operation.table(), operation.key());
+            if (!operation.type().holds(operation, current)) {
+                return Optional.of(new Failure(i, current));
             }
             changes.add(() -> operation
                     .type()
-                    .result(operation, standing)
+                    .result(operation, current)
                     .ifPresentOrElse(
                             row -> table(operation.table()).put(operation.key(), row),
                             () -> table(operation.table()).remove(operation.key())));
@@ -69,12 +69,12 @@
     }
 
     private NavigableMap<String, Row> table(String name) {
-        return tables.computeIfAbsent(name, absent -> new TreeMap<>());
+        return tables.computeIfAbsent(name, key -> new TreeMap<>());
     }
 
-    /** What an insertion led to. */
+    /** The result of an insertion: whether the row was inserted, and the row now stored. */
     record Inserted(boolean inserted, Row row) {}
 
-    /** The first operation whose condition did not hold, and the row that stands there. */
+    /** The index of the first operation whose condition did not hold, and the current row of its key. */
     record Failure(int index, Optional<Row> currentRow) {}
 }
--- a/tarragonarch-standin/src/main/java/org/tarragonarch/standin/platform/VmTable.java
+++ b/tarragonarch-standin/src/main/java/org/tarragonarch/standin/platform/VmTable.java
@@ -11,7 +11,7 @@
 import org.tarragonarch.model.platform.VmRecord;
 import org.tarragonarch.model.platform.VmState;
 
-/** The VMs as they are, and the list of them as it lags behind. */
+/** The VMs, and the list of them that clients see, which may lag or be frozen. */
 final class VmTable {
     private static final int MAX_HISTORY = 10_000;
 
@@ -22,12 +22,12 @@
 
     synchronized void put(VmRecord vm) {
         vms.put(vm.name(), vm);
-        remember();
+        saveSnapshot();
     }
 
     synchronized boolean remove(String name) {
         boolean known = vms.remove(name) != null;
-        remember();
+        saveSnapshot();
         return known;
     }
 
@@ -40,7 +40,7 @@
         return true;
     }
 
-    /** Returns the list as it stood a lag ago, or at the freeze. */
+    /** Returns the list as it was one lag ago, or when it was frozen. */
     synchronized ImmutableList<VmRecord> list() {
         if (frozen.isPresent()) {
             return frozen.get();
@@ -71,7 +71,7 @@
         frozen = Optional.empty();
     }
 
-    private void remember() {
+    private void saveSnapshot() {
         history.addLast(new Snapshot(System.nanoTime(), ImmutableList.copyOf(vms.values())));
         if (history.size() > MAX_HISTORY) {
             history.removeFirst();
--- a/tarragonarch-standin/src/main/java/org/tarragonarch/standin/platform/package-info.java
+++ b/tarragonarch-standin/src/main/java/org/tarragonarch/standin/platform/package-info.java
@@ -1,2 +1,2 @@
-/** The stand-in for the platform: tables, objects and the list of VMs in memory, with switches for faults. */
+/** The stand-in for the platform: in-memory tables, objects and list of VMs, with switchable faults. */
 package org.tarragonarch.standin.platform;
--- a/tarragonarch-standin/src/main/java/org/tarragonarch/standin/scenario/EndpointGroup.java
+++ b/tarragonarch-standin/src/main/java/org/tarragonarch/standin/scenario/EndpointGroup.java
@@ -1,9 +1,9 @@
 package org.tarragonarch.standin.scenario;
 
 /**
- * The endpoints of one domain.
+ * The endpoints of one failure domain.
  *
- * @param count how many there are
- * @param slots the slots of each
+ * @param count the number of endpoints
+ * @param slots the slots of each endpoint
  */
 public record EndpointGroup(int count, int slots) {}
--- a/tarragonarch-standin/src/main/java/org/tarragonarch/standin/scenario/LineTokens.java
+++ b/tarragonarch-standin/src/main/java/org/tarragonarch/standin/scenario/LineTokens.java
@@ -7,39 +7,47 @@
 import java.util.Locale;
 import java.util.Optional;
 
-/** The words of one line, read from left to right. */
+/** A reader of the words of one line, from left to right. */
 final class LineTokens {
     private static final Splitter SPACES = Splitter.on(CharMatcher.whitespace()).omitEmptyStrings();
 
     private final int line;
-    private final ImmutableList<String> words;
-    private int next;
+    private final ImmutableList<String> tokens;
+    private int position;
 
     LineTokens(int line, String text) {
         this.line = line;
-        this.words = ImmutableList.copyOf(SPACES.split(text));
+        this.tokens = ImmutableList.copyOf(SPACES.split(text));
     }
 
     boolean isEmpty() {
-        return next == words.size();
+        return position == tokens.size();
     }
 
-    /** Takes the next word. */
+    /**
+     * Returns the next word.
+     *
+     * @throws ScenarioSyntaxException if the line has no more words
+     */
     String nextWord() throws ScenarioSyntaxException {
         if (isEmpty()) {
-            throw syntaxError("the line ends too early");
+            throw syntaxError("the line ends unexpectedly");
         }
-        return words.get(next++);
+        return tokens.get(position++);
     }
 
-    /** Takes the next word if it is this one. */
+    /** Skips the next word if it equals the given one; returns whether it does. */
     boolean skipIf(String word) {
-        boolean found = !isEmpty() && words.get(next).equals(word);
-        next += found ? 1 : 0;
+        boolean found = !isEmpty() && tokens.get(position).equals(word);
+        position += found ? 1 : 0;
         return found;
     }
 
-    /** Takes the next word, which must be this one. */
+    /**
+     * Skips the next word.
+     *
+     * @throws ScenarioSyntaxException if it does not equal the required word
+     */
     void skipRequired(String word) throws ScenarioSyntaxException {
         if (!skipIf(word)) {
             throw syntaxError("'" + word + "' is missing");
@@ -51,7 +59,7 @@
         try {
             return Integer.parseInt(word);
         } catch (NumberFormatException e) {
-            throw syntaxError("'" + word + "' is no number");
+            throw syntaxError("'" + word + "' is not a number");
         }
     }
 
@@ -60,11 +68,11 @@
         try {
             return Double.parseDouble(word);
         } catch (NumberFormatException e) {
-            throw syntaxError("'" + word + "' is no share");
+            throw syntaxError("'" + word + "' is not a number");
         }
     }
 
-    /** Takes a time or duration such as {@code 250ms} or {@code 30s}, in nanoseconds. */
+    /** Returns a time or duration such as {@code 250ms} or {@code 30s}, in nanoseconds. */
     long nextNanos() throws ScenarioSyntaxException {
         String word = nextWord();
         boolean millis = word.endsWith("ms");
@@ -72,34 +80,34 @@
         if (!word.endsWith("s")
                 || digits.isEmpty()
                 || !CharMatcher.inRange('0', '9').matchesAllOf(digits)) {
-            throw syntaxError("'" + word + "' is no time such as 250ms or 30s");
+            throw syntaxError("'" + word + "' is not a time such as 250ms or 30s");
         }
         long count = Long.parseLong(digits);
         return (millis ? Duration.ofMillis(count) : Duration.ofSeconds(count)).toNanos();
     }
 
-    /** Takes a time that stands behind this word, if the word comes next. */
+    /** Returns the time that follows a word, in nanoseconds, or an empty value if the word is not next. */
     Optional<Long> nextNanosAfter(String word) throws ScenarioSyntaxException {
         return skipIf(word) ? Optional.of(nextNanos()) : Optional.empty();
     }
 
-    /** Takes the constant of an enum, written as {@code fails-all} for {@code FAILS_ALL}. */
+    /** Returns a constant of an enum, written as {@code fails-all} for {@code FAILS_ALL}. */
     <E extends Enum<E>> E nextConstant(Class<E> type) throws ScenarioSyntaxException {
         String word = nextWord();
         try {
             return Enum.valueOf(type, word.replace('-', '_').toUpperCase(Locale.ROOT));
         } catch (IllegalArgumentException e) {
-            throw syntaxError("'" + word + "' is no " + type.getSimpleName());
+            throw syntaxError("'" + word + "' is not a " + type.getSimpleName());
         }
     }
 
     void checkEnd() throws ScenarioSyntaxException {
         if (!isEmpty()) {
-            throw syntaxError("'" + words.get(next) + "' is too much");
+            throw syntaxError("'" + tokens.get(position) + "' is unexpected");
         }
     }
 
     ScenarioSyntaxException syntaxError(String message) {
-        return new ScenarioSyntaxException(line, message + " in '" + String.join(" ", words) + "'");
+        return new ScenarioSyntaxException(line, message + " in '" + String.join(" ", tokens) + "'");
     }
 }
--- a/tarragonarch-standin/src/main/java/org/tarragonarch/standin/scenario/ObservedRun.java
+++ b/tarragonarch-standin/src/main/java/org/tarragonarch/standin/scenario/ObservedRun.java
@@ -5,32 +5,32 @@
 import org.tarragonarch.model.id.ConfigurationVersion;
 import org.tarragonarch.model.report.NodePhase;
 
-/** What expectations look at, whether it comes from a scenario's run or from the replay of a trace. */
+/** The view of a run that expectations are checked against: a run of a scenario, or the replay of a trace. */
 public interface ObservedRun {
-    /** Returns the submissions of this name; of a trace, the one with this id, or {@code every}. */
+    /** Returns the submissions with a name. In a trace, the name is a submission's id, or {@code every} for all. */
     ImmutableList<ObservedSubmission> submissions(String name);
 
-    /** Returns the nodes of a domain, the one node of this name, or {@code all}. */
+    /** Returns the nodes of a failure domain, the node with a name, or all nodes for {@code all}. */
     ImmutableList<ObservedNode> nodes(String name);
 
-    /** Returns each start of a task on an endpoint, or on those of a domain. */
+    /** Returns the task starts on an endpoint, or on all endpoints of a failure domain. */
     ImmutableList<ObservedStart> starts(String name);
 
-    /** What is to be seen of one node. */
+    /** The observable state of one node. */
     interface ObservedNode {
         /** Returns the node's name. */
         String name();
 
-        /** Returns the version in force. */
+        /** Returns the version of the configuration in force. */
         ConfigurationVersion configuration();
 
-        /** Returns the phase. */
+        /** Returns the phase of the node. */
         NodePhase phase();
 
-        /** Returns how often something was noted. */
+        /** Returns how often the node noted an event. */
         int noteCount(NoteEvent event);
 
-        /** Returns how many peers are alive. */
+        /** Returns how many peers the node sees as alive. */
         int livePeerCount();
     }
 }
--- a/tarragonarch-standin/src/main/java/org/tarragonarch/standin/scenario/ObservedStart.java
+++ b/tarragonarch-standin/src/main/java/org/tarragonarch/standin/scenario/ObservedStart.java
@@ -1,10 +1,10 @@
 package org.tarragonarch.standin.scenario;
 
 /**
- * A task that started; in a trace, one that was sent.
+ * The start of a task; in a trace, the sending of a task.
  *
  * @param task the task
- * @param endpoint where
- * @param nanos when, from the start of the scenario or trace
+ * @param endpoint the endpoint's name
+ * @param nanos when, in nanoseconds since the start of the scenario or trace
  */
 public record ObservedStart(String task, String endpoint, long nanos) {}
--- a/tarragonarch-standin/src/main/java/org/tarragonarch/standin/scenario/Scenario.java
+++ b/tarragonarch-standin/src/main/java/org/tarragonarch/standin/scenario/Scenario.java
@@ -20,16 +20,17 @@
 import org.tarragonarch.standin.explore.World;
 
 /**
- * A scenario, read and ready to run; each run is the same.
+ * A parsed scenario; every run of it is the same.
  *
- * <p>A scenario either makes its own world or replays one node's trace; of a trace only the expectations count.
+ * <p>A scenario either runs in a world of its own or replays the trace of one node. A replay uses only the
+ * expectations.
  *
- * @param trace the trace to replay, if it does
- * @param seed the seed of every random choice
- * @param nodes how many nodes each domain has; they are named {@code domain-1} and so on
- * @param endpoints the endpoints of each domain; they are named {@code domain-w1} and so on
- * @param steps what happens
- * @param expectations what must come of it
+ * @param trace the trace to replay; empty for a world of its own
+ * @param seed the seed of all random choices
+ * @param nodes the number of nodes by failure domain; they are named {@code domain-1} and so on
+ * @param endpoints the endpoints by failure domain; they are named {@code domain-w1} and so on
+ * @param steps the steps, each at its time
+ * @param expectations the conditions that the run must meet
  */
 public record Scenario(
         Optional<Path> trace,
@@ -41,18 +42,18 @@
     private static final long SETTLE_NANOS = Duration.ofSeconds(10).toNanos();
 
     /**
-     * Runs the scenario; returns what did not come as expected, and a broken promise if there is one.
+     * Runs the scenario and returns the failed expectations, and the broken promise if there is one.
      *
-     * @throws IOException if its trace cannot be read
+     * @throws IOException if the trace cannot be read
      */
     public ImmutableList<String> run() throws IOException {
         return trace.isPresent() ? replay(trace.get()) : runWorld(World.create(seed, NodePolicy.DEFAULT));
     }
 
     /**
-     * Runs the scenario and records each run of each of its nodes; a trace is only replayed.
+     * Runs the scenario and records a trace of each run of each node. A scenario of a trace is only replayed.
      *
-     * @param folder takes the traces, by the node's name and incarnation
+     * @param folder the folder for the traces; a file is named by the node and its incarnation
      * @throws IOException if a trace cannot be read or written
      */
     public ImmutableList<String> runRecorded(Path folder) throws IOException {
@@ -121,6 +122,6 @@
     }
 
     private static void check(Expectation expectation, ObservedRun observed, List<String> failures) {
-        expectation.check().failure(observed).ifPresent(what -> failures.add(expectation.text() + ": " + what));
+        expectation.check().failure(observed).ifPresent(failure -> failures.add(expectation.text() + ": " + failure));
     }
 }
--- a/tarragonarch-standin/src/main/java/org/tarragonarch/standin/scenario/ScenarioMain.java
+++ b/tarragonarch-standin/src/main/java/org/tarragonarch/standin/scenario/ScenarioMain.java
@@ -11,13 +11,13 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 
-/** Runs scenario files from the command line. */
+/** Runs scenario files and prints the failed expectations of each. */
 @Command(
         name = "scenario",
         mixinStandardHelpOptions = true,
-        description = "Runs scenarios against the core and says what did not come as expected.",
+        description = "Runs scenarios against the core and prints the failed expectations.",
         exitCodeListHeading = "Exit codes:%n",
-        exitCodeList = {"0:all came as expected", "1:something did not", "2:usage, or a file that cannot be read"})
+        exitCodeList = {"0:all expectations held", "1:an expectation failed", "2:usage, or a file that cannot be read"})
 public final class ScenarioMain implements Callable<Integer> {
     private static final int UNREADABLE = 2;
 
@@ -29,14 +29,14 @@
 
     private ScenarioMain() {}
 
-    /** Runs the program. */
+    /** Runs the scenarios and exits with the code listed in the usage. */
     public static void main(String[] arguments) {
         System.exit(new CommandLine(new ScenarioMain()).execute(arguments));
     }
 
     @Override
     public Integer call() {
-        boolean asExpected = true;
+        boolean allHeld = true;
         for (Path file : files) {
             try {
                 Scenario scenario = ScenarioParser.parse(
@@ -44,12 +44,12 @@
                 ImmutableList<String> failures = traces == null ? scenario.run() : scenario.runRecorded(traces);
                 System.out.println(file + (failures.isEmpty() ? ": as expected" : ":"));
                 failures.forEach(failure -> System.out.println("  " + failure));
-                asExpected &= failures.isEmpty();
+                allHeld &= failures.isEmpty();
             } catch (ScenarioSyntaxException | IOException e) {
                 System.err.println(file + ": " + e.getMessage());
                 return UNREADABLE;
             }
         }
-        return asExpected ? 0 : 1;
+        return allHeld ? 0 : 1;
     }
 }
--- a/tarragonarch-standin/src/main/java/org/tarragonarch/standin/scenario/ScenarioParser.java
+++ b/tarragonarch-standin/src/main/java/org/tarragonarch/standin/scenario/ScenarioParser.java
@@ -8,7 +8,7 @@
 import java.util.Optional;
 
 /**
- * Reads scenarios: one statement a line; what stands behind {@code #} is a comment.
+ * A parser of scenarios: one statement per line; {@code #} begins a comment.
  *
  * <pre>
  * seed 7
@@ -21,8 +21,8 @@
  * expect at 3s configuration 1 on all
  * </pre>
  *
- * <p>A scenario that opens with {@code trace FILE} replays what a node recorded; its submissions go by their ids, and
- * {@code every} stands for all of them.
+ * <p>A scenario that begins with {@code trace FILE} replays the trace of a node. Its submissions are named by their
+ * ids; {@code every} names all of them.
  */
 public final class ScenarioParser {
     private static final Splitter GROUPS = Splitter.on(',');
@@ -41,10 +41,11 @@
     }
 
     /**
-     * Reads a scenario.
+     * Parses a scenario.
      *
-     * @param folder the folder against which the file of a trace is taken
-     * @throws ScenarioSyntaxException if a line is no statement; names the line
+     * @param text the text of the scenario
+     * @param folder the folder that the path of a trace is relative to
+     * @throws ScenarioSyntaxException if a line is not a statement; the message names the line
      */
     public static Scenario parse(String text, Path folder) throws ScenarioSyntaxException {
         ScenarioParser parser = new ScenarioParser(folder);
@@ -52,7 +53,7 @@
         for (String line : Splitter.on('\n').split(text)) {
             number++;
             int comment = line.indexOf('#');
-            parser.line(number, comment < 0 ? line : line.substring(0, comment));
+            parser.parseLine(number, comment < 0 ? line : line.substring(0, comment));
         }
         return new Scenario(
                 parser.trace,
@@ -63,45 +64,45 @@
                 parser.expectations.build());
     }
 
-    private void line(int number, String text) throws ScenarioSyntaxException {
-        LineTokens words = new LineTokens(number, text);
-        if (words.isEmpty()) {
+    private void parseLine(int number, String text) throws ScenarioSyntaxException {
+        LineTokens tokens = new LineTokens(number, text);
+        if (tokens.isEmpty()) {
             return;
         }
-        String statement = words.nextWord();
+        String statement = tokens.nextWord();
         switch (statement) {
-            case "trace" -> trace = Optional.of(folder.resolve(words.nextWord()));
-            case "seed" -> seed = words.nextInt();
-            case "nodes" -> nodeGroups(number, text);
-            case "endpoints" -> endpointGroups(number, text);
+            case "trace" -> trace = Optional.of(folder.resolve(tokens.nextWord()));
+            case "seed" -> seed = tokens.nextInt();
+            case "nodes" -> parseNodeGroups(number, text);
+            case "endpoints" -> parseEndpointGroups(number, text);
             case "at" -> {
-                steps.addAll(StepParser.parse(words));
-                words.checkEnd();
+                steps.addAll(StepParser.parse(tokens));
+                tokens.checkEnd();
             }
             case "expect" -> {
-                String shown =
+                String shownLine =
                         "line " + number + ": " + CharMatcher.whitespace().trimAndCollapseFrom(text, ' ');
-                expectations.add(ExpectationParser.parse(shown, words));
-                words.checkEnd();
+                expectations.add(ExpectationParser.parse(shownLine, tokens));
+                tokens.checkEnd();
             }
-            default -> throw words.syntaxError("'" + statement + "' opens no statement");
+            default -> throw tokens.syntaxError("'" + statement + "' is not a statement");
         }
     }
 
-    private void nodeGroups(int number, String text) throws ScenarioSyntaxException {
-        for (LineTokens words : groups(number, text, "nodes")) {
-            nodes.put(words.nextWord(), words.nextInt());
-            words.checkEnd();
+    private void parseNodeGroups(int number, String text) throws ScenarioSyntaxException {
+        for (LineTokens tokens : groups(number, text, "nodes")) {
+            nodes.put(tokens.nextWord(), tokens.nextInt());
+            tokens.checkEnd();
         }
     }
 
-    private void endpointGroups(int number, String text) throws ScenarioSyntaxException {
-        for (LineTokens words : groups(number, text, "endpoints")) {
-            String domain = words.nextWord();
-            int count = words.nextInt();
-            int slots = words.skipIf("slots") ? words.nextInt() : DEFAULT_SLOTS;
+    private void parseEndpointGroups(int number, String text) throws ScenarioSyntaxException {
+        for (LineTokens tokens : groups(number, text, "endpoints")) {
+            String domain = tokens.nextWord();
+            int count = tokens.nextInt();
+            int slots = tokens.skipIf("slots") ? tokens.nextInt() : DEFAULT_SLOTS;
             endpoints.put(domain, new EndpointGroup(count, slots));
-            words.checkEnd();
+            tokens.checkEnd();
         }
     }
 
--- a/tarragonarch-standin/src/main/java/org/tarragonarch/standin/scenario/ScenarioRun.java
+++ b/tarragonarch-standin/src/main/java/org/tarragonarch/standin/scenario/ScenarioRun.java
@@ -18,13 +18,13 @@
 import org.tarragonarch.standin.explore.SentSubmission;
 import org.tarragonarch.standin.explore.World;
 
-/** One run of a scenario: the world, and the names that the scenario gave. */
+/** One run of a scenario: the world, and the names that the scenario gives to nodes, endpoints and submissions. */
 public final class ScenarioRun implements ObservedRun {
     private final World world;
     private final long startNanos;
     private final SetMultimap<String, String> domains = LinkedHashMultimap.create();
     private final SetMultimap<String, SentSubmission> submissions = LinkedHashMultimap.create();
-    private int balanced;
+    private int selections;
 
     ScenarioRun(World world) {
         this.world = world;
@@ -35,7 +35,7 @@
         return world;
     }
 
-    /** Plans something for a time since the start of the scenario. */
+    /** Schedules an effect at a time in nanoseconds since the start of the scenario. */
     void scheduleAt(long nanos, Runnable effect) {
         world.time().scheduleAt(startNanos + nanos, effect);
     }
@@ -62,21 +62,25 @@
         world.startNode(name, domain);
     }
 
-    /** Returns the nodes and endpoints of a domain, or the one thing of this name. */
+    /** Returns the names of the nodes and endpoints of a failure domain, or the name itself if it is not a domain. */
     ImmutableList<String> members(String name) {
         return domains.containsKey(name) ? ImmutableList.copyOf(domains.get(name)) : ImmutableList.of(name);
     }
 
-    /** Returns the nodes of a domain, the one node of this name, or all nodes. */
-    private ImmutableList<FakeNode> fakes(String name) {
+    /**
+     * Returns the nodes of a failure domain, the node with a name, or all nodes.
+     *
+     * @throws IllegalArgumentException if there is none
+     */
+    private ImmutableList<FakeNode> matchingNodes(String name) {
         ImmutableList<FakeNode> found = world.nodes().stream()
                 .filter(node -> name.equals("all") || members(name).contains(node.name()))
                 .collect(ImmutableList.toImmutableList());
-        checkArgument(!found.isEmpty(), "there is no node or domain '%s'", name);
+        checkArgument(!found.isEmpty(), "no node or domain is named '%s'", name);
         return found;
     }
 
-    /** Does something with each pair of two things, which may be domains. */
+    /** Applies an effect to each pair of members of two failure domains, nodes or endpoints. */
     void forEachPair(String one, String other, PairEffect effect) {
         for (String first : members(one)) {
             for (String second : members(other)) {
@@ -85,9 +89,9 @@
         }
     }
 
-    /** Returns the node that the balancer picks: those that are ready in turn, or the one that is named. */
+    /** Returns the node that a load balancer would choose: the serving nodes in turn, or the node that is named. */
     Optional<String> selectNode(String name) {
-        ImmutableList<FakeNode> ready = fakes(name).stream()
+        ImmutableList<FakeNode> ready = matchingNodes(name).stream()
                 .filter(node -> node.alive() && node.phase() == NodePhase.SERVING)
                 .collect(ImmutableList.toImmutableList());
         if (!domains.containsKey(name) && !name.equals("all")) {
@@ -95,14 +99,15 @@
         }
         return ready.isEmpty()
                 ? Optional.empty()
-                : Optional.of(ready.get(balanced++ % ready.size()).name());
+                : Optional.of(ready.get(selections++ % ready.size()).name());
     }
 
+    /** Records a submission under the name that the scenario gives it. */
     void sent(String name, SentSubmission sent) {
         submissions.put(name, sent);
     }
 
-    /** Returns what was sent under this name. */
+    /** Returns the submissions sent under a name. */
     Set<SentSubmission> sent(String name) {
         return submissions.get(name);
     }
@@ -121,7 +126,7 @@
 
     @Override
     public ImmutableList<ObservedNode> nodes(String name) {
-        return fakes(name).stream().map(NodeView::new).collect(ImmutableList.toImmutableList());
+        return matchingNodes(name).stream().map(NodeView::new).collect(ImmutableList.toImmutableList());
     }
 
     @Override
@@ -141,7 +146,7 @@
         return starts.build();
     }
 
-    /** One node as it stands. */
+    /** The current state of one node. */
     private record NodeView(FakeNode node) implements ObservedNode {
         @Override
         public String name() {
@@ -170,7 +175,7 @@
         }
     }
 
-    /** Something done with two things. */
+    /** An effect on a pair of nodes or endpoints. */
     @FunctionalInterface
     interface PairEffect {
         void apply(String one, String other);
--- a/tarragonarch-standin/src/main/java/org/tarragonarch/standin/scenario/ScenarioSyntaxException.java
+++ b/tarragonarch-standin/src/main/java/org/tarragonarch/standin/scenario/ScenarioSyntaxException.java
@@ -1,6 +1,6 @@
 package org.tarragonarch.standin.scenario;
 
-/** A line that is no statement of the scenario language. */
+/** Thrown when a line is not a statement of the scenario language; the message names the line. */
 public final class ScenarioSyntaxException extends Exception {
     private static final long serialVersionUID = 1L;
 
--- a/tarragonarch-standin/src/main/java/org/tarragonarch/standin/scenario/Step.java
+++ b/tarragonarch-standin/src/main/java/org/tarragonarch/standin/scenario/Step.java
@@ -3,9 +3,9 @@
 import java.util.function.Consumer;
 
 /**
- * Something that happens.
+ * One step of a scenario.
  *
- * @param nanos when, from the start of the scenario
- * @param effect what
+ * @param nanos when, in nanoseconds since the start of the scenario
+ * @param effect the effect on the run
  */
 public record Step(long nanos, Consumer<ScenarioRun> effect) {}
--- a/tarragonarch-standin/src/main/java/org/tarragonarch/standin/scenario/StepParser.java
+++ b/tarragonarch-standin/src/main/java/org/tarragonarch/standin/scenario/StepParser.java
@@ -11,61 +11,61 @@
 import org.tarragonarch.standin.explore.SampleCatalog;
 import org.tarragonarch.standin.explore.World;
 
-/** Reads what stands behind {@code at TIME}. */
+/** Parses the part of a line that follows {@code at}. */
 final class StepParser {
     private static final long DEFAULT_RUN_NANOS = Duration.ofMillis(200).toNanos();
 
     private StepParser() {}
 
-    static ImmutableList<Step> parse(LineTokens words) throws ScenarioSyntaxException {
-        long nanos = words.nextNanos();
-        if (words.skipIf("stream")) {
-            return stream(nanos, words);
+    static ImmutableList<Step> parse(LineTokens tokens) throws ScenarioSyntaxException {
+        long nanos = tokens.nextNanos();
+        if (tokens.skipIf("stream")) {
+            return stream(nanos, tokens);
         }
-        return ImmutableList.of(new Step(nanos, effect(words)));
+        return ImmutableList.of(new Step(nanos, effect(tokens)));
     }
 
-    private static Consumer<ScenarioRun> effect(LineTokens words) throws ScenarioSyntaxException {
-        String verb = words.nextWord();
+    private static Consumer<ScenarioRun> effect(LineTokens tokens) throws ScenarioSyntaxException {
+        String verb = tokens.nextWord();
         return switch (verb) {
-            case "submit" -> submission(words.nextWord(), words);
-            case "cancel" -> cancel(words.nextWord(), CancelCause.CALLER);
-            case "hang-up" -> cancel(words.nextWord(), CancelCause.HANG_UP);
-            case "cut" -> cut(words);
-            case "heal" -> heal(words);
-            case "platform" -> platform(words);
-            case "accept" -> accept(words);
-            case "unlist" -> unlist(words.nextWord());
-            case "fault" -> fault(words.nextWord(), words.nextConstant(EndpointFault.class));
-            case "start", "kill", "restart", "drain", "freeze" -> onOne(verb, words);
-            default -> throw words.syntaxError("'" + verb + "' is nothing that happens");
+            case "submit" -> submission(tokens.nextWord(), tokens);
+            case "cancel" -> cancel(tokens.nextWord(), CancelCause.CALLER);
+            case "hang-up" -> cancel(tokens.nextWord(), CancelCause.HANG_UP);
+            case "cut" -> cut(tokens);
+            case "heal" -> heal(tokens);
+            case "platform" -> platform(tokens);
+            case "accept" -> accept(tokens);
+            case "unlist" -> unlist(tokens.nextWord());
+            case "fault" -> fault(tokens.nextWord(), tokens.nextConstant(EndpointFault.class));
+            case "start", "kill", "restart", "drain", "freeze" -> nodeOrEndpoint(verb, tokens);
+            default -> throw tokens.syntaxError("'" + verb + "' is not a verb");
         };
     }
 
-    private static Consumer<ScenarioRun> submission(String name, LineTokens words) throws ScenarioSyntaxException {
-        SubmissionForm form = words.nextConstant(SubmissionForm.class);
-        int tasks = words.skipIf("tasks") ? words.nextInt() : 1;
-        long runNanos = words.nextNanosAfter("runtime").orElse(DEFAULT_RUN_NANOS);
-        KindName kind = words.skipIf("kind") ? KindName.of(words.nextWord()) : SampleCatalog.NON_IDEMPOTENT;
-        Optional<String> key = words.skipIf("key") ? Optional.of(words.nextWord()) : Optional.empty();
-        Optional<Duration> allowed = words.nextNanosAfter("allowed").map(Duration::ofNanos);
-        words.skipRequired("to");
-        String target = words.nextWord();
+    private static Consumer<ScenarioRun> submission(String name, LineTokens tokens) throws ScenarioSyntaxException {
+        SubmissionForm form = tokens.nextConstant(SubmissionForm.class);
+        int tasks = tokens.skipIf("tasks") ? tokens.nextInt() : 1;
+        long runNanos = tokens.nextNanosAfter("runtime").orElse(DEFAULT_RUN_NANOS);
+        KindName kind = tokens.skipIf("kind") ? KindName.of(tokens.nextWord()) : SampleCatalog.NON_IDEMPOTENT;
+        Optional<String> key = tokens.skipIf("key") ? Optional.of(tokens.nextWord()) : Optional.empty();
+        Optional<Duration> allowed = tokens.nextNanosAfter("allowed").map(Duration::ofNanos);
+        tokens.skipRequired("to");
+        String target = tokens.nextWord();
         return run -> run.selectNode(target)
                 .flatMap(node -> run.world().submit(node, form, kind, key, tasks, runNanos, allowed))
                 .ifPresent(sent -> run.sent(name, sent));
     }
 
-    /** Reads {@code stream NAME every TIME for TIME} and a submission, which is sent again and again. */
-    private static ImmutableList<Step> stream(long fromNanos, LineTokens words) throws ScenarioSyntaxException {
-        String name = words.nextWord();
-        words.skipRequired("every");
-        long every = words.nextNanos();
-        words.skipRequired("for");
-        long untilNanos = fromNanos + words.nextNanos();
-        Consumer<ScenarioRun> submission = submission(name, words);
+    /** Parses {@code stream NAME every TIME for TIME} and a submission, which is repeated at that interval. */
+    private static ImmutableList<Step> stream(long fromNanos, LineTokens tokens) throws ScenarioSyntaxException {
+        String name = tokens.nextWord();
+        tokens.skipRequired("every");
+        long intervalNanos = tokens.nextNanos();
+        tokens.skipRequired("for");
+        long untilNanos = fromNanos + tokens.nextNanos();
+        Consumer<ScenarioRun> submission = submission(name, tokens);
         ImmutableList.Builder<Step> steps = ImmutableList.builder();
-        for (long nanos = fromNanos; nanos < untilNanos; nanos += every) {
+        for (long nanos = fromNanos; nanos < untilNanos; nanos += intervalNanos) {
             steps.add(new Step(nanos, submission));
         }
         return steps.build();
@@ -75,10 +75,10 @@
         return run -> run.sent(name).forEach(sent -> run.world().cancel(sent, cause));
     }
 
-    private static Consumer<ScenarioRun> cut(LineTokens words) throws ScenarioSyntaxException {
-        String one = words.nextWord();
-        boolean oneWay = words.skipIf("to");
-        String other = words.nextWord();
+    private static Consumer<ScenarioRun> cut(LineTokens tokens) throws ScenarioSyntaxException {
+        String one = tokens.nextWord();
+        boolean oneWay = tokens.skipIf("to");
+        String other = tokens.nextWord();
         return run -> run.forEachPair(one, other, (first, second) -> {
             if (oneWay) {
                 run.world().network().cut(first, second);
@@ -88,39 +88,39 @@
         });
     }
 
-    private static Consumer<ScenarioRun> heal(LineTokens words) throws ScenarioSyntaxException {
-        if (words.skipIf("all")) {
+    private static Consumer<ScenarioRun> heal(LineTokens tokens) throws ScenarioSyntaxException {
+        if (tokens.skipIf("all")) {
             return run -> run.world().network().healAll();
         }
-        String one = words.nextWord();
-        String other = words.nextWord();
+        String one = tokens.nextWord();
+        String other = tokens.nextWord();
         return run -> run.forEachPair(
                 one, other, (first, second) -> run.world().network().heal(first, second));
     }
 
-    private static Consumer<ScenarioRun> platform(LineTokens words) throws ScenarioSyntaxException {
-        String what = words.nextWord();
+    private static Consumer<ScenarioRun> platform(LineTokens tokens) throws ScenarioSyntaxException {
+        String what = tokens.nextWord();
         switch (what) {
             case "out":
                 return run -> run.world().platform().setOut(true);
             case "back":
                 return run -> run.world().platform().setOut(false);
             case "loses-replies":
-                double lost = words.nextShare();
+                double lost = tokens.nextShare();
                 return run -> run.world().platform().setReplyLostShare(lost);
             case "reads-stale":
-                double stale = words.nextShare();
+                double stale = tokens.nextShare();
                 return run -> run.world().platform().setStaleReadShare(stale);
             case "list-lags":
-                long lag = words.nextNanos();
+                long lag = tokens.nextNanos();
                 return run -> run.world().platform().setListLag(lag);
             default:
-                throw words.syntaxError("'" + what + "' is nothing that the platform does");
+                throw tokens.syntaxError("'" + what + "' is not an effect on the platform");
         }
     }
 
-    private static Consumer<ScenarioRun> accept(LineTokens words) throws ScenarioSyntaxException {
-        words.skipRequired("configuration");
+    private static Consumer<ScenarioRun> accept(LineTokens tokens) throws ScenarioSyntaxException {
+        tokens.skipRequired("configuration");
         return run -> run.world().acceptConfiguration();
     }
 
@@ -132,15 +132,15 @@
         return run -> run.world().endpoint(endpoint).setFault(fault);
     }
 
-    private static Consumer<ScenarioRun> onOne(String verb, LineTokens words) throws ScenarioSyntaxException {
-        boolean endpoint = words.skipIf("endpoint");
+    private static Consumer<ScenarioRun> nodeOrEndpoint(String verb, LineTokens tokens) throws ScenarioSyntaxException {
+        boolean endpoint = tokens.skipIf("endpoint");
         if (!endpoint) {
-            words.skipRequired("node");
+            tokens.skipRequired("node");
         }
-        String name = words.nextWord();
+        String name = tokens.nextWord();
         if (verb.equals("freeze")) {
-            words.skipRequired("for");
-            long nanos = words.nextNanos();
+            tokens.skipRequired("for");
+            long nanos = tokens.nextNanos();
             return run -> run.world().freezeNode(name, nanos);
         }
         if (verb.equals("start")) {
@@ -148,14 +148,14 @@
         }
         return run -> {
             if (endpoint) {
-                onEndpoint(verb, name, run.world());
+                applyToEndpoint(verb, name, run.world());
             } else {
-                onNode(verb, name, run.world());
+                applyToNode(verb, name, run.world());
             }
         };
     }
 
-    private static void onEndpoint(String verb, String name, World world) {
+    private static void applyToEndpoint(String verb, String name, World world) {
         switch (verb) {
             case "kill" -> world.endpoint(name).kill();
             case "drain" -> world.drainEndpoint(name);
@@ -163,7 +163,7 @@
         }
     }
 
-    private static void onNode(String verb, String name, World world) {
+    private static void applyToNode(String verb, String name, World world) {
         switch (verb) {
             case "kill" -> world.killNode(name);
             case "drain" -> world.drainNode(name);
--- a/tarragonarch-standin/src/main/java/org/tarragonarch/standin/scenario/TraceFolder.java
+++ b/tarragonarch-standin/src/main/java/org/tarragonarch/standin/scenario/TraceFolder.java
@@ -11,7 +11,7 @@
 import org.tarragonarch.model.id.Incarnation;
 import org.tarragonarch.model.id.NodeId;
 
-/** The traces of one run of a scenario: a file for each run of each node. */
+/** The folder of the traces of one run of a scenario: one file for each run of each node. */
 final class TraceFolder implements AutoCloseable {
     private final Path folder;
     private final List<TraceWriter> writers = new ArrayList<>();
@@ -20,12 +20,16 @@
         this.folder = folder;
     }
 
-    /** Starts the trace of one run of a node. */
-    EventRecorder start(TraceHeader made) {
-        Path file =
-                folder.resolve(fileName(made.identity().node(), made.identity().incarnation()));
+    /**
+     * Starts the trace of one run of a node.
+     *
+     * @throws UncheckedIOException if the file cannot be written
+     */
+    EventRecorder start(TraceHeader header) {
+        Path file = folder.resolve(
+                fileName(header.identity().node(), header.identity().incarnation()));
         try {
-            TraceWriter writer = TraceWriter.start(file, made);
+            TraceWriter writer = TraceWriter.start(file, header);
             writers.add(writer);
             return writer;
         } catch (IOException e) {
--- a/tarragonarch-standin/src/main/java/org/tarragonarch/standin/scenario/TraceRun.java
+++ b/tarragonarch-standin/src/main/java/org/tarragonarch/standin/scenario/TraceRun.java
@@ -24,7 +24,7 @@
 import org.tarragonarch.model.outcome.Problem;
 import org.tarragonarch.model.report.NodePhase;
 
-/** What one node does when its trace is replayed; only what shows in its actions is to be seen. */
+/** The replay of one node's trace; it observes only what the node's actions show. */
 final class TraceRun implements ObservedRun, ObservedRun.ObservedNode {
     private static final String COMPLETE = "complete";
 
@@ -37,7 +37,7 @@
     private ConfigurationVersion configuration = ConfigurationVersion.NONE;
     private NodePhase phase = NodePhase.STARTING;
 
-    /** Returns a time of the trace as the time since its first action. */
+    /** Converts a time of the trace to the time since its first action, in nanoseconds. */
     long nanosSinceStart(long nanos) {
         startNanos = startNanos < 0 ? nanos : startNanos;
         return nanos - startNanos;
@@ -57,24 +57,24 @@
         } else if (action instanceof Note note) {
             notes.merge(note.event(), 1, Integer::sum);
         } else {
-            answered(action, nanos);
+            recordIfAnswer(action, nanos);
         }
     }
 
-    private void answered(Action action, long nanos) {
+    private void recordIfAnswer(Action action, long nanos) {
         if (action instanceof AnswerProblem answer) {
             String outcome = answer.problem().code().outcome().word();
-            answer(answer.submission(), outcome, Optional.of(answer.problem()), nanos);
+            putAnswer(answer.submission(), outcome, Optional.of(answer.problem()), nanos);
         } else if (action instanceof AnswerComplete answer) {
-            answer(answer.submission(), COMPLETE, Optional.empty(), nanos);
+            putAnswer(answer.submission(), COMPLETE, Optional.empty(), nanos);
         } else if (action instanceof AnswerSameAs answer) {
-            answer(answer.submission(), COMPLETE, Optional.empty(), nanos);
+            putAnswer(answer.submission(), COMPLETE, Optional.empty(), nanos);
         } else if (action instanceof AnswerFromPeer answer) {
-            answer(answer.submission(), COMPLETE, Optional.empty(), nanos);
+            putAnswer(answer.submission(), COMPLETE, Optional.empty(), nanos);
         }
     }
 
-    private void answer(SubmissionId id, String outcome, Optional<Problem> problem, long nanos) {
+    private void putAnswer(SubmissionId id, String outcome, Optional<Problem> problem, long nanos) {
         name = id.node().value();
         long sent = arrivedNanos.getOrDefault(id, nanos);
         answers.put(id, new ObservedSubmission(id, sent, outcome, problem, nanos));
--- a/tarragonarch-standin/src/main/java/org/tarragonarch/standin/scenario/package-info.java
+++ b/tarragonarch-standin/src/main/java/org/tarragonarch/standin/scenario/package-info.java
@@ -1,7 +1,7 @@
 /**
- * The scenario language: what happens at which virtual time, and what must come of it.
+ * The scenario language: steps at virtual times, and expectations on the result.
  *
  * <p>A scenario drives the same {@link org.tarragonarch.standin.explore.World} as the explorer, so every promise is
- * checked at every step as well; the expectations of a scenario are what the promises alone do not say.
+ * also checked at every step. The expectations of a scenario cover what the promises do not.
  */
 package org.tarragonarch.standin.scenario;
--- a/tarragonarch-standin/src/test/java/org/tarragonarch/standin/LoadMainTest.java
+++ b/tarragonarch-standin/src/test/java/org/tarragonarch/standin/LoadMainTest.java
@@ -9,7 +9,7 @@
 import org.testng.annotations.Test;
 import picocli.CommandLine;
 
-/** Guards against a change of the words of --shape and --pattern through the rename of a constant. */
+/** Guards against the rename of a constant that changes a word of --shape or --pattern. */
 public final class LoadMainTest {
     @DataProvider
     public Object[][] words() {
@@ -29,7 +29,7 @@
         assertEquals(ArrivalPattern.values().length, 2);
     }
 
-    /** Runs the program for so short a time that it submits nothing. */
+    /** Runs the program for one millisecond at a rate so low that it submits nothing. */
     private static int run(String shape, String pattern) {
         return new CommandLine(LoadMain.class)
                 .execute(
--- a/tarragonarch-standin/src/test/java/org/tarragonarch/standin/StandInControl.java
+++ b/tarragonarch-standin/src/test/java/org/tarragonarch/standin/StandInControl.java
@@ -10,10 +10,10 @@
 import java.time.Duration;
 import org.tarragonarch.model.id.Address;
 
-/** Throws the switches of a stand-in, reads its ledger, and reads what a node's administration address shows. */
+/** A client that switches the faults of a stand-in, reads its ledger, and reads a node's administration address. */
 public final class StandInControl {
     private static final Duration TIMEOUT = Duration.ofSeconds(5);
-    private static final int FIRST_ERROR = 300;
+    private static final int FIRST_ERROR_STATUS = 300;
 
     private final HttpClient client = HttpClient.newHttpClient();
     private final ObjectMapper mapper = new ObjectMapper();
@@ -27,7 +27,7 @@
         return new StandInControl(address);
     }
 
-    /** Switches a fault on; the text is the fault's name with its parameters. */
+    /** Switches on a fault; the text is the fault's name, with its parameters as a query. */
     public void switchOnFault(String nameAndQuery) throws Exception {
         send(request("/faults/" + nameAndQuery).POST(HttpRequest.BodyPublishers.noBody()));
     }
@@ -57,7 +57,7 @@
 
     private HttpResponse<String> send(HttpRequest.Builder request) throws IOException, InterruptedException {
         HttpResponse<String> response = client.send(request.build(), HttpResponse.BodyHandlers.ofString());
-        if (response.statusCode() >= FIRST_ERROR) {
+        if (response.statusCode() >= FIRST_ERROR_STATUS) {
             throw new IOException(response.uri() + " answered " + response.statusCode() + " " + response.body());
         }
         return response;
--- a/tarragonarch-standin/src/test/java/org/tarragonarch/standin/endpoint/StandInEndpointTest.java
+++ b/tarragonarch-standin/src/test/java/org/tarragonarch/standin/endpoint/StandInEndpointTest.java
@@ -145,8 +145,9 @@
 
     @Test
     public void testDrain_finishesRunningTasksAndRefusesNewOnes() throws Exception {
-        // The platform takes a worker away while a task runs on it. The task's answer must arrive whole, new tasks must
-        // be told that they were not started, and the worker must be off the list in the end.
+        // The platform removes an endpoint while a task runs on it. Guards against a lost answer of that task, a
+        // refusal
+        // that does not say that the task was not started, and an endpoint that remains on the list.
         CompletableFuture<HttpResponse<String>> answer =
                 client.sendAsync(task("t1", "sleep", "{\"ms\":700}"), HttpResponse.BodyHandlers.ofString());
         awaitStarts(1);
@@ -183,10 +184,10 @@
             } catch (ConnectException e) {
                 return;
             } catch (IOException e) {
-                // A connection that was open before the port closed breaks otherwise.
+                // A connection that was open before the port closed fails with another exception.
                 assertTrue(System.nanoTime() < deadline);
             }
-            assertTrue(System.nanoTime() < deadline, "connections are still taken");
+            assertTrue(System.nanoTime() < deadline, "connections are still accepted");
         }
     }
 
@@ -206,7 +207,7 @@
     private void awaitStarts(int count) throws Exception {
         long deadline = System.nanoTime() + DEADLINE.toNanos();
         while (starts().size() < count) {
-            assertTrue(System.nanoTime() < deadline, "too few starts");
+            assertTrue(System.nanoTime() < deadline, "too few task starts");
         }
     }
 
