--- a/tarragonarch-standin/src/test/java/org/tarragonarch/standin/explore/ExplorerTest.java
+++ b/tarragonarch-standin/src/test/java/org/tarragonarch/standin/explore/ExplorerTest.java
@@ -21,13 +21,13 @@
         assertEquals(findings, List.of());
     }
 
-    /** Guards against attempts over a cut link that the checker counts as new work. */
+    /** Guards against a checker that counts attempts over a cut link as new work of a leaving endpoint. */
     @Test
     public void testRun_attemptOverCutLinkIsNotNewWork() {
         assertEquals(new Explorer().run(20_644), Optional.empty());
     }
 
-    /** Guards against a deadline that waits for the next event since a leaving node names a past wake time. */
+    /** Guards against a missed deadline when a leaving node asks to be woken at a time in the past. */
     @Test
     public void testRun_deadlineOfLeavingNode() {
         assertEquals(new Explorer().run(84_215), Optional.empty());
--- a/tarragonarch-standin/src/test/java/org/tarragonarch/standin/http/HttpServerTest.java
+++ b/tarragonarch-standin/src/test/java/org/tarragonarch/standin/http/HttpServerTest.java
@@ -18,9 +18,8 @@
 
     @Test
     public void testExchange_releasedAfterAnswer() throws Exception {
-        // A stand-in endpoint under load grows until it stalls, and the nodes' figures show delays that are the
-        // stand-in's own. Connections last, so whatever is kept with a connection for each of its requests is never
-        // freed.
+        // Guards against a leak of one exchange per request on a long-lived connection. A stand-in endpoint under load
+        // then stalls, and the measurements of the nodes show delays of the stand-in.
         List<WeakReference<HttpExchange>> exchanges = new CopyOnWriteArrayList<>();
         HttpHandler handler = exchange -> {
             exchanges.add(new WeakReference<>(exchange));
@@ -44,7 +43,7 @@
                 System.gc();
                 Thread.sleep(10);
             }
-            assertNull(exchanges.get(0).get(), "the first exchange is still held");
+            assertNull(exchanges.get(0).get(), "the first exchange is still reachable");
         }
     }
 }
--- a/tarragonarch-standin/src/test/java/org/tarragonarch/standin/load/LoadRunTest.java
+++ b/tarragonarch-standin/src/test/java/org/tarragonarch/standin/load/LoadRunTest.java
@@ -105,8 +105,8 @@
         }
     }
 
-    /** Answers with the inputs as results, moved by some places. */
-    private static HttpReply complete(HttpExchange exchange, int moved) {
+    /** Returns an answer whose results are the inputs, rotated by a number of positions. */
+    private static HttpReply complete(HttpExchange exchange, int rotation) {
         ObjectNode answer = JsonNodeFactory.instance.objectNode().put("outcome", "complete");
         JsonNode message = exchange.json();
         if (message.has("input")) {
@@ -115,7 +115,7 @@
             ArrayNode results = answer.putArray("results");
             int tasks = message.path("tasks").size();
             for (int i = 0; i < tasks; i++) {
-                results.add(message.path("tasks").get((i + moved) % tasks).path("input"));
+                results.add(message.path("tasks").get((i + rotation) % tasks).path("input"));
             }
         }
         return HttpReply.json(200, answer).withHeader("Outcome", "complete");
--- a/tarragonarch-standin/src/test/java/org/tarragonarch/standin/platform/ClaimStoreTest.java
+++ b/tarragonarch-standin/src/test/java/org/tarragonarch/standin/platform/ClaimStoreTest.java
@@ -69,8 +69,8 @@
 
     @Test
     public void testInsertIfAbsent_replyLost() throws Exception {
-        // The platform inserts the claim, but the connection breaks before its reply arrives. Were the write reported
-        // as not applied, the node would answer "not run" for a key that stays taken.
+        // The platform inserts the claim, but the connection breaks before the reply arrives. Guards against reporting
+        // the write as not applied, so that the node would answer "not run" for a key that stays taken.
         control.switchOnFault("reply-lost?part=tables&count=1");
         Claim claim = claim("upload-1", "token-1");
 
@@ -101,7 +101,7 @@
         PlatformException out = expectThrows(PlatformException.class, () -> claims.insertIfAbsent(List.of(claim)));
 
         assertFalse(out.mayHaveApplied());
-        assertTrue(client.vmList().list().isEmpty(), "the VM list goes on while tables are out");
+        assertTrue(client.vmList().list().isEmpty(), "the VM list is available while tables are out");
         control.clearFaults();
         assertTrue(claims.read(ImmutableList.of(claim.key())).isEmpty());
     }
@@ -112,9 +112,10 @@
         try (ServerSocket socket = new ServerSocket(0)) {
             unused = socket.getLocalPort();
         }
-        try (PlatformClient lonely = PlatformClient.create(new Address("127.0.0.1", unused), TIMEOUT)) {
+        try (PlatformClient unconnected = PlatformClient.create(new Address("127.0.0.1", unused), TIMEOUT)) {
             PlatformException refused = expectThrows(
-                    PlatformException.class, () -> lonely.claimStore().insertIfAbsent(List.of(claim("key", "token"))));
+                    PlatformException.class,
+                    () -> unconnected.claimStore().insertIfAbsent(List.of(claim("key", "token"))));
 
             assertFalse(refused.mayHaveApplied());
         }
--- a/tarragonarch-standin/src/test/java/org/tarragonarch/standin/platform/ConfigurationStoreTest.java
+++ b/tarragonarch-standin/src/test/java/org/tarragonarch/standin/platform/ConfigurationStoreTest.java
@@ -61,8 +61,9 @@
 
     @Test
     public void testAccept_concurrentChangeNamesWinner() throws Exception {
-        // Two operators change version 0 at once, and a third has built on the winner before the loser's write arrives.
-        // The loser must learn who won, not who is newest.
+        // Two operators change version 0 concurrently, and a third changes the winner's version before the loser's
+        // write
+        // arrives. Guards against naming the operator of the newest version to the loser instead of the winner.
         accept(0, "ann", "{}");
         accept(1, "cid", "{\"services\":{}}");
 
@@ -75,8 +76,8 @@
 
     @Test
     public void testAccept_replyLostIsResolvedByChangeId() throws Exception {
-        // The transaction takes effect and its reply is lost. The operator must hear that the change was accepted, and
-        // the audit trail must hold it once.
+        // The transaction takes effect and its reply is lost. Guards against reporting the change as not accepted, and
+        // against a second entry in the audit trail.
         control.switchOnFault("reply-lost?part=tables&count=1");
 
         ConfigurationRow accepted = accept(0, "ann", "{}");
@@ -87,8 +88,9 @@
 
     @Test
     public void testAccept_replyLostAndReadStale() throws Exception {
-        // The reply is lost, and the reading that shall settle it still shows the old row. Were that taken as "not
-        // accepted", the operator would be told a false refusal; sending the same transaction again finds the truth.
+        // The reply is lost, and the read that follows returns the old row. Guards against reporting the accepted
+        // change
+        // as refused; sending the same transaction again shows that it was accepted.
         accept(0, "ann", "{}");
         control.switchOnFault("stale?table=configuration&key=current");
         control.switchOnFault("reply-lost?part=tables&count=1");
@@ -102,8 +104,8 @@
 
     @Test
     public void testAccept_staleReadBeforeFirstAttempt() throws Exception {
-        // A reading shows no row yet although version 1 stands, so that the insertion fails. The operator's change of
-        // version 0 has lost against ann's and must be told so.
+        // A stale read returns no row although version 1 exists, so that the insertion fails. Guards against a failure
+        // that does not name the operator ann, whose change of version 0 won.
         control.switchOnFault("stale?table=configuration&key=current");
         accept(0, "ann", "{}");
 
@@ -135,8 +137,8 @@
 
     @Test
     public void testAccept_replyLostAndReadsFail() throws Exception {
-        // The transaction's reply is lost, and from then on the table service does not answer: nobody can say whether
-        // the change was accepted, and the error must say just that.
+        // The transaction's reply is lost and the table service stops answering, so that the result is unknown. Guards
+        // against an error that reports the change as not applied.
         accept(0, "ann", "{}");
         control.switchOnFault("slow?part=tables&ms=0&count=1");
         control.switchOnFault("cut?part=tables");
--- a/tarragonarch-standin/src/test/java/org/tarragonarch/standin/scenario/OuterNamesTest.java
+++ b/tarragonarch-standin/src/test/java/org/tarragonarch/standin/scenario/OuterNamesTest.java
@@ -12,7 +12,7 @@
 import org.tarragonarch.standin.explore.EndpointFault;
 import org.testng.annotations.Test;
 
-/** Guards against a change of the words of scenarios through the rename of a constant. */
+/** Guards against the rename of a constant that changes a word of the scenario language. */
 public final class OuterNamesTest {
     private static final ImmutableList<String> NOTES = ImmutableList.of(
             "late-answer-dropped",
@@ -37,26 +37,28 @@
 
     @Test
     public void testNextConstant_faults() throws Exception {
-        assertStandsForAll(EndpointFault.class, ImmutableList.of("none", "fails-all", "cuts-answer-short", "hangs"));
+        assertWordsCoverConstants(
+                EndpointFault.class, ImmutableList.of("none", "fails-all", "cuts-answer-short", "hangs"));
     }
 
     @Test
     public void testNextConstant_forms() throws Exception {
-        assertStandsForAll(SubmissionForm.class, ImmutableList.of("request", "job"));
+        assertWordsCoverConstants(SubmissionForm.class, ImmutableList.of("request", "job"));
     }
 
     @Test
     public void testNextConstant_phases() throws Exception {
-        assertStandsForAll(NodePhase.class, ImmutableList.of("starting", "serving", "draining", "finishing", "left"));
+        assertWordsCoverConstants(
+                NodePhase.class, ImmutableList.of("starting", "serving", "draining", "finishing", "left"));
     }
 
     @Test
     public void testNextConstant_notes() throws Exception {
-        assertStandsForAll(NoteEvent.class, NOTES);
+        assertWordsCoverConstants(NoteEvent.class, NOTES);
     }
 
-    /** Checks that every word is read, and that the words stand for all constants. */
-    private static <E extends Enum<E>> void assertStandsForAll(Class<E> type, ImmutableList<String> words)
+    /** Asserts that every word is accepted and that the words cover all constants. */
+    private static <E extends Enum<E>> void assertWordsCoverConstants(Class<E> type, ImmutableList<String> words)
             throws ScenarioSyntaxException {
         Set<E> read = new TreeSet<>();
         for (String word : words) {
--- a/tarragonarch-standin/src/test/java/org/tarragonarch/standin/scenario/ScenarioTest.java
+++ b/tarragonarch-standin/src/test/java/org/tarragonarch/standin/scenario/ScenarioTest.java
@@ -18,7 +18,7 @@
     private static final String KNOWN_RED = "KNOWN-RED.txt";
     private static final String HOBART = "nodes hobart 1\nendpoints hobart 1 slots 8\n";
 
-    /** Each file of the folder is a scenario; its story stands at its top. */
+    /** Returns the scenario files; a comment at the top of each describes it. */
     @DataProvider
     public Object[] scenarios() throws Exception {
         Path folder = Path.of(Resources.getResource("scenarios").toURI());
@@ -33,13 +33,13 @@
                 ScenarioParser.parse(Files.readString(file), file.getParent()).run();
         String name = file.getFileName().toString();
         if (isKnownRed(name)) {
-            assertNotEquals(failures, ImmutableList.of(), name + " is green: take it off " + KNOWN_RED);
+            assertNotEquals(failures, ImmutableList.of(), name + " passes: remove it from " + KNOWN_RED);
         } else {
             assertEquals(String.join("\n", failures), "", name);
         }
     }
 
-    /** Returns whether the list of known faults at the root of the workspace names a scenario of this test. */
+    /** Returns whether the list of known failures at the root of the repository names a scenario. */
     private static boolean isKnownRed(String name) throws IOException {
         Path list = Path.of("").toAbsolutePath().getParent().resolve(KNOWN_RED);
         return Files.exists(list)
@@ -69,14 +69,14 @@
     @DataProvider
     public Object[][] wrongLines() {
         return new Object[][] {
-            {"at 5s explode node hobart-1", "'explode' is nothing that happens"},
-            {"at soon kill node hobart-1", "'soon' is no time"},
-            {"expect j1 fine", "'fine' is no outcome"},
-            {"at 5s submit j1 job tasks 3 to", "the line ends too early"},
-            {"nodes hobart many", "'many' is no number"},
+            {"at 5s explode node hobart-1", "'explode' is not a verb"},
+            {"at soon kill node hobart-1", "'soon' is not a time"},
+            {"expect j1 fine", "'fine' is not an outcome"},
+            {"at 5s submit j1 job tasks 3 to", "the line ends unexpectedly"},
+            {"nodes hobart many", "'many' is not a number"},
             {"expect no task starts", "'twice' is missing"},
-            {"at 5s kill node hobart-1 twice", "'twice' is too much"},
-            {"whenever", "opens no statement"},
+            {"at 5s kill node hobart-1 twice", "'twice' is unexpected"},
+            {"whenever", "is not a statement"},
         };
     }
 
--- a/tarragonarch-standin/src/test/java/org/tarragonarch/standin/scenario/TraceScenarioTest.java
+++ b/tarragonarch-standin/src/test/java/org/tarragonarch/standin/scenario/TraceScenarioTest.java
@@ -44,7 +44,7 @@
         MoreFiles.deleteRecursively(folder, RecursiveDeleteOption.ALLOW_INSECURE);
     }
 
-    /** What callers were told and what was in force when a node was recorded comes out again, word for word. */
+    /** Guards against a replay whose answers or configurations differ from those of the recorded run. */
     @Test
     public void testRun_replayedTraceGivesTheSameOutcomes() throws Exception {
         assertEquals(parse("trace hobart-1_1.jsonl\n" + EXPECTED).run(), ImmutableList.of());
