--- a/tarragonarch-entry/src/main/java/org/tarragonarch/entry/Daemon.java
+++ b/tarragonarch-entry/src/main/java/org/tarragonarch/entry/Daemon.java
@@ -236,7 +236,7 @@
 
     private void platformAnswered(Event event) {
         if (event instanceof VmListRead list) {
-            peers.learn(list.vms());
+            peers.updateAddresses(list.vms());
         }
         control.post(event);
     }
@@ -277,7 +277,7 @@
 
     private void addGauges() {
         metrics.gauge("control.queue.events", null, "Events that wait for the control thread", control::waiting);
-        metrics.gauge("callers.waiting", null, "Callers who wait for an answer", callerApi::waiting);
+        metrics.gauge("callers.waiting", null, "Callers who wait for an answer", callerApi::waitingCallers);
         metrics.gauge("bodies.stored", "bytes", "Bytes of inputs and results kept", bodies::bytes);
         metrics.gauge("endpoint.exchanges", null, "Exchanges with endpoints under way", endpoints::exchanges);
     }
--- a/tarragonarch-entry/src/main/java/org/tarragonarch/entry/body/BodyStore.java
+++ b/tarragonarch-entry/src/main/java/org/tarragonarch/entry/body/BodyStore.java
@@ -26,7 +26,7 @@
 public final class BodyStore {
     private final long maxBytes;
     private final AtomicLong bytes = new AtomicLong();
-    private final ConcurrentMap<SubmissionId, Bodies> bodies = new ConcurrentHashMap<>();
+    private final ConcurrentMap<SubmissionId, StoredSubmission> bodies = new ConcurrentHashMap<>();
     private final Queue<SubmissionId> answered = new ConcurrentLinkedQueue<>();
 
     private BodyStore(long maxBytes) {
@@ -50,13 +50,13 @@
      * @param content what it asks for
      * @return whether it was kept
      */
-    public boolean keep(SubmissionId submission, SubmissionContent content) {
+    public boolean put(SubmissionId submission, SubmissionContent content) {
         long size = size(content.inputs());
-        if (bytes.addAndGet(size) > maxBytes && !madeRoom()) {
+        if (bytes.addAndGet(size) > maxBytes && !evictAnswered()) {
             bytes.addAndGet(-size);
             return false;
         }
-        bodies.put(submission, new Bodies(content, size));
+        bodies.put(submission, new StoredSubmission(content, size));
         return true;
     }
 
@@ -66,40 +66,40 @@
     }
 
     /** Keeps the result of a task; passed over if its submission is no longer kept. */
-    public void keepResult(TaskId task, byte[] result) {
+    public void putResult(TaskId task, byte[] result) {
         find(task.submission()).ifPresent(kept -> bytes.addAndGet(kept.putResult(task.index(), result)));
     }
 
     /** Keeps the results that another node gave for a submission that waits here. */
-    public void keepResults(SubmissionId submission, ImmutableList<byte[]> results) {
+    public void putResults(SubmissionId submission, ImmutableList<byte[]> results) {
         find(submission).ifPresent(kept -> bytes.addAndGet(kept.putResults(results)));
     }
 
     /** Returns every result of a submission in the order of its tasks; empty unless all are there. */
     public Optional<ImmutableList<byte[]>> results(SubmissionId submission) {
-        return find(submission).flatMap(Bodies::results);
+        return find(submission).flatMap(StoredSubmission::results);
     }
 
     /** Drops the inputs of a submission that was answered but keeps its results for a second caller. */
-    public void dropInputs(SubmissionId submission) {
-        find(submission).ifPresent(kept -> bytes.addAndGet(-kept.dropInputs()));
+    public void removeInputs(SubmissionId submission) {
+        find(submission).ifPresent(kept -> bytes.addAndGet(-kept.removeInputs()));
         answered.add(submission);
         // Answers are forgotten in the order in which they were given, so what is gone stands in front.
-        while (!answered.isEmpty() && !holds(answered.peek())) {
+        while (!answered.isEmpty() && !contains(answered.peek())) {
             answered.poll();
         }
     }
 
     /** Drops all that is kept for a submission. */
-    public void drop(SubmissionId submission) {
-        Bodies dropped = bodies.remove(submission);
+    public void remove(SubmissionId submission) {
+        StoredSubmission dropped = bodies.remove(submission);
         if (dropped != null) {
             bytes.addAndGet(-dropped.close());
         }
     }
 
     /** Returns whether anything is kept for a submission, as is so until it is answered. */
-    public boolean holds(SubmissionId submission) {
+    public boolean contains(SubmissionId submission) {
         return bodies.containsKey(submission);
     }
 
@@ -109,22 +109,22 @@
     }
 
     /** Returns how many submissions have bodies here. */
-    public int submissions() {
+    public int submissionCount() {
         return bodies.size();
     }
 
-    private boolean madeRoom() {
+    private boolean evictAnswered() {
         while (bytes.get() > maxBytes) {
             SubmissionId oldest = answered.poll();
             if (oldest == null) {
                 return false;
             }
-            drop(oldest);
+            remove(oldest);
         }
         return true;
     }
 
-    private Optional<Bodies> find(SubmissionId submission) {
+    private Optional<StoredSubmission> find(SubmissionId submission) {
         return Optional.ofNullable(bodies.get(submission));
     }
 
--- a/tarragonarch-entry/src/main/java/org/tarragonarch/entry/body/JsonSlices.java
+++ b/tarragonarch-entry/src/main/java/org/tarragonarch/entry/body/JsonSlices.java
@@ -21,7 +21,7 @@
      * @param text the text in UTF-8
      * @throws IOException if the value is not JSON, or the text is not in UTF-8
      */
-    public static byte[] current(JsonParser parser, byte[] text) throws IOException {
+    public static byte[] currentValue(JsonParser parser, byte[] text) throws IOException {
         long start = parser.currentTokenLocation().getByteOffset();
         if (start < 0) {
             throw new IOException("the text is not in UTF-8");
@@ -64,7 +64,7 @@
                 if (parser.currentToken() == null) {
                     throw new IOException("the array has no end");
                 }
-                values.add(current(parser, array));
+                values.add(currentValue(parser, array));
             }
             return values.build();
         }
--- a/tarragonarch-entry/src/main/java/org/tarragonarch/entry/body/Bodies.java
+++ b/tarragonarch-entry/src/main/java/org/tarragonarch/entry/body/StoredSubmission.java
@@ -6,7 +6,7 @@
 import org.tarragonarch.model.id.ServiceName;
 
 /** The bodies of one submission; every method that changes what is kept returns by how many bytes. */
-final class Bodies {
+final class StoredSubmission {
     private final ServiceName service;
     private final KindName kind;
     private final int tasks;
@@ -16,7 +16,7 @@
     private long resultBytes;
     private boolean closed;
 
-    Bodies(SubmissionContent content, long inputBytes) {
+    StoredSubmission(SubmissionContent content, long inputBytes) {
         this.service = content.service();
         this.kind = content.kind();
         this.inputs = content.inputs();
@@ -59,7 +59,7 @@
         return closed ? Optional.empty() : Optional.of(ImmutableList.copyOf(results));
     }
 
-    synchronized long dropInputs() {
+    synchronized long removeInputs() {
         long dropped = inputBytes;
         inputs = ImmutableList.of();
         inputBytes = 0;
--- a/tarragonarch-entry/src/main/java/org/tarragonarch/entry/caller/AnswerSender.java
+++ b/tarragonarch-entry/src/main/java/org/tarragonarch/entry/caller/AnswerSender.java
@@ -51,69 +51,70 @@
     /** Answers with the results of the submission's own tasks. */
     public void answerComplete(AnswerComplete action) {
         SubmissionId id = action.submission();
-        Optional<PendingAnswer> waiting = pending.take(id);
-        waiting.ifPresent(caller -> complete(id, caller, bodies.results(id)));
+        Optional<PendingAnswer> waiting = pending.remove(id);
+        waiting.ifPresent(caller -> sendComplete(id, caller, bodies.results(id)));
         if (waiting.map(PendingAnswer::keyed).orElse(false)) {
-            bodies.dropInputs(id);
+            bodies.removeInputs(id);
         } else {
-            bodies.drop(id);
+            bodies.remove(id);
         }
     }
 
     /** Answers with the results of another submission of this node. */
     public void answerSameAs(AnswerSameAs action) {
-        answerOnce(action.submission(), bodies.results(action.original()));
+        answerAndRemove(action.submission(), bodies.results(action.original()));
     }
 
     /** Answers with the results that a peer gave. */
     public void answerFromPeer(AnswerFromPeer action) {
-        answerOnce(action.submission(), bodies.results(action.submission()));
+        answerAndRemove(action.submission(), bodies.results(action.submission()));
     }
 
     /** Answers with a problem. */
     public void answerProblem(AnswerProblem action) {
-        pending.take(action.submission())
-                .ifPresent(caller -> onLoop(caller, () -> problem(action.submission(), caller, action.problem())));
-        bodies.drop(action.submission());
+        pending.remove(action.submission())
+                .ifPresent(caller ->
+                        runOnEventLoop(caller, () -> sendProblem(action.submission(), caller, action.problem())));
+        bodies.remove(action.submission());
     }
 
     /** Drops the results that were kept for a second caller. */
     public void forget(ForgetAnswer action) {
-        bodies.drop(action.submission());
+        bodies.remove(action.submission());
     }
 
     /** Refuses a message that was never handed to the core; called on the event loop of its connection. */
     void refuse(Context context, int status, Problem problem, ProblemIds ids) {
-        write(context, status, problem, ids);
-        count(problem);
+        writeProblem(context, status, problem, ids);
+        countRefusal(problem);
     }
 
-    private void answerOnce(SubmissionId id, Optional<ImmutableList<byte[]>> results) {
-        pending.take(id).ifPresent(caller -> complete(id, caller, results));
-        bodies.drop(id);
+    private void answerAndRemove(SubmissionId id, Optional<ImmutableList<byte[]>> results) {
+        pending.remove(id).ifPresent(caller -> sendComplete(id, caller, results));
+        bodies.remove(id);
     }
 
-    private void complete(SubmissionId id, PendingAnswer caller, Optional<ImmutableList<byte[]>> results) {
+    private void sendComplete(SubmissionId id, PendingAnswer caller, Optional<ImmutableList<byte[]>> results) {
         if (results.isEmpty()) {
             // Kept results were evicted to make room for new work. The tasks did run, so nothing better than
             // "unknown"
             // may be said to a second caller.
             LOG.atWarning().atMostEvery(1, TimeUnit.SECONDS).log(
                     "%s", LogLine.of("results-missing", Step.COLLECT, "shell").with("id", id));
-            onLoop(caller, () -> problem(id, caller, resultsMissing()));
+            runOnEventLoop(caller, () -> sendProblem(id, caller, resultsMissing()));
             return;
         }
-        onLoop(caller, () -> {
+        runOnEventLoop(caller, () -> {
             Context context = caller.context();
-            headers(context, Outcome.COMPLETE, Optional.of(id.toString()), caller.requestId());
+            setHeaders(context, Outcome.COMPLETE, Optional.of(id.toString()), caller.requestId());
             context.setResponseType("application/json");
             context.send(CompleteJson.bytes(caller.form(), id, results.get()));
             metrics.answered(caller.form(), Outcome.COMPLETE.word(), NO_CODE, responseTime(caller));
         });
     }
 
-    private void problem(SubmissionId id, PendingAnswer caller, Problem problem) {
-        write(
+    private void sendProblem(SubmissionId id, PendingAnswer caller, Problem problem) {
+        writeProblem(
                 caller.context(),
                 problem.code().status(),
                 problem,
@@ -134,7 +135,7 @@
                                 .with("detail", problem.detail()));
     }
 
-    private void count(Problem problem) {
+    private void countRefusal(Problem problem) {
         metrics.refused(problem.code().word());
         LOG.atInfo()
                 .per(problem.code())
@@ -146,9 +147,9 @@
                                 .with("detail", problem.detail()));
     }
 
-    private void write(Context context, int status, Problem problem, ProblemIds ids) {
+    private void writeProblem(Context context, int status, Problem problem, ProblemIds ids) {
         ObjectNode json = ProblemJson.of(status, problem, ids);
-        headers(context, problem.code().outcome(), ids.submission(), ids.request());
+        setHeaders(context, problem.code().outcome(), ids.submission(), ids.request());
         problem.retryAfter()
                 .ifPresent(wait -> context.setResponseHeader("Retry-After", ProblemJson.retryAfterSeconds(wait)));
         if (problem.code() == ProblemCode.UNAUTHENTICATED) {
@@ -159,7 +160,7 @@
         context.send(ProblemJson.bytes(json));
     }
 
-    private void headers(Context context, Outcome outcome, Optional<String> submission, Optional<String> requestId) {
+    private void setHeaders(Context context, Outcome outcome, Optional<String> submission, Optional<String> requestId) {
         context.setResponseHeader("Outcome", outcome.word());
         if (readiness.leaving()) {
             // A connection kept open would be cut in the end, perhaps just as its next request is on the way.
@@ -181,7 +182,7 @@
         return Duration.ofNanos(System.nanoTime() - caller.arrivedNanos());
     }
 
-    private static void onLoop(PendingAnswer caller, Runnable answer) {
+    private static void runOnEventLoop(PendingAnswer caller, Runnable answer) {
         try {
             Exchange.of(caller.context()).respond(answer);
         } catch (RejectedExecutionException e) {
--- a/tarragonarch-entry/src/main/java/org/tarragonarch/entry/caller/CallerApi.java
+++ b/tarragonarch-entry/src/main/java/org/tarragonarch/entry/caller/CallerApi.java
@@ -48,7 +48,7 @@
 public final class CallerApi {
     private static final FluentLogger LOG = FluentLogger.forEnclosingClass();
     private static final int MAX_TASKS = 10_000;
-    private static final Duration COME_BACK = Duration.ofSeconds(1);
+    private static final Duration RETRY_AFTER = Duration.ofSeconds(1);
     private static final String CALLER = "caller";
     private static final String HANDED_IN = "handed-in";
 
@@ -61,7 +61,7 @@
     private final PendingAnswers pending = new PendingAnswers();
     private final AnswerSender answers;
     private final SubmissionBodyReader reader = new SubmissionBodyReader(MAX_TASKS);
-    private final Object arrival = new Object();
+    private final Object arrivalLock = new Object();
     private long lastSequence;
 
     private CallerApi(
@@ -106,7 +106,7 @@
     }
 
     /** Returns how many callers wait for an answer. */
-    public int waiting() {
+    public int waitingCallers() {
         return pending.size();
     }
 
@@ -131,7 +131,7 @@
             byte[] raw = Exchange.of(context).body();
             SubmissionBody body = reader.read(form, raw);
             SubmissionContent content = new SubmissionContent(service(context), kind(context), body.inputs());
-            arrive(context, form, caller, headers, content, body, raw);
+            handIn(context, form, caller, headers, content, body, raw);
         } catch (MalformedException e) {
             refuse(context, Problem.of(ProblemCode.MALFORMED, e.step(), e.peer(), e.getMessage()), requestId);
         } catch (RefusedException e) {
@@ -140,7 +140,7 @@
         return context;
     }
 
-    private void arrive(
+    private void handIn(
             Context context,
             SubmissionForm form,
             CallerDefinition caller,
@@ -153,13 +153,13 @@
                 context, form, caller.name(), headers.requestId(), headers.key().isPresent(), System.nanoTime());
         SubmissionId id;
         ContentDigest digest = digest(form, content.kind(), raw);
-        synchronized (arrival) {
+        synchronized (arrivalLock) {
             // Ids must reach the core in their order, so the id is made and handed in under one lock.
             id = new SubmissionId(identity.node(), identity.incarnation(), ++lastSequence);
-            if (!bodies.keep(id, content)) {
+            if (!bodies.put(id, content)) {
                 throw new RefusedException(Problem.of(
                                 ProblemCode.QUEUE_FULL, Step.ADMIT, CALLER, "the node holds as many bodies as it may")
-                        .withRetryAfter(COME_BACK));
+                        .withRetryAfter(RETRY_AFTER));
             }
             context.setAttribute(HANDED_IN, id);
             pending.add(id, waiting);
@@ -181,7 +181,7 @@
         try {
             CallerName caller = authenticate(context).name();
             ImmutableSet<SubmissionId> found =
-                    pending.find(caller, context.path("requestId").value());
+                    pending.findByRequestId(caller, context.path("requestId").value());
             found.forEach(id -> events.post(new CancelRequested(id, CancelCause.CALLER)));
             // The submission's own answer says what came of it; this one only says whether there was one to cancel.
             context.setResponseCode(found.isEmpty() ? StatusCode.NOT_FOUND : StatusCode.ACCEPTED);
@@ -217,7 +217,7 @@
         if (catalog.catalog().isEmpty()) {
             throw new RefusedException(
                     Problem.of(ProblemCode.NOT_READY, Step.CONFIGURE, CALLER, "the node has no configuration yet")
-                            .withRetryAfter(COME_BACK));
+                            .withRetryAfter(RETRY_AFTER));
         }
         Optional<CallerDefinition> caller = BearerToken.digest(context).flatMap(catalog::caller);
         if (caller.isEmpty()) {
--- a/tarragonarch-entry/src/main/java/org/tarragonarch/entry/caller/PendingAnswers.java
+++ b/tarragonarch-entry/src/main/java/org/tarragonarch/entry/caller/PendingAnswers.java
@@ -22,7 +22,7 @@
     }
 
     /** Takes a caller out; only the first call for an id finds one, so no answer is given twice. */
-    Optional<PendingAnswer> take(SubmissionId id) {
+    Optional<PendingAnswer> remove(SubmissionId id) {
         PendingAnswer pending = byId.remove(id);
         if (pending == null) {
             return Optional.empty();
@@ -32,7 +32,7 @@
     }
 
     /** Returns the submissions that a caller sent under its own request id and that have no answer yet. */
-    ImmutableSet<SubmissionId> find(CallerName caller, String requestId) {
+    ImmutableSet<SubmissionId> findByRequestId(CallerName caller, String requestId) {
         synchronized (byRequestId) {
             return ImmutableSet.copyOf(byRequestId.get(new RequestKey(caller, requestId)));
         }
--- a/tarragonarch-entry/src/main/java/org/tarragonarch/entry/caller/SubmissionBodyReader.java
+++ b/tarragonarch-entry/src/main/java/org/tarragonarch/entry/caller/SubmissionBodyReader.java
@@ -109,7 +109,7 @@
                 throw unexpected(field, repeated, where, INPUT + "' and '" + EXPECTED_RUN_TIME);
             }
             if (field.equals(INPUT)) {
-                input = JsonSlices.current(parser, body);
+                input = JsonSlices.currentValue(parser, body);
             } else {
                 runTime = Optional.of(runTime(parser, where));
             }
--- a/tarragonarch-entry/src/main/java/org/tarragonarch/entry/cluster/ArchiveWarmUp.java
+++ b/tarragonarch-entry/src/main/java/org/tarragonarch/entry/cluster/ArchiveWarmUp.java
@@ -28,7 +28,7 @@
     private static final long SETTLE_MILLIS = 1_000;
 
     private static final int JOBS = 40;
-    private static final int PORTS_A_NODE = 4;
+    private static final int PORTS_PER_NODE = 4;
     private static final String HOST = "127.0.0.1";
     private static final String PREFIX = "/q/";
 
@@ -40,18 +40,19 @@
      * @param arguments none
      */
     public static void main(String[] arguments) throws IOException, StepException, InterruptedException {
-        LibraryLoggers.choose();
-        List<Integer> ports = freePorts(1 + 2 * PORTS_A_NODE);
+        LibraryLoggers.useJdkLogging();
+        List<Integer> ports = freePorts(1 + 2 * PORTS_PER_NODE);
         Address platform = new Address(HOST, ports.get(0));
         WarmUpPlatform.open(new NioEventLoopGroup(1), platform, PREFIX);
-        ClusterSettings first = start("warm-up-1", platform, ports.subList(1, 1 + PORTS_A_NODE));
-        ClusterSettings second = start("warm-up-2", platform, ports.subList(1 + PORTS_A_NODE, 1 + 2 * PORTS_A_NODE));
+        ClusterSettings first = start("warm-up-1", platform, ports.subList(1, 1 + PORTS_PER_NODE));
+        ClusterSettings second =
+                start("warm-up-2", platform, ports.subList(1 + PORTS_PER_NODE, 1 + 2 * PORTS_PER_NODE));
         Thread.sleep(SETTLE_MILLIS);
         for (int job = 0; job < JOBS; job++) {
-            ask((job % 2 == 0 ? first : second).clientAddress(), WarmUpPlatform.submission(HOST, PREFIX, job));
+            sendAndPrint((job % 2 == 0 ? first : second).clientAddress(), WarmUpPlatform.submission(HOST, PREFIX, job));
         }
-        ask(first.clientAddress(), question(PREFIX));
-        ask(first.readinessAddress(), question("/readyz"));
+        sendAndPrint(first.clientAddress(), get(PREFIX));
+        sendAndPrint(first.readinessAddress(), get("/readyz"));
         System.exit(0);
     }
 
@@ -68,11 +69,11 @@
         }
     }
 
-    private static String question(String path) {
+    private static String get(String path) {
         return "GET " + path + " HTTP/1.1\r\nHost: " + HOST + "\r\nConnection: close\r\n\r\n";
     }
 
-    private static void ask(Address address, String request) throws IOException {
+    private static void sendAndPrint(Address address, String request) throws IOException {
         try (Socket socket = new Socket()) {
             socket.connect(new InetSocketAddress(address.ip(), address.port()));
             OutputStream out = socket.getOutputStream();
--- a/tarragonarch-entry/src/main/java/org/tarragonarch/entry/cluster/ClusterMain.java
+++ b/tarragonarch-entry/src/main/java/org/tarragonarch/entry/cluster/ClusterMain.java
@@ -26,7 +26,7 @@
             System.err.println("usage: ClusterMain SETTINGS-FILE");
             System.exit(EXIT_USAGE);
         }
-        LibraryLoggers.choose();
+        LibraryLoggers.useJdkLogging();
         Path file = Path.of(arguments[0]);
         ClusterSettings settings = readOrExit(file);
         try {
@@ -56,9 +56,9 @@
     private static void reload(Path file, ClusterSettings before, DecisionLog log) {
         try {
             boolean same = ClusterSettings.read(file).equals(before);
-            log.line(NodeEvent.SETTINGS_READ_AGAIN, "same", same);
+            log.write(NodeEvent.SETTINGS_READ_AGAIN, "same", same);
         } catch (StepException e) {
-            log.line(NodeEvent.SETTINGS_UNREADABLE, "reason", e.getMessage());
+            log.write(NodeEvent.SETTINGS_UNREADABLE, "reason", e.getMessage());
         }
     }
 
--- a/tarragonarch-entry/src/main/java/org/tarragonarch/entry/cluster/ClusterNode.java
+++ b/tarragonarch-entry/src/main/java/org/tarragonarch/entry/cluster/ClusterNode.java
@@ -43,7 +43,7 @@
  * <p>Everything runs on one event loop: it reads and writes every connection, and it is the thread that decides. So
  * nothing here needs a lock, and a request costs no hand-over between threads.
  */
-final class ClusterNode implements PeerCalls {
+final class ClusterNode implements PeerFrameHandler {
     /** How often shards, peers and endpoints are reviewed, in milliseconds; half the time between statuses. */
     private static final long REVIEW_MILLIS = PeerTable.STATUS_PERIOD_MILLIS / 2;
 
@@ -62,10 +62,10 @@
     private final EndpointList endpoints = new EndpointList();
     private final ConfigurationInForce configuration;
     private final PeerExchange exchange = new PeerExchange(this);
-    private final CancelRounds cancels = new CancelRounds(timers);
+    private final PeerCancellations cancels = new PeerCancellations(timers);
     private final NodeMeters meters;
     private final Coordinator coordinator;
-    private final Neighbourhood neighbourhood;
+    private final PeerDiscovery discovery;
     private final EndpointRows endpointRows;
     private final RowStore store;
     private boolean leaving;
@@ -94,7 +94,7 @@
         meters.watchShares(settings.shares(), coordinator::shareStates, coordinator::sharesUsedElsewhere);
         this.store = new StoreClient(loop, settings.storeAddress());
         this.endpointRows = new EndpointRows(endpoints, coordinator::endpointsChanged, timers, log, meters);
-        this.neighbourhood = new Neighbourhood(settings.member(), store, exchange, coordinator, timers, log);
+        this.discovery = new PeerDiscovery(settings.member(), store, exchange, coordinator, timers, log);
     }
 
     /** Opens everything, the servers for clients last. */
@@ -104,7 +104,7 @@
         NodeJobs jobs = new NodeJobs(
                 configuration,
                 coordinator.router(),
-                this::askCancel,
+                this::askPeersToCancel,
                 cancels,
                 timers,
                 log,
@@ -115,8 +115,8 @@
         ClientServer.openForClients(group, settings.clientAddress(), jobs);
         Address pages = new Address(settings.ip(), settings.metricsPort());
         ClientServer.openForPages(group, pages, ImmutableMap.of("/metrics", meters::scrape));
-        loop.execute(this::begin);
-        log.line(NodeEvent.NODE_STARTED, "domain", settings.domain(), "run", run);
+        loop.execute(this::startOnLoop);
+        log.write(NodeEvent.NODE_STARTED, "domain", settings.domain(), "run", run);
     }
 
     /** Leaves: not ready at once, shards handed over, jobs finished, and out before the process would be killed. */
@@ -126,9 +126,9 @@
                 return;
             }
             leaving = true;
-            log.line(NodeEvent.NODE_LEAVING, "open-jobs", openJobs(), "shards", coordinator.heldShards());
+            log.write(NodeEvent.NODE_LEAVING, "open-jobs", openJobs(), "shards", coordinator.heldShards());
             coordinator.leave();
-            new Departure(coordinator.router(), timers, log, settings.shutdownMillis()).begin();
+            new NodeShutdown(coordinator.router(), timers, log, settings.shutdownMillis()).run();
         });
     }
 
@@ -145,11 +145,11 @@
         return !leaving && configuration.version() > 0 && coordinator.anyHolder();
     }
 
-    private void begin() {
-        neighbourhood.find();
+    private void startOnLoop() {
+        discovery.start();
         OperatorRows operatorRows = new OperatorRows(
                 configuration,
-                this::configured,
+                this::applyConfiguration,
                 reading -> coordinator.drained(reading, ConfigurationInForce.STORE),
                 timers,
                 log,
@@ -161,46 +161,46 @@
         review();
     }
 
-    private void configured() {
+    private void applyConfiguration() {
         configuration.catalog().ifPresent(coordinator::configured);
     }
 
     private void review() {
         for (NodeId silent : coordinator.peers().expire(timers.nowMillis())) {
-            lost(silent, "silent");
+            handleLostPeer(silent, "silent");
         }
-        coordinator.review(neighbourhood.isKnown());
-        neighbourhood.refresh();
-        endpointRows.readAs(coordinator.endpointListNeed());
+        coordinator.review(discovery.canClaimShards());
+        discovery.refresh();
+        endpointRows.adjustReads(coordinator.endpointListNeed());
         timers.after(REVIEW_MILLIS, this::review);
     }
 
     private void reviewShards() {
-        if (neighbourhood.isKnown()) {
+        if (discovery.canClaimShards()) {
             coordinator.reviewShards();
         }
     }
 
     /** Asks every node that is known of whether it has a job to cancel; returns how many they are. */
-    private int askCancel(JobId job) {
+    private int askPeersToCancel(JobId job) {
         ImmutableList<Member> located = exchange.located();
         located.forEach(peer -> exchange.send(peer.node(), new CancelAsked(job)));
         return located.size();
     }
 
-    private void lost(NodeId peer, String reason) {
-        log.line(NodeEvent.PEER_LOST, "peer", peer, "reason", reason);
+    private void handleLostPeer(NodeId peer, String reason) {
+        log.write(NodeEvent.PEER_LOST, "peer", peer, "reason", reason);
         exchange.disconnect(peer, "the peer was lost");
         coordinator.lost(peer);
         reviewShards();
-        endpointRows.readAs(coordinator.endpointListNeed());
+        endpointRows.adjustReads(coordinator.endpointListNeed());
     }
 
     @Override
-    public void status(NodeStatus status) {
+    public void statusReceived(NodeStatus status) {
         boolean joined = coordinator.received(status);
         if (joined) {
-            log.line(NodeEvent.PEER_JOINED, "peer", status.node(), "domain", status.domain());
+            log.write(NodeEvent.PEER_JOINED, "peer", status.node(), "domain", status.domain());
         }
         if (status.configurationVersion() > configuration.version()) {
             ConfigurationVersion wanted = ConfigurationVersion.of(status.configurationVersion());
@@ -209,7 +209,7 @@
         if (endpoints.isEmpty() && joined) {
             exchange.send(status.node(), new EndpointsAsked());
         }
-        if (!neighbourhood.isLocated() && joined) {
+        if (!discovery.isDirectoryComplete() && joined) {
             exchange.send(status.node(), new NodesAsked());
         }
         reviewShards();
@@ -219,32 +219,32 @@
     @Override
     public void disconnected(NodeId peer) {
         if (coordinator.peers().lost(peer)) {
-            lost(peer, "disconnected");
+            handleLostPeer(peer, "disconnected");
         }
     }
 
     @Override
-    public void offered(Offer offer) {
+    public void offerReceived(Offer offer) {
         coordinator.offered(offer);
     }
 
     @Override
-    public void notOffered(NodeId peer, JobId job) {
+    public void offerUndelivered(NodeId peer, JobId job) {
         coordinator.router().notOffered(peer, job);
     }
 
     @Override
-    public void verdictCame(NodeId holder, JobId job, Verdict verdict, long retryMillis) {
+    public void verdictReceived(NodeId holder, JobId job, Verdict verdict, long retryMillis) {
         coordinator.router().settled(holder, job, verdict, retryMillis);
     }
 
     @Override
-    public void withdrawn(NodeId peer, JobId job) {
+    public void withdrawalReceived(NodeId peer, JobId job) {
         coordinator.withdrawn(peer, job);
     }
 
     @Override
-    public void openJobs(NodeId peer, ImmutableSet<JobId> open) {
+    public void openJobsReceived(NodeId peer, ImmutableSet<JobId> open) {
         coordinator.openJobs(peer, open);
     }
 
@@ -254,13 +254,13 @@
     }
 
     @Override
-    public boolean cancelled(JobId job) {
+    public boolean cancel(JobId job) {
         return coordinator.router().cancel(job);
     }
 
     @Override
-    public void cancelAnswered(JobId job, boolean known) {
-        cancels.answered(job, known);
+    public void cancelAnswerReceived(JobId job, boolean known) {
+        cancels.recordAnswer(job, known);
     }
 
     @Override
@@ -274,9 +274,9 @@
     }
 
     @Override
-    public void configurationGiven(NodeId peer, byte[] text) {
-        if (configuration.offered(text, peer.value())) {
-            configured();
+    public void configurationReceived(NodeId peer, byte[] text) {
+        if (configuration.updateIfNewer(text, peer.value())) {
+            applyConfiguration();
         }
     }
 
@@ -286,7 +286,7 @@
     }
 
     @Override
-    public void endpointsGiven(ImmutableList<EndpointEntry> given) {
+    public void endpointsReceived(ImmutableList<EndpointEntry> given) {
         if (endpoints.isEmpty()) {
             given.forEach(endpoints::given);
             coordinator.endpointsChanged();
@@ -294,7 +294,7 @@
     }
 
     @Override
-    public void nodesGiven(ImmutableList<Member> nodes) {
-        neighbourhood.learned(nodes);
+    public void nodesReceived(ImmutableList<Member> nodes) {
+        discovery.addNodes(nodes);
     }
 }
--- a/tarragonarch-entry/src/main/java/org/tarragonarch/entry/cluster/ClusterSettings.java
+++ b/tarragonarch-entry/src/main/java/org/tarragonarch/entry/cluster/ClusterSettings.java
@@ -59,7 +59,7 @@
     private static final long DEFAULT_CONFIGURATION_MILLIS = 2_000;
 
     /** Some ten round trips to the store; within less a call could not wait. */
-    private static final long LEAST_CONFIGURATION_MILLIS = 100;
+    private static final long MIN_CONFIGURATION_MILLIS = 100;
 
     private static final long MILLIS_PER_SECOND = 1_000;
     private static final int MILLI_CORES_PER_CORE = 1_000;
@@ -122,11 +122,11 @@
             while (parser.nextToken() != JsonToken.END_OBJECT) {
                 String key = parser.currentName();
                 parser.nextToken();
-                member(key, parser);
+                readMember(key, parser);
             }
         }
 
-        private void member(String key, JsonParser parser) throws IOException {
+        private void readMember(String key, JsonParser parser) throws IOException {
             switch (key) {
                 case "node" -> node = parser.getText();
                 case "failure-domain" -> domain = parser.getText();
@@ -168,7 +168,7 @@
                     Address.parse(storeAddress),
                     positive("lease-millis", leaseMillis),
                     positive("stop-millis", stopMillis),
-                    atLeast(LEAST_CONFIGURATION_MILLIS, "configuration-millis", configurationMillis),
+                    atLeast(MIN_CONFIGURATION_MILLIS, "configuration-millis", configurationMillis),
                     positive("shutdown-seconds", shutdownSeconds) * MILLIS_PER_SECOND,
                     shares);
         }
--- a/tarragonarch-entry/src/main/java/org/tarragonarch/entry/cluster/ConfigurationInForce.java
+++ b/tarragonarch-entry/src/main/java/org/tarragonarch/entry/cluster/ConfigurationInForce.java
@@ -18,14 +18,14 @@
 
     private static final String NO_SOURCE = "none";
 
-    private final long boundMillis;
+    private final long maxAgeMillis;
     private final Timers timers;
     private final LongSupplier wallMillis;
     private final DecisionLog log;
     private Optional<QueueCatalog> catalog = Optional.empty();
     private byte[] text = new byte[0];
     private String source = NO_SOURCE;
-    private boolean storedIsUnreadable;
+    private boolean storedVersionUnreadable;
     private OptionalLong confirmedAtMillis = OptionalLong.empty();
     private long confirmedAtWallMillis;
 
@@ -36,7 +36,7 @@
      * @param wallMillis the time of day, which shows that the VM was suspended
      */
     ConfigurationInForce(long boundMillis, Timers timers, LongSupplier wallMillis, DecisionLog log) {
-        this.boundMillis = boundMillis;
+        this.maxAgeMillis = boundMillis;
         this.timers = timers;
         this.wallMillis = wallMillis;
         this.log = log;
@@ -74,7 +74,7 @@
 
     private boolean isCurrent() {
         OptionalLong age = ageMillis();
-        return catalog.isPresent() && age.isPresent() && age.getAsLong() <= boundMillis;
+        return catalog.isPresent() && age.isPresent() && age.getAsLong() <= maxAgeMillis;
     }
 
     /** Returns where the version in force came from: the store, or the name of a peer. */
@@ -87,8 +87,8 @@
      *
      * <p>One that this node cannot read may have queues that the version in force has not, and confirms nothing.
      */
-    void confirmed(long asOfMillis) {
-        if (storedIsUnreadable) {
+    void confirm(long asOfMillis) {
+        if (storedVersionUnreadable) {
             return;
         }
         confirmedAtMillis = OptionalLong.of(asOfMillis);
@@ -117,20 +117,20 @@
     }
 
     /** Takes a configuration if it is newer; returns whether it was. */
-    boolean offered(byte[] candidate, String from) {
+    boolean updateIfNewer(byte[] candidate, String from) {
         QueueCatalog read;
         try {
             read = ConfigurationBody.read(candidate);
         } catch (UnreadableBodyException e) {
-            log.line(NodeEvent.CONFIGURATION_UNREADABLE, "source", from, "reason", e.getMessage());
-            storedIsUnreadable = storedIsUnreadable || from.equals(STORE);
+            log.write(NodeEvent.CONFIGURATION_UNREADABLE, "source", from, "reason", e.getMessage());
+            storedVersionUnreadable = storedVersionUnreadable || from.equals(STORE);
             return false;
         }
-        storedIsUnreadable = storedIsUnreadable && !from.equals(STORE);
+        storedVersionUnreadable = storedVersionUnreadable && !from.equals(STORE);
         if (read.version() <= version()) {
             return false;
         }
-        log.line(
+        log.write(
                 NodeEvent.CONFIGURATION_IN_FORCE,
                 "version",
                 read.version(),
--- a/tarragonarch-entry/src/main/java/org/tarragonarch/entry/cluster/DecisionLog.java
+++ b/tarragonarch-entry/src/main/java/org/tarragonarch/entry/cluster/DecisionLog.java
@@ -17,7 +17,7 @@
  */
 final class DecisionLog {
     /** Some ten seconds of lines at a node's busiest. */
-    private static final int MAX_WAITING = 2_000;
+    private static final int MAX_QUEUED_LINES = 2_000;
 
     /** What most lines stay below, in characters. */
     private static final int USUAL_LINE_LENGTH = 256;
@@ -25,9 +25,9 @@
     private final String node;
     private final PrintStream out;
     private final Clock clock;
-    private final ArrayBlockingQueue<String> waiting = new ArrayBlockingQueue<>(MAX_WAITING);
+    private final ArrayBlockingQueue<String> queue = new ArrayBlockingQueue<>(MAX_QUEUED_LINES);
     private final AtomicLong dropped = new AtomicLong();
-    private final LineRate rate = new LineRate();
+    private final LineRateLimiter rate = new LineRateLimiter();
 
     DecisionLog(String node, PrintStream out) {
         this(node, out, Clock.systemUTC());
@@ -50,12 +50,12 @@
      *
      * @param fields names and values in turn; values are written as text unless they are numbers or booleans
      */
-    void line(NodeEvent event, Object... fields) {
+    void write(NodeEvent event, Object... fields) {
         Instant now = clock.instant();
-        if (!rate.allows(event, now.toEpochMilli())) {
+        if (!rate.tryAcquire(event, now.toEpochMilli())) {
             return;
         }
-        StringBuilder line = begin(event, now);
+        StringBuilder line = startLine(event, now);
         for (int i = 0; i + 1 < fields.length; i += 2) {
             appendField(line, fields[i], fields[i + 1]);
         }
@@ -63,7 +63,7 @@
         if (skipped > 0) {
             appendField(line, "skipped-before", skipped);
         }
-        if (!waiting.offer(line.append('}').toString())) {
+        if (!queue.offer(line.append('}').toString())) {
             dropped.incrementAndGet();
         }
     }
@@ -72,7 +72,7 @@
         return dropped.get();
     }
 
-    private StringBuilder begin(NodeEvent event, Instant now) {
+    private StringBuilder startLine(NodeEvent event, Instant now) {
         StringBuilder line = new StringBuilder(USUAL_LINE_LENGTH);
         line.append("{\"time\":\"").append(now).append('"');
         appendField(line, "node", node);
@@ -106,15 +106,15 @@
         long told = 0;
         try {
             while (true) {
-                out.println(waiting.take());
+                out.println(queue.take());
                 long count = dropped.get();
-                if (count > told && waiting.isEmpty()) {
+                if (count > told && queue.isEmpty()) {
                     told = count;
-                    StringBuilder line = begin(NodeEvent.LOG_LINES_DROPPED, clock.instant());
+                    StringBuilder line = startLine(NodeEvent.LOG_LINES_DROPPED, clock.instant());
                     appendField(line, "total", count);
                     out.println(line.append('}'));
                 }
-                if (waiting.isEmpty()) {
+                if (queue.isEmpty()) {
                     out.flush();
                 }
             }
--- a/tarragonarch-entry/src/main/java/org/tarragonarch/entry/cluster/EndpointRows.java
+++ b/tarragonarch-entry/src/main/java/org/tarragonarch/entry/cluster/EndpointRows.java
@@ -25,13 +25,13 @@
      * entry every 1.5 s, so a notification of each change would cost a call for every heartbeat of every endpoint; an
      * endpoint that drains must get nothing new 2 s after it said so.
      */
-    private static final FollowPace LIST_PACE = FollowPace.every(900);
+    private static final FollowPace FREQUENT_PACE = FollowPace.every(900);
 
     /**
      * How every other node reads the list. Entries lapse after three heartbeats, 4.5 s, so an outage of the store in
      * which they do is noticed, and they are kept.
      */
-    private static final FollowPace SELDOM_LIST_PACE = FollowPace.every(3_600);
+    private static final FollowPace INFREQUENT_PACE = FollowPace.every(3_600);
 
     private final EndpointList endpoints;
     private final Runnable listChanged;
@@ -51,15 +51,15 @@
 
     /** Begins to read the rows. */
     void follow(RowStore store) {
-        TableFollower started = new TableFollower(store, StoreTable.ENDPOINTS, timers, this, LIST_PACE);
+        TableFollower started = new TableFollower(store, StoreTable.ENDPOINTS, timers, this, FREQUENT_PACE);
         follower = Optional.of(started);
         started.start();
     }
 
     /** Reads the rows as often as this node needs them; at once, if no call is under way, where it needs them now. */
-    void readAs(EndpointListNeed need) {
+    void adjustReads(EndpointListNeed need) {
         follower.ifPresent(started -> {
-            started.changePace(need.often() ? LIST_PACE : SELDOM_LIST_PACE);
+            started.changePace(need.often() ? FREQUENT_PACE : INFREQUENT_PACE);
             if (need == EndpointListNeed.NOW) {
                 started.followNow();
             }
@@ -142,6 +142,6 @@
 
     private void unreadable(StoreRow row, UnreadableBodyException why) {
         meters.endpointRowUnreadable();
-        log.line(NodeEvent.ENDPOINT_ROW_UNREADABLE, "endpoint", row.key(), "reason", why.getMessage());
+        log.write(NodeEvent.ENDPOINT_ROW_UNREADABLE, "endpoint", row.key(), "reason", why.getMessage());
     }
 }
--- a/tarragonarch-entry/src/main/java/org/tarragonarch/entry/cluster/LibraryLoggers.java
+++ b/tarragonarch-entry/src/main/java/org/tarragonarch/entry/cluster/LibraryLoggers.java
@@ -12,7 +12,7 @@
 final class LibraryLoggers {
     private LibraryLoggers() {}
 
-    static void choose() {
+    static void useJdkLogging() {
         InternalLoggerFactory.setDefaultFactory(JdkLoggerFactory.INSTANCE);
         io.micrometer.common.util.internal.logging.InternalLoggerFactory.setDefaultFactory(
                 io.micrometer.common.util.internal.logging.JdkLoggerFactory.INSTANCE);
--- a/tarragonarch-entry/src/main/java/org/tarragonarch/entry/cluster/LineRate.java
+++ b/tarragonarch-entry/src/main/java/org/tarragonarch/entry/cluster/LineRateLimiter.java
@@ -10,7 +10,7 @@
  * time its node needs to answer, and hides the few lines that tell of the cause. The first lines of a kind in a second
  * are always written; the next line of the kind that is written says how many were not.
  */
-final class LineRate {
+final class LineRateLimiter {
     /** Well above what a busy node writes of its most frequent kind. */
     private static final int LINES_PER_SECOND = 200;
 
@@ -21,7 +21,7 @@
     private long secondBeganMillis = Long.MIN_VALUE / 2;
 
     /** Returns whether a line of this kind may be written now, and counts it either way. */
-    boolean allows(NodeEvent event, long nowMillis) {
+    boolean tryAcquire(NodeEvent event, long nowMillis) {
         // The time of day may step back; that begins a new second too, or nothing would be written until it caught up.
         if (nowMillis < secondBeganMillis || nowMillis - secondBeganMillis >= SECOND_MILLIS) {
             secondBeganMillis = nowMillis;
--- a/tarragonarch-entry/src/main/java/org/tarragonarch/entry/cluster/LoggedTable.java
+++ b/tarragonarch-entry/src/main/java/org/tarragonarch/entry/cluster/LoggedTable.java
@@ -35,7 +35,7 @@
 
     @Override
     public void unusable(RuntimeException why) {
-        log.line(NodeEvent.STORE_ROWS_UNUSABLE, "table", table, "reason", why);
+        log.write(NodeEvent.STORE_ROWS_UNUSABLE, "table", table, "reason", why);
     }
 
     @Override
@@ -50,12 +50,12 @@
 
     @Override
     public void regained(long awayMillis) {
-        log.line(NodeEvent.STORE_REGAINED, "table", table, "away-ms", awayMillis);
+        log.write(NodeEvent.STORE_REGAINED, "table", table, "away-ms", awayMillis);
     }
 
     private void failed(NodeEvent event, FailedCall call) {
         meters.storeCallFailed(table);
-        log.line(
+        log.write(
                 event,
                 "table",
                 table,
--- a/tarragonarch-entry/src/main/java/org/tarragonarch/entry/cluster/NodeDirectory.java
+++ b/tarragonarch-entry/src/main/java/org/tarragonarch/entry/cluster/NodeDirectory.java
@@ -33,7 +33,7 @@
     /** Separates the parts of a row's value: address, processor time in thousandths of a core, failure domain. */
     private static final char SEPARATOR = ' ';
 
-    private static final int PARTS = 3;
+    private static final int PART_COUNT = 3;
 
     private final RowStore store;
     private final Timers timers;
@@ -41,7 +41,7 @@
     private final Consumer<Member> located;
     private final DecisionLog log;
     private boolean written;
-    private boolean complete;
+    private boolean isComplete;
     private long completeAtMillis;
 
     NodeDirectory(RowStore store, Timers timers, Member own, Consumer<Member> located, DecisionLog log) {
@@ -69,8 +69,8 @@
     }
 
     /** Returns whether it is known where the others are. */
-    boolean complete() {
-        return complete;
+    boolean isComplete() {
+        return isComplete;
     }
 
     /** Returns since when that is known; meaningful once it is. */
@@ -84,14 +84,14 @@
      * <p>Guards against two nodes of a domain that start while the store is away: each is found by those that run, none
      * finds the other, and both hold the domain's endpoints against each other.
      */
-    void learned(ImmutableList<Member> nodes) {
+    void addNodes(ImmutableList<Member> nodes) {
         nodes.forEach(this::locate);
-        nowComplete();
+        markComplete();
     }
 
-    private void nowComplete() {
-        if (!complete) {
-            complete = true;
+    private void markComplete() {
+        if (!isComplete) {
+            isComplete = true;
             completeAtMillis = timers.nowMillis();
         }
     }
@@ -106,7 +106,7 @@
                 return;
             }
             if (afterWrite) {
-                nowComplete();
+                markComplete();
             }
             reply.page().orElseThrow().rows().forEach(this::locate);
         });
@@ -119,7 +119,7 @@
      * holders of other pools.
      */
     void refresh() {
-        if (complete) {
+        if (isComplete) {
             store.read(
                     StoreTable.NODES,
                     reply -> reply.page().ifPresent(page -> page.rows().forEach(this::locate)));
@@ -130,7 +130,7 @@
         try {
             locate(member(row));
         } catch (IllegalArgumentException e) {
-            log.line(NodeEvent.NODE_ROW_UNREADABLE, "key", row.key(), "reason", e.getMessage());
+            log.write(NodeEvent.NODE_ROW_UNREADABLE, "key", row.key(), "reason", e.getMessage());
         }
     }
 
@@ -152,8 +152,8 @@
      */
     private static Member member(StoreRow row) {
         String text = new String(row.value(), StandardCharsets.UTF_8);
-        List<String> parts = Splitter.on(SEPARATOR).limit(PARTS).splitToList(text);
-        checkArgument(parts.size() == PARTS, "'%s' does not have %s parts", text, PARTS);
+        List<String> parts = Splitter.on(SEPARATOR).limit(PART_COUNT).splitToList(text);
+        checkArgument(parts.size() == PART_COUNT, "'%s' does not have %s parts", text, PART_COUNT);
         Address address = Address.parse(parts.get(0));
         int milliCores = Integer.parseInt(parts.get(1));
         return new Member(NodeId.of(row.key()), FailureDomain.of(parts.get(2)), address, milliCores);
--- a/tarragonarch-entry/src/main/java/org/tarragonarch/entry/cluster/NodeJobs.java
+++ b/tarragonarch-entry/src/main/java/org/tarragonarch/entry/cluster/NodeJobs.java
@@ -25,7 +25,7 @@
     private final ConfigurationInForce configuration;
     private final JobRouter router;
     private final ToIntFunction<JobId> askPeersToCancel;
-    private final CancelRounds cancels;
+    private final PeerCancellations cancels;
     private final Timers timers;
     private final DecisionLog log;
     private final NodeMeters meters;
@@ -36,7 +36,7 @@
             ConfigurationInForce configuration,
             JobRouter router,
             ToIntFunction<JobId> askPeersToCancel,
-            CancelRounds cancels,
+            PeerCancellations cancels,
             Timers timers,
             DecisionLog log,
             NodeMeters meters,
@@ -58,7 +58,7 @@
         QueueLookup lookup = configuration.find(host, path);
         if (lookup.queue().isEmpty()) {
             meters.queueNotFound(lookup.result());
-            log.line(
+            log.write(
                     NodeEvent.QUEUE_UNKNOWN,
                     "result",
                     lookup.result(),
@@ -87,8 +87,8 @@
         long arrived = timers.nowMillis();
         return router.submit(queue, job, deadlineMillis, answer -> {
             long tookMillis = timers.nowMillis() - arrived;
-            meters.answered(answer.outcome(), tookMillis);
-            log.line(
+            meters.jobAnswered(answer.outcome(), tookMillis);
+            log.write(
                     NodeEvent.JOB_ANSWERED,
                     "job",
                     job.id(),
@@ -117,12 +117,12 @@
     @Override
     public void cancel(JobId job, Consumer<Boolean> known) {
         boolean here = router.cancel(job);
-        log.line(NodeEvent.JOB_CANCELLED, "job", job, "here", here);
+        log.write(NodeEvent.JOB_CANCELLED, "job", job, "here", here);
         if (here) {
             known.accept(true);
             return;
         }
-        cancels.begin(job, askPeersToCancel.applyAsInt(job), known);
+        cancels.start(job, askPeersToCancel.applyAsInt(job), known);
     }
 
     @Override
--- a/tarragonarch-entry/src/main/java/org/tarragonarch/entry/cluster/NodeMeters.java
+++ b/tarragonarch-entry/src/main/java/org/tarragonarch/entry/cluster/NodeMeters.java
@@ -47,12 +47,12 @@
     private final Map<EndKind, Counter> badRuns = new EnumMap<>(EndKind.class);
     private final Map<StoreTable, Counter> failedStoreCalls = new EnumMap<>(StoreTable.class);
     private final Map<QueueLookup.Result, Counter> queuesNotFound = new EnumMap<>(QueueLookup.Result.class);
-    private final Counter declined =
+    private final Counter jobDeclined =
             Counter.builder("tarragonarch.jobs.declined").register(registry);
     private final Counter restartedEndpoints =
             Counter.builder("tarragonarch.endpoints.restarted").register(registry);
-    private final Counter moved = Counter.builder("tarragonarch.jobs.moved").register(registry);
-    private final Counter movedBack =
+    private final Counter jobMoved = Counter.builder("tarragonarch.jobs.moved").register(registry);
+    private final Counter jobMovedBack =
             Counter.builder("tarragonarch.jobs.moved.back").register(registry);
     private final Counter unreadableEndpointRows =
             Counter.builder("tarragonarch.endpoint.rows.unreadable").register(registry);
@@ -62,7 +62,7 @@
             answers.put(
                     outcome,
                     Timer.builder("tarragonarch.jobs.answered")
-                            .tag("outcome", word(outcome))
+                            .tag("outcome", label(outcome))
                             .serviceLevelObjectives(ANSWER_BOUNDS)
                             .register(registry));
         }
@@ -70,14 +70,14 @@
             badRuns.put(
                     kind,
                     Counter.builder("tarragonarch.runs.ended.badly")
-                            .tag("how", word(kind))
+                            .tag("how", label(kind))
                             .register(registry));
         }
         for (QueueLookup.Result result : EnumSet.complementOf(EnumSet.of(QueueLookup.Result.FOUND))) {
             queuesNotFound.put(
                     result,
                     Counter.builder("tarragonarch.queues.not.found")
-                            .tag("result", word(result))
+                            .tag("result", label(result))
                             .register(registry));
         }
         Gauge.builder("tarragonarch.jobs.open", openJobs::getAsInt).register(registry);
@@ -90,10 +90,10 @@
         failedStoreCalls.put(
                 table,
                 Counter.builder("tarragonarch.store.calls.failed")
-                        .tag("table", word(table))
+                        .tag("table", label(table))
                         .register(registry));
         TimeGauge.builder("tarragonarch.store.answer.age", sinceAnswerMillis::getAsLong, TimeUnit.MILLISECONDS)
-                .tag("table", word(table))
+                .tag("table", label(table))
                 .register(registry);
     }
 
@@ -115,12 +115,12 @@
             SharePlan plan,
             Supplier<ImmutableList<ShareState>> states,
             Supplier<ImmutableMap<Integer, Long>> usedElsewhere) {
-        new ShareMeters(registry, states, usedElsewhere).watch(plan);
+        new ShareMeters(registry, states, usedElsewhere).register(plan);
     }
 
     /** Counts a job that was refused in a share. */
-    void refusedIn(ShareId share) {
-        ShareMeters.refused(registry, share.priority()).increment();
+    void jobRefusedInShare(ShareId share) {
+        ShareMeters.refusedJobs(registry, share.priority()).increment();
     }
 
     /** Registers the gauges of the speeds of the endpoints that this node holds, relative to their pool. */
@@ -148,20 +148,20 @@
         queuesNotFound.get(result).increment();
     }
 
-    void answered(JobOutcome outcome, long tookMillis) {
+    void jobAnswered(JobOutcome outcome, long tookMillis) {
         answers.get(outcome).record(Duration.ofMillis(tookMillis));
     }
 
-    void declined() {
-        declined.increment();
+    void jobDeclined() {
+        jobDeclined.increment();
     }
 
-    void moved() {
-        moved.increment();
+    void jobMoved() {
+        jobMoved.increment();
     }
 
-    void movedBack() {
-        movedBack.increment();
+    void jobMovedBack() {
+        jobMovedBack.increment();
     }
 
     void endpointRowUnreadable() {
@@ -180,7 +180,7 @@
         return registry.scrape();
     }
 
-    private static String word(Enum<?> value) {
+    private static String label(Enum<?> value) {
         return value.name().toLowerCase(Locale.ROOT).replace('_', '-');
     }
 }
--- a/tarragonarch-entry/src/main/java/org/tarragonarch/entry/cluster/Departure.java
+++ b/tarragonarch-entry/src/main/java/org/tarragonarch/entry/cluster/NodeShutdown.java
@@ -8,7 +8,7 @@
  * The last seconds of a node that was asked to stop: takes jobs until the balancer sends it no more clients, finishes
  * what is open, and ends the process before it would be killed.
  */
-final class Departure {
+final class NodeShutdown {
     /** The balancer asks once a second and drops a node after two misses. */
     private static final long BALANCER_NOTICE_MILLIS = 2_300;
 
@@ -31,36 +31,36 @@
     private final Timers timers;
     private final DecisionLog log;
     private final long shutdownMillis;
-    private final long sinceMillis;
+    private final long startedAtMillis;
 
     /**
      * Creates the departure of a node that leaves from now on.
      *
      * @param shutdownMillis when the process would be killed
      */
-    Departure(JobRouter router, Timers timers, DecisionLog log, long shutdownMillis) {
+    NodeShutdown(JobRouter router, Timers timers, DecisionLog log, long shutdownMillis) {
         this.router = router;
         this.timers = timers;
         this.log = log;
         this.shutdownMillis = shutdownMillis;
-        this.sinceMillis = timers.nowMillis();
+        this.startedAtMillis = timers.nowMillis();
     }
 
-    void begin() {
-        long waited = timers.nowMillis() - sinceMillis;
+    void run() {
+        long waited = timers.nowMillis() - startedAtMillis;
         if (waited >= BALANCER_NOTICE_MILLIS + OPEN_CONNECTIONS_MILLIS) {
             router.refuseNewJobs();
         }
         boolean idle = router.closed() && router.openJobs() == 0;
         if (idle || waited >= shutdownMillis - LAST_ANSWERS_MILLIS) {
-            end(waited);
+            endProcess(waited);
         } else {
-            timers.after(CHECK_MILLIS, this::begin);
+            timers.after(CHECK_MILLIS, this::run);
         }
     }
 
-    private void end(long waited) {
-        log.line(NodeEvent.NODE_STOPPED, "open-jobs", router.openJobs(), "after-ms", waited);
+    private void endProcess(long waited) {
+        log.write(NodeEvent.NODE_STOPPED, "open-jobs", router.openJobs(), "after-ms", waited);
         router.giveUpAll();
         timers.after(SEND_MILLIS, () -> Runtime.getRuntime().halt(0));
     }
--- a/tarragonarch-entry/src/main/java/org/tarragonarch/entry/cluster/OperatorRows.java
+++ b/tarragonarch-entry/src/main/java/org/tarragonarch/entry/cluster/OperatorRows.java
@@ -57,12 +57,12 @@
 
     @Override
     public void changed(RowPage page) {
-        page.rows().forEach(this::takeDrain);
+        page.rows().forEach(this::applyDrain);
         drainedDomains.accept(new DrainedDomains(page.version(), ImmutableSet.copyOf(drained)));
-        takeConfiguration(page.rows());
+        applyConfiguration(page.rows());
     }
 
-    private void takeDrain(StoreRow row) {
+    private void applyDrain(StoreRow row) {
         Optional<FailureDomain> domain = readDrain(row);
         if (domain.isPresent() && row.deleted()) {
             drained.remove(domain.get());
@@ -75,15 +75,15 @@
         try {
             return OperatorKeys.drainedDomain(row.key());
         } catch (UnreadableBodyException e) {
-            log.line(NodeEvent.DRAIN_ROW_UNREADABLE, "key", row.key(), "reason", e.getMessage());
+            log.write(NodeEvent.DRAIN_ROW_UNREADABLE, "key", row.key(), "reason", e.getMessage());
             return Optional.empty();
         }
     }
 
-    private void takeConfiguration(ImmutableList<StoreRow> rows) {
+    private void applyConfiguration(ImmutableList<StoreRow> rows) {
         for (StoreRow row : rows) {
             boolean holdsConfiguration = OperatorKeys.isConfiguration(row.key()) && !row.deleted();
-            if (holdsConfiguration && configuration.offered(row.value(), ConfigurationInForce.STORE)) {
+            if (holdsConfiguration && configuration.updateIfNewer(row.value(), ConfigurationInForce.STORE)) {
                 newVersion.run();
             }
         }
@@ -92,6 +92,6 @@
     @Override
     public void current(long asOfMillis) {
         super.current(asOfMillis);
-        configuration.confirmed(asOfMillis);
+        configuration.confirm(asOfMillis);
     }
 }
--- a/tarragonarch-entry/src/main/java/org/tarragonarch/entry/cluster/CancelRounds.java
+++ b/tarragonarch-entry/src/main/java/org/tarragonarch/entry/cluster/PeerCancellations.java
@@ -7,29 +7,29 @@
 import org.tarragonarch.model.task.Timers;
 
 /** Cancellations of jobs that this node does not have, while its peers are asked for them. */
-final class CancelRounds {
+final class PeerCancellations {
     /** Peers answer in a few milliseconds; one that has not by then is slow, frozen or gone. */
-    private static final long LISTEN_MILLIS = 400;
+    private static final long ANSWER_TIMEOUT_MILLIS = 400;
 
     private final Timers timers;
-    private final Map<JobId, Round> rounds = new HashMap<>();
+    private final Map<JobId, Cancellation> cancellations = new HashMap<>();
 
-    CancelRounds(Timers timers) {
+    PeerCancellations(Timers timers) {
         this.timers = timers;
     }
 
-    void begin(JobId job, int asked, Consumer<Boolean> known) {
+    void start(JobId job, int asked, Consumer<Boolean> known) {
         if (asked == 0) {
             known.accept(false);
             return;
         }
-        Round round = new Round(asked, known);
-        rounds.put(job, round);
-        timers.after(LISTEN_MILLIS, () -> end(job, round, false));
+        Cancellation round = new Cancellation(asked, known);
+        cancellations.put(job, round);
+        timers.after(ANSWER_TIMEOUT_MILLIS, () -> end(job, round, false));
     }
 
-    void answered(JobId job, boolean known) {
-        Round round = rounds.get(job);
+    void recordAnswer(JobId job, boolean known) {
+        Cancellation round = cancellations.get(job);
         if (round != null) {
             round.missing--;
             if (known || round.missing == 0) {
@@ -38,18 +38,18 @@
         }
     }
 
-    private void end(JobId job, Round round, boolean known) {
-        if (rounds.remove(job, round)) {
+    private void end(JobId job, Cancellation round, boolean known) {
+        if (cancellations.remove(job, round)) {
             round.known.accept(known);
         }
     }
 
     /** One job that peers were asked for. */
-    private static final class Round {
+    private static final class Cancellation {
         private final Consumer<Boolean> known;
         private int missing;
 
-        Round(int missing, Consumer<Boolean> known) {
+        Cancellation(int missing, Consumer<Boolean> known) {
             this.missing = missing;
             this.known = known;
         }
--- a/tarragonarch-entry/src/main/java/org/tarragonarch/entry/cluster/Neighbourhood.java
+++ b/tarragonarch-entry/src/main/java/org/tarragonarch/entry/cluster/PeerDiscovery.java
@@ -9,9 +9,9 @@
 import org.tarragonarch.model.task.Timers;
 
 /** Where the other nodes are, and whether enough of the neighbours are known to claim shards. */
-final class Neighbourhood {
+final class PeerDiscovery {
     /** How long a node tries to learn where its peers are, in milliseconds; with the store away it goes on alone. */
-    private static final long LONGEST_DISCOVERY_MILLIS = 1_500;
+    private static final long MAX_DISCOVERY_MILLIS = 1_500;
 
     private final Member own;
     private final PeerExchange exchange;
@@ -21,7 +21,7 @@
     private final long startedAtMillis;
     private long refreshedAtMillis;
 
-    Neighbourhood(
+    PeerDiscovery(
             Member own,
             RowStore store,
             PeerExchange exchange,
@@ -37,25 +37,25 @@
     }
 
     /** Begins to look for the other nodes. */
-    void find() {
+    void start() {
         directory.start();
     }
 
     /** Records where a peer knows nodes to be. */
-    void learned(ImmutableList<Member> nodes) {
-        directory.learned(nodes);
+    void addNodes(ImmutableList<Member> nodes) {
+        directory.addNodes(nodes);
     }
 
     /** Returns whether it is known where the other nodes are. */
-    boolean isLocated() {
-        return directory.complete();
+    boolean isDirectoryComplete() {
+        return directory.isComplete();
     }
 
     /** Returns whether every holder is known, or nothing more is to be expected. */
-    boolean isKnown() {
+    boolean canClaimShards() {
         long now = timers.nowMillis();
-        if (!directory.complete()) {
-            return now - startedAtMillis >= LONGEST_DISCOVERY_MILLIS;
+        if (!directory.isComplete()) {
+            return now - startedAtMillis >= MAX_DISCOVERY_MILLIS;
         }
         ImmutableList<Member> located = exchange.locatedIn(coordinator.neighbours());
         return now - directory.completeAtMillis() >= Discovery.claimDelayMillis(own, located)
--- a/tarragonarch-entry/src/main/java/org/tarragonarch/entry/cluster/PeerExchange.java
+++ b/tarragonarch-entry/src/main/java/org/tarragonarch/entry/cluster/PeerExchange.java
@@ -54,12 +54,12 @@
             8 * 1024 * 1024,
             1_024);
 
-    private final PeerCalls calls;
+    private final PeerFrameHandler calls;
     private final Map<NodeId, Member> members = new HashMap<>();
     private final Map<NodeId, Incarnation> runs = new HashMap<>();
     private PeerNetwork network;
 
-    PeerExchange(PeerCalls calls) {
+    PeerExchange(PeerFrameHandler calls) {
         this.calls = calls;
     }
 
@@ -144,31 +144,31 @@
         runs.put(peer, run);
         if (frame instanceof StatusFrame status) {
             members.put(peer, status.status().member());
-            calls.status(status.status());
+            calls.statusReceived(status.status());
         } else if (frame instanceof JobOffered offered) {
-            calls.offered(offered.offer());
+            calls.offerReceived(offered.offer());
         } else if (frame instanceof JobSettled settled) {
-            calls.verdictCame(peer, settled.job(), settled.verdict(), settled.retryMillis());
+            calls.verdictReceived(peer, settled.job(), settled.verdict(), settled.retryMillis());
         } else if (frame instanceof JobWithdrawn withdrawn) {
-            calls.withdrawn(peer, withdrawn.job());
+            calls.withdrawalReceived(peer, withdrawn.job());
         } else if (frame instanceof OpenJobs open) {
-            calls.openJobs(peer, open.jobs());
+            calls.openJobsReceived(peer, open.jobs());
         } else if (frame instanceof CancelAsked asked) {
-            network.reply(peer, run, new CancelAnswered(asked.job(), calls.cancelled(asked.job())));
+            network.reply(peer, run, new CancelAnswered(asked.job(), calls.cancel(asked.job())));
         } else if (frame instanceof CancelAnswered answered) {
-            calls.cancelAnswered(answered.job(), answered.known());
+            calls.cancelAnswerReceived(answered.job(), answered.known());
         } else if (frame instanceof ConfigurationAsked) {
             network.reply(peer, run, configuration());
         } else if (frame instanceof ConfigurationGiven given) {
-            given.canonicalText().ifPresent(text -> calls.configurationGiven(peer, text.bytes()));
+            given.canonicalText().ifPresent(text -> calls.configurationReceived(peer, text.bytes()));
         } else if (frame instanceof EndpointsAsked) {
             network.reply(peer, run, new EndpointsGiven(calls.endpoints()));
         } else if (frame instanceof EndpointsGiven given) {
-            calls.endpointsGiven(given.endpoints());
+            calls.endpointsReceived(given.endpoints());
         } else if (frame instanceof NodesAsked) {
             network.reply(peer, run, new NodesGiven(located()));
         } else if (frame instanceof NodesGiven given) {
-            calls.nodesGiven(given.nodes());
+            calls.nodesReceived(given.nodes());
         }
     }
 
@@ -180,7 +180,7 @@
     @Override
     public void undelivered(NodeId peer, Frame frame) {
         if (frame instanceof JobOffered offered) {
-            calls.notOffered(peer, offered.offer().job().id());
+            calls.offerUndelivered(peer, offered.offer().job().id());
         }
     }
 
--- a/tarragonarch-entry/src/main/java/org/tarragonarch/entry/cluster/PeerCalls.java
+++ b/tarragonarch-entry/src/main/java/org/tarragonarch/entry/cluster/PeerFrameHandler.java
@@ -11,41 +11,41 @@
 import org.tarragonarch.model.task.Verdict;
 
 /** What frames of peers ask of this node. */
-interface PeerCalls {
-    void status(NodeStatus status);
+interface PeerFrameHandler {
+    void statusReceived(NodeStatus status);
 
     /** The last connection with the run of a peer that spoke last is closed. */
     void disconnected(NodeId peer);
 
-    void offered(Offer offer);
+    void offerReceived(Offer offer);
 
-    void notOffered(NodeId peer, JobId job);
+    void offerUndelivered(NodeId peer, JobId job);
 
     /** A holder gave its verdict on a job of this node's. */
-    void verdictCame(NodeId holder, JobId job, Verdict verdict, long retryMillis);
+    void verdictReceived(NodeId holder, JobId job, Verdict verdict, long retryMillis);
 
-    void withdrawn(NodeId peer, JobId job);
+    void withdrawalReceived(NodeId peer, JobId job);
 
     /** A peer that has connected says which jobs it has open here. */
-    void openJobs(NodeId peer, ImmutableSet<JobId> open);
+    void openJobsReceived(NodeId peer, ImmutableSet<JobId> open);
 
     /** Returns the jobs of this node's clients that the peer has. */
     ImmutableSet<JobId> openJobsAt(NodeId peer);
 
-    boolean cancelled(JobId job);
+    boolean cancel(JobId job);
 
-    void cancelAnswered(JobId job, boolean known);
+    void cancelAnswerReceived(JobId job, boolean known);
 
     byte[] configurationText();
 
     long configurationVersion();
 
-    void configurationGiven(NodeId peer, byte[] text);
+    void configurationReceived(NodeId peer, byte[] text);
 
     ImmutableList<EndpointEntry> endpoints();
 
-    void endpointsGiven(ImmutableList<EndpointEntry> endpoints);
+    void endpointsReceived(ImmutableList<EndpointEntry> endpoints);
 
     /** A peer said where it knows nodes to be. */
-    void nodesGiven(ImmutableList<Member> nodes);
+    void nodesReceived(ImmutableList<Member> nodes);
 }
--- a/tarragonarch-entry/src/main/java/org/tarragonarch/entry/cluster/ShardLog.java
+++ b/tarragonarch-entry/src/main/java/org/tarragonarch/entry/cluster/ShardLog.java
@@ -30,7 +30,7 @@
 
     @Override
     public void declined(NodeId origin, JobId job, CompletionEstimate estimate) {
-        meters.declined();
+        meters.jobDeclined();
         List<Object> fields = new ArrayList<>(List.of(
                 "job",
                 job,
@@ -51,16 +51,16 @@
                 "waiting-jobs",
                 estimate.waitingJobs()));
         estimate.share().ifPresent(share -> {
-            meters.refusedIn(share.share());
+            meters.jobRefusedInShare(share.share());
             fields.addAll(fields(share));
         });
-        log.line(NodeEvent.JOB_DECLINED, fields.toArray());
+        log.write(NodeEvent.JOB_DECLINED, fields.toArray());
     }
 
     @Override
     public void shareLimited(ShareState state, boolean isLimited) {
         NodeEvent event = isLimited ? NodeEvent.SHARE_LIMITED : NodeEvent.SHARE_UNLIMITED;
-        log.line(event, fields(state).toArray());
+        log.write(event, fields(state).toArray());
     }
 
     private static List<Object> fields(ShareState state) {
@@ -81,55 +81,55 @@
 
     @Override
     public void movedToNeighbour(JobId job, NodeId holder) {
-        meters.moved();
-        log.line(NodeEvent.JOB_MOVED, "job", job, "holder", holder);
+        meters.jobMoved();
+        log.write(NodeEvent.JOB_MOVED, "job", job, "holder", holder);
     }
 
     @Override
     public void returnedByNeighbour(JobId job, NodeId holder) {
-        meters.movedBack();
-        log.line(NodeEvent.JOB_MOVED_BACK, "job", job, "holder", holder);
+        meters.jobMovedBack();
+        log.write(NodeEvent.JOB_MOVED_BACK, "job", job, "holder", holder);
     }
 
     @Override
     public void holderLost(JobId job, NodeId holder) {
-        log.line(NodeEvent.JOB_HOLDER_LOST, "job", job, "holder", holder);
+        log.write(NodeEvent.JOB_HOLDER_LOST, "job", job, "holder", holder);
     }
 
     @Override
     public void offeredAgain(JobId job, NodeId holder, long sinceLossMillis) {
-        log.line(NodeEvent.JOB_OFFERED_AGAIN, "job", job, "holder", holder, "since-loss-ms", sinceLossMillis);
+        log.write(NodeEvent.JOB_OFFERED_AGAIN, "job", job, "holder", holder, "since-loss-ms", sinceLossMillis);
     }
 
     @Override
     public void clientsLeft(JobId job, NodeId holder) {
-        log.line(NodeEvent.JOB_CLIENTS_LEFT, "job", job, "holder", holder);
+        log.write(NodeEvent.JOB_CLIENTS_LEFT, "job", job, "holder", holder);
     }
 
     @Override
     public void recovered(NodeId origin, JobId job, RecoveryGround ground, long waitedMillis) {
-        log.line(NodeEvent.JOB_RECOVERED, "job", job, "origin", origin, "ground", ground, "waited-ms", waitedMillis);
+        log.write(NodeEvent.JOB_RECOVERED, "job", job, "origin", origin, "ground", ground, "waited-ms", waitedMillis);
     }
 
     @Override
     public void resubmitted(JobId job, NodeId before, NodeId now) {
-        log.line(NodeEvent.JOB_RESUBMITTED, "job", job, "before", before, "origin", now);
+        log.write(NodeEvent.JOB_RESUBMITTED, "job", job, "before", before, "origin", now);
     }
 
     @Override
     public void originLost(NodeId origin, int jobs) {
-        log.line(NodeEvent.ORIGIN_LOST, "origin", origin, "jobs", jobs);
+        log.write(NodeEvent.ORIGIN_LOST, "origin", origin, "jobs", jobs);
     }
 
     @Override
     public void jobsNotOpen(NodeId origin, int jobs) {
-        log.line(NodeEvent.JOBS_NOT_OPEN, "origin", origin, "jobs", jobs);
+        log.write(NodeEvent.JOBS_NOT_OPEN, "origin", origin, "jobs", jobs);
     }
 
     @Override
     public void runEndedBadly(FailureDomain shard, TaskRun run, EndpointId endpoint, EndKind kind) {
         meters.runEndedBadly(kind);
-        log.line(
+        log.write(
                 NodeEvent.RUN_ENDED_BADLY,
                 "task",
                 run.task(),
@@ -146,7 +146,7 @@
     @Override
     public void endpointRestarted(FailureDomain shard, EndpointIncarnation later) {
         meters.endpointRestarted();
-        log.line(
+        log.write(
                 NodeEvent.ENDPOINT_RESTARTED,
                 "endpoint",
                 later.id(),
@@ -158,7 +158,7 @@
 
     @Override
     public void speedChanged(FailureDomain shard, EndpointId endpoint, double from, double to) {
-        log.line(
+        log.write(
                 NodeEvent.ENDPOINT_SPEED_CHANGED,
                 "endpoint",
                 endpoint,
@@ -177,21 +177,21 @@
     @Override
     public void drainChanged(FailureDomain domain, boolean isDrained, long version, String source) {
         NodeEvent event = isDrained ? NodeEvent.DOMAIN_DRAINED : NodeEvent.DOMAIN_UNDRAINED;
-        log.line(event, "domain", domain, "store-version", version, "source", source);
+        log.write(event, "domain", domain, "store-version", version, "source", source);
     }
 
     @Override
     public void claimed(FailureDomain shard, FencingToken token, int endpoints) {
-        log.line(NodeEvent.SHARD_CLAIMED, "shard", shard, "token", token, "endpoints", endpoints);
+        log.write(NodeEvent.SHARD_CLAIMED, "shard", shard, "token", token, "endpoints", endpoints);
     }
 
     @Override
     public void resigned(FailureDomain shard, FencingToken token) {
-        log.line(NodeEvent.SHARD_RESIGNED, "shard", shard, "token", token);
+        log.write(NodeEvent.SHARD_RESIGNED, "shard", shard, "token", token);
     }
 
     @Override
     public void fenced(FailureDomain shard, FencingToken token) {
-        log.line(NodeEvent.SHARD_FENCED, "shard", shard, "token", token);
+        log.write(NodeEvent.SHARD_FENCED, "shard", shard, "token", token);
     }
 }
--- a/tarragonarch-entry/src/main/java/org/tarragonarch/entry/cluster/ShareMeters.java
+++ b/tarragonarch-entry/src/main/java/org/tarragonarch/entry/cluster/ShareMeters.java
@@ -29,7 +29,7 @@
     }
 
     /** Registers the gauges of every priority that the plan names. */
-    void watch(SharePlan plan) {
+    void register(SharePlan plan) {
         for (int priority : plan.priorities()) {
             gauge("tarragonarch.share.allotted.cores", priority, ShareState::allottedMilliCores);
             gauge("tarragonarch.share.used.cores", priority, ShareState::usedMilliCores);
@@ -38,12 +38,12 @@
             Gauge.builder("tarragonarch.share.used.elsewhere.cores", () -> elsewhere(priority))
                     .tag(TAG, Integer.toString(priority))
                     .register(registry);
-            refused(registry, priority);
+            refusedJobs(registry, priority);
         }
     }
 
     /** Returns the counter of refused jobs of a priority. */
-    static Counter refused(MeterRegistry registry, int priority) {
+    static Counter refusedJobs(MeterRegistry registry, int priority) {
         return Counter.builder("tarragonarch.share.jobs.refused")
                 .tag(TAG, Integer.toString(priority))
                 .register(registry);
--- a/tarragonarch-entry/src/main/java/org/tarragonarch/entry/endpoint/EndpointClient.java
+++ b/tarragonarch-entry/src/main/java/org/tarragonarch/entry/endpoint/EndpointClient.java
@@ -227,7 +227,7 @@
     }
 
     private void end(SendTask action, EndpointAnswer answer) {
-        answer.body().ifPresent(result -> bodies.keepResult(action.task(), result));
+        answer.body().ifPresent(result -> bodies.putResult(action.task(), result));
         metrics.sendEnded(answer.result());
         events.post(new TaskEnded(
                 action.task(),
--- a/tarragonarch-entry/src/main/java/org/tarragonarch/entry/peer/AskedQuestions.java
+++ b/tarragonarch-entry/src/main/java/org/tarragonarch/entry/peer/AskedQuestions.java
@@ -21,7 +21,7 @@
     }
 
     /** Takes a question out if it was put to this peer; only the first call finds it. */
-    Optional<Asked> take(long question, NodeId peer) {
+    Optional<Asked> remove(long question, NodeId peer) {
         Asked asked = open.get(question);
         return asked != null && asked.peer().equals(peer) && open.remove(question, asked)
                 ? Optional.of(asked)
--- a/tarragonarch-entry/src/main/java/org/tarragonarch/entry/peer/ConfigurationExchange.java
+++ b/tarragonarch-entry/src/main/java/org/tarragonarch/entry/peer/ConfigurationExchange.java
@@ -33,25 +33,27 @@
     }
 
     /** Notes that a peer is asked for a configuration; an earlier question to it fails. */
-    void asked(NodeId peer, LoadConfiguration wanted) {
+    void recordQuestion(NodeId peer, LoadConfiguration wanted) {
         questions
                 .add(peer, wanted, System.nanoTime())
-                .ifPresent(earlier -> failed(earlier, "another version was asked for meanwhile"));
+                .ifPresent(earlier -> postFailure(earlier, "another version was asked for meanwhile"));
     }
 
     /** Fails the question to a peer, if it is open. */
-    void unanswered(NodeId peer, String detail) {
-        questions.take(peer).ifPresent(wanted -> failed(wanted, detail));
+    void failQuestion(NodeId peer, String detail) {
+        questions.remove(peer).ifPresent(wanted -> postFailure(wanted, detail));
     }
 
     /** Fails the questions that were put before a time. */
     void expire(long askedBeforeNanos) {
-        questions.takeOlder(askedBeforeNanos).forEach(wanted -> failed(wanted, "the peer gave no answer in time"));
+        questions
+                .removeAskedBefore(askedBeforeNanos)
+                .forEach(wanted -> postFailure(wanted, "the peer gave no answer in time"));
     }
 
     /** Reads a peer's answer on the executor, if the question to it is open. */
-    void given(NodeId peer, ConfigurationGiven given, Executor executor) {
-        questions.take(peer).ifPresent(wanted -> executor.execute(() -> load(peer, wanted, given)));
+    void loadAnswer(NodeId peer, ConfigurationGiven given, Executor executor) {
+        questions.remove(peer).ifPresent(wanted -> executor.execute(() -> load(peer, wanted, given)));
     }
 
     /** Returns the answer to a peer's question. */
@@ -65,7 +67,7 @@
 
     private void load(NodeId peer, LoadConfiguration wanted, ConfigurationGiven given) {
         if (given.canonicalText().isEmpty()) {
-            failed(wanted, "the peer has no such version");
+            postFailure(wanted, "the peer has no such version");
             return;
         }
         boolean same = given.version().equals(wanted.version());
@@ -74,7 +76,7 @@
         events.post(loader.load(given.version(), due, text, peer.toString()));
     }
 
-    private void failed(LoadConfiguration wanted, String detail) {
+    private void postFailure(LoadConfiguration wanted, String detail) {
         String peer = wanted.peer().map(NodeId::toString).orElse("");
         events.post(loader.failed(wanted.version(), peer, detail));
     }
--- a/tarragonarch-entry/src/main/java/org/tarragonarch/entry/peer/ConfigurationQuestions.java
+++ b/tarragonarch-entry/src/main/java/org/tarragonarch/entry/peer/ConfigurationQuestions.java
@@ -16,12 +16,12 @@
         return Optional.ofNullable(open.put(peer, new Open(wanted, nowNanos))).map(Open::wanted);
     }
 
-    Optional<LoadConfiguration> take(NodeId peer) {
+    Optional<LoadConfiguration> remove(NodeId peer) {
         return Optional.ofNullable(open.remove(peer)).map(Open::wanted);
     }
 
     /** Takes out the questions that were put before a time. */
-    ImmutableList<LoadConfiguration> takeOlder(long nanos) {
+    ImmutableList<LoadConfiguration> removeAskedBefore(long nanos) {
         return open.entrySet().stream()
                 .filter(entry -> entry.getValue().askedNanos - nanos < 0)
                 .filter(entry -> open.remove(entry.getKey(), entry.getValue()))
--- a/tarragonarch-entry/src/main/java/org/tarragonarch/entry/peer/PeerShell.java
+++ b/tarragonarch-entry/src/main/java/org/tarragonarch/entry/peer/PeerShell.java
@@ -60,7 +60,7 @@
 public final class PeerShell implements PeerListener, AutoCloseable {
     // A little below the longest frame, for the frame's other fields.
     private static final int MAX_RESULT_BYTES = FrameCodec.MAX_FRAME_BYTES - 1_024;
-    private static final Duration ASK_AGAIN = Duration.ofSeconds(2);
+    private static final Duration REPEAT_INTERVAL = Duration.ofSeconds(2);
 
     private final NodeIdentity identity;
     private final BodyStore bodies;
@@ -113,11 +113,11 @@
         Hello own = Hello.of(identity.node(), identity.incarnation(), identity.domain());
         network = PeerNetwork.start(identity.peerAddress(), own, this);
         worker.scheduleWithFixedDelay(
-                this::askAgain, ASK_AGAIN.toMillis(), ASK_AGAIN.toMillis(), TimeUnit.MILLISECONDS);
+                this::repeatQuestions, REPEAT_INTERVAL.toMillis(), REPEAT_INTERVAL.toMillis(), TimeUnit.MILLISECONDS);
     }
 
     /** Records where the platform lists other nodes; one that is gone from the list keeps its last address. */
-    public void learn(Iterable<VmRecord> vms) {
+    public void updateAddresses(Iterable<VmRecord> vms) {
         for (VmRecord vm : vms) {
             if (vm.role() == VmRole.ENTRY) {
                 addresses.put(NodeId.of(vm.name()), vm.address());
@@ -141,18 +141,18 @@
     public void giveAnswer(GivePeerAnswer action) {
         // The results are looked up now, as the core may evict them next; they are put together elsewhere.
         Optional<ImmutableList<byte[]>> results = action.submission().flatMap(bodies::results);
-        received.take(action.question())
-                .ifPresent(question -> work(() ->
+        received.remove(action.question())
+                .ifPresent(question -> runOnWorker(() ->
                         network.reply(question.peer(), question.run(), answer(action, results, question.question()))));
     }
 
     /** Asks a peer for a configuration. */
     public void loadConfiguration(LoadConfiguration action) {
         NodeId peer = action.peer().orElseThrow();
-        configurations.asked(peer, action);
+        configurations.recordQuestion(peer, action);
         Address address = addresses.get(peer);
         if (address == null) {
-            configurations.unanswered(peer, "the peer's address is not known");
+            configurations.failQuestion(peer, "the peer's address is not known");
             return;
         }
         network.send(peer, address, new ConfigurationAsked(action.version()));
@@ -165,20 +165,20 @@
         } else if (frame instanceof AnswerAsked question) {
             answerAsked(peer, run, question);
         } else if (frame instanceof AnswerGiven given) {
-            asked.take(given.question(), peer).ifPresent(question -> answerGiven(question, given));
+            asked.remove(given.question(), peer).ifPresent(question -> answerGiven(question, given));
         } else if (frame instanceof ConfigurationAsked question) {
             network.reply(peer, run, configurations.answer(question));
         } else if (frame instanceof ConfigurationGiven given) {
-            configurations.given(peer, given, this::work);
+            configurations.loadAnswer(peer, given, this::runOnWorker);
         }
     }
 
     @Override
     public void undelivered(NodeId peer, Frame frame) {
         if (frame instanceof AnswerAsked question) {
-            asked.take(question.question(), peer).ifPresent(this::notToBeHad);
+            asked.remove(question.question(), peer).ifPresent(this::postUnavailable);
         } else if (frame instanceof ConfigurationAsked) {
-            configurations.unanswered(peer, "the peer cannot be reached");
+            configurations.failQuestion(peer, "the peer cannot be reached");
         }
     }
 
@@ -193,22 +193,22 @@
     private void ask(long question, NodeId peer, AnswerAsked frame) {
         Address address = addresses.get(peer);
         if (address == null) {
-            asked.take(question, peer).ifPresent(this::notToBeHad);
+            asked.remove(question, peer).ifPresent(this::postUnavailable);
             return;
         }
         network.send(peer, address, frame);
     }
 
-    private void askAgain() {
+    private void repeatQuestions() {
         asked.open().forEach((question, open) -> {
-            if (bodies.holds(open.waiting())) {
+            if (bodies.contains(open.waiting())) {
                 ask(question, open.peer(), new AnswerAsked(question, open.key()));
             } else {
                 // The core has answered it meanwhile, by its deadline for instance.
-                asked.take(question, open.peer());
+                asked.remove(question, open.peer());
             }
         });
-        configurations.expire(System.nanoTime() - ASK_AGAIN.toNanos());
+        configurations.expire(System.nanoTime() - REPEAT_INTERVAL.toNanos());
     }
 
     private void answerAsked(NodeId peer, Incarnation run, AnswerAsked question) {
@@ -230,34 +230,34 @@
 
     private void answerGiven(AskedQuestions.Asked question, AnswerGiven given) {
         if (given.outcome() == AnswerOutcome.COMPLETE) {
-            work(() -> completeGiven(question, given.results().orElseThrow()));
+            runOnWorker(() -> completeGiven(question, given.results().orElseThrow()));
         } else {
             PeerAnswer outcome =
                     given.outcome() == AnswerOutcome.PROBLEM ? PeerAnswer.PROBLEM : PeerAnswer.NOT_TO_BE_HAD;
-            arrived(question, outcome, given.problem());
+            postAnswer(question, outcome, given.problem());
         }
     }
 
     private void completeGiven(AskedQuestions.Asked question, Payload results) {
         try {
-            bodies.keepResults(question.waiting(), JsonSlices.split(results.bytes()));
+            bodies.putResults(question.waiting(), JsonSlices.split(results.bytes()));
         } catch (IOException e) {
-            notToBeHad(question);
+            postUnavailable(question);
             return;
         }
         boolean whole = bodies.results(question.waiting()).isPresent();
-        arrived(question, whole ? PeerAnswer.COMPLETE : PeerAnswer.NOT_TO_BE_HAD, Optional.empty());
+        postAnswer(question, whole ? PeerAnswer.COMPLETE : PeerAnswer.NOT_TO_BE_HAD, Optional.empty());
     }
 
-    private void notToBeHad(AskedQuestions.Asked question) {
-        arrived(question, PeerAnswer.NOT_TO_BE_HAD, Optional.empty());
+    private void postUnavailable(AskedQuestions.Asked question) {
+        postAnswer(question, PeerAnswer.NOT_TO_BE_HAD, Optional.empty());
     }
 
-    private void arrived(AskedQuestions.Asked question, PeerAnswer outcome, Optional<Problem> problem) {
+    private void postAnswer(AskedQuestions.Asked question, PeerAnswer outcome, Optional<Problem> problem) {
         events.post(new PeerAnswerArrived(question.waiting(), outcome, problem));
     }
 
-    private void work(Runnable task) {
+    private void runOnWorker(Runnable task) {
         try {
             worker.execute(task);
         } catch (RejectedExecutionException e) {
--- a/tarragonarch-entry/src/main/java/org/tarragonarch/entry/peer/ReceivedQuestions.java
+++ b/tarragonarch-entry/src/main/java/org/tarragonarch/entry/peer/ReceivedQuestions.java
@@ -13,21 +13,21 @@
  * question of an earlier run would reach a caller of the later one. Safe for use by several threads.
  */
 final class ReceivedQuestions {
-    private static final int MOST = 10_000;
+    private static final int MAX_OPEN = 10_000;
 
     private final BiMap<Long, Received> open = HashBiMap.create();
     private long last;
 
     /** Returns this node's number for a question; empty if it came before and is open, or there are too many. */
     synchronized Optional<Long> add(Received question) {
-        if (open.size() >= MOST || open.containsValue(question)) {
+        if (open.size() >= MAX_OPEN || open.containsValue(question)) {
             return Optional.empty();
         }
         open.put(++last, question);
         return Optional.of(last);
     }
 
-    synchronized Optional<Received> take(long number) {
+    synchronized Optional<Received> remove(long number) {
         return Optional.ofNullable(open.remove(number));
     }
 
--- a/tarragonarch-entry/src/test/java/org/tarragonarch/entry/body/BodyStoreTest.java
+++ b/tarragonarch-entry/src/test/java/org/tarragonarch/entry/body/BodyStoreTest.java
@@ -20,46 +20,46 @@
     private final BodyStore store = BodyStore.create(10);
 
     @Test
-    public void testBytes_comeBackToNothing() {
-        assertTrue(store.keep(FIRST, content(4, 3)));
-        assertFalse(store.keep(SECOND, content(4)));
+    public void testBytes_returnToZero() {
+        assertTrue(store.put(FIRST, content(4, 3)));
+        assertFalse(store.put(SECOND, content(4)));
         assertEquals(store.bytes(), 7);
-        store.keepResult(new TaskId(FIRST, 0), new byte[20]);
+        store.putResult(new TaskId(FIRST, 0), new byte[20]);
         assertEquals(store.bytes(), 27);
         assertTrue(store.results(FIRST).isEmpty());
-        store.keepResult(new TaskId(FIRST, 1), new byte[1]);
+        store.putResult(new TaskId(FIRST, 1), new byte[1]);
         assertEquals(store.results(FIRST).orElseThrow().size(), 2);
-        store.dropInputs(FIRST);
+        store.removeInputs(FIRST);
         assertEquals(store.bytes(), 21);
-        store.drop(FIRST);
-        store.drop(FIRST);
-        store.keepResult(new TaskId(FIRST, 0), new byte[5]);
+        store.remove(FIRST);
+        store.remove(FIRST);
+        store.putResult(new TaskId(FIRST, 0), new byte[5]);
         assertEquals(store.bytes(), 0);
-        assertTrue(store.keep(SECOND, content(4)));
-        store.drop(SECOND);
+        assertTrue(store.put(SECOND, content(4)));
+        store.remove(SECOND);
         assertEquals(store.bytes(), 0);
     }
 
     // A second answer for a task, from whatever cause, must not change what a caller gets.
     @Test
-    public void testKeepResult_firstStands() {
-        store.keep(FIRST, content(1));
-        store.keepResult(new TaskId(FIRST, 0), new byte[] {1});
-        store.keepResult(new TaskId(FIRST, 0), new byte[] {2});
+    public void testPutResult_firstResultKept() {
+        store.put(FIRST, content(1));
+        store.putResult(new TaskId(FIRST, 0), new byte[] {1});
+        store.putResult(new TaskId(FIRST, 0), new byte[] {2});
         assertEquals(store.results(FIRST).orElseThrow().get(0), new byte[] {1});
-        store.drop(FIRST);
+        store.remove(FIRST);
     }
 
     /** Guards against callers refused for minutes since kept results fill the store of bodies. */
     @Test
-    public void testKeep_answeredResultsMakeRoom() {
+    public void testPut_evictsAnsweredResults() {
         BodyStore full = BodyStore.create(10);
-        full.keep(FIRST, content(1));
-        full.keepResult(new TaskId(FIRST, 0), new byte[12]);
-        assertFalse(full.keep(SECOND, content(4)), "not answered yet");
-        full.dropInputs(FIRST);
-        assertTrue(full.keep(SECOND, content(4)));
-        assertFalse(full.holds(FIRST));
+        full.put(FIRST, content(1));
+        full.putResult(new TaskId(FIRST, 0), new byte[12]);
+        assertFalse(full.put(SECOND, content(4)), "not answered yet");
+        full.removeInputs(FIRST);
+        assertTrue(full.put(SECOND, content(4)));
+        assertFalse(full.contains(FIRST));
         assertEquals(full.bytes(), 4);
     }
 
--- a/tarragonarch-entry/src/test/java/org/tarragonarch/entry/caller/CallerApiTest.java
+++ b/tarragonarch-entry/src/test/java/org/tarragonarch/entry/caller/CallerApiTest.java
@@ -219,7 +219,7 @@
             assertTrue(answer.body().contains("\"peer\":\"hobart-w1\""), answer.body());
             assertTrue(answer.body().contains("\"id\":\"hobart-1_7_1\",\"request-id\":\"r\""), answer.body());
         }
-        Eventually.check("bodies are dropped", () -> fixture.bodies.submissions() == 0);
+        Eventually.check("bodies are dropped", () -> fixture.bodies.submissionCount() == 0);
     }
 
     // A caller sends an upload twice under one key. Both callers get the results of the one run, also when the second
@@ -240,12 +240,12 @@
             assertTrue(client.send(keyed).read().body().endsWith("_1\",\"result\":\"text\"}"));
             assertTrue(client.send(keyed).read().body().endsWith("_2\",\"result\":\"text\"}"));
         }
-        Eventually.check("bodies are dropped", () -> fixture.bodies.submissions() == 0);
+        Eventually.check("bodies are dropped", () -> fixture.bodies.submissionCount() == 0);
         assertEquals(fixture.bodies.bytes(), 0);
     }
 
     @Test
-    public void testDigest_tellsContentsApart() throws Exception {
+    public void testDigest_differsByContent() throws Exception {
         start(this::echo);
         try (RawClient client = fixture.connect()) {
             client.send(RawClient.post(REQUESTS, "{\"input\":1}")).read();
@@ -329,7 +329,7 @@
     private void echo(SubmissionArrived arrived, ActionSink sink) {
         for (int i = 0; i < arrived.tasks().size(); i++) {
             TaskId task = new TaskId(arrived.id(), i);
-            fixture.bodies.keepResult(
+            fixture.bodies.putResult(
                     task, fixture.bodies.task(task).map(TaskContent::input).orElseThrow());
         }
         sink.emit(new AnswerComplete(arrived.id()));
--- a/tarragonarch-entry/src/test/java/org/tarragonarch/entry/caller/CallerFixture.java
+++ b/tarragonarch-entry/src/test/java/org/tarragonarch/entry/caller/CallerFixture.java
@@ -53,7 +53,7 @@
         server = ApiServer.create(
                 new InetSocketAddress("127.0.0.1", 0), limits, metrics.httpEvents("caller"), "test-caller", 2);
         server.serve(api.application());
-        control.start(this::act);
+        control.start(this::perform);
     }
 
     static CallerFixture start(FakeCore core) throws StepException {
@@ -89,7 +89,7 @@
     }
 
     /** Carries an action out as the daemon would, from any thread that stands for the control thread. */
-    void act(Action action) {
+    void perform(Action action) {
         if (action instanceof AnswerComplete complete) {
             answers.answerComplete(complete);
         } else if (action instanceof AnswerProblem problem) {
--- a/tarragonarch-entry/src/test/java/org/tarragonarch/entry/caller/CallerLimitsTest.java
+++ b/tarragonarch-entry/src/test/java/org/tarragonarch/entry/caller/CallerLimitsTest.java
@@ -162,7 +162,7 @@
     public void testSlowReader() throws Exception {
         byte[] large = ("\"" + "x".repeat(30 << 20) + "\"").getBytes(StandardCharsets.UTF_8);
         core = new FakeCore((arrived, sink) -> {
-            fixture.bodies.keepResult(new TaskId(arrived.id(), 0), large);
+            fixture.bodies.putResult(new TaskId(arrived.id(), 0), large);
             sink.emit(new AnswerComplete(arrived.id()));
         });
         fixture = CallerFixture.start(core, limits(LONG, LONG, SHORT), 1 << 20);
@@ -177,14 +177,14 @@
     // A caller sends a small request and at once a huge one on the same connection. The huge one can be answered before
     // it is read; were it so, the caller would take that answer for the small one's.
     @Test
-    public void testOversizedBody_keepsItsTurn() throws Exception {
+    public void testOversizedBody_answeredInOrder() throws Exception {
         core = new FakeCore((arrived, sink) -> {});
         fixture = CallerFixture.start(core, limits(LONG, LONG, LONG), 1 << 20);
         try (RawClient client = fixture.connect()) {
             client.send(RawClient.post(REQUESTS, "{\"input\":1}") + RawClient.post(REQUESTS, "x".repeat(20_000)));
             Eventually.check(
                     "it arrived", () -> core.events(SubmissionArrived.class).size() == 1);
-            fixture.act(refusal(core.events(SubmissionArrived.class).get(0)));
+            fixture.perform(refusal(core.events(SubmissionArrived.class).get(0)));
             assertEquals(client.read().status(), 429);
             assertEquals(client.read().status(), 413);
         }
--- a/tarragonarch-entry/src/test/java/org/tarragonarch/entry/caller/InterleavedAnswersTest.java
+++ b/tarragonarch-entry/src/test/java/org/tarragonarch/entry/caller/InterleavedAnswersTest.java
@@ -41,7 +41,7 @@
     }
 
     @Test
-    public void testThousandsInterleaved() throws Exception {
+    public void testAnswers_interleaved() throws Exception {
         fixture = CallerFixture.start(new FakeCore((arrived, sink) -> arrivals.add(arrived)));
         ExecutorService threads = Executors.newFixedThreadPool(CONNECTIONS + 1);
         threads.execute(this::answerOutOfOrder);
@@ -55,7 +55,7 @@
                 answered += client.get(60, TimeUnit.SECONDS);
             }
             assertEquals(answered, CONNECTIONS * REQUESTS_EACH);
-            Eventually.check("bodies are dropped", () -> fixture.bodies.submissions() == 0);
+            Eventually.check("bodies are dropped", () -> fixture.bodies.submissionCount() == 0);
         } finally {
             threads.shutdownNow();
         }
@@ -123,9 +123,9 @@
     private void answer(SubmissionArrived arrived) {
         for (int i = arrived.tasks().size() - 1; i >= 0; i--) {
             TaskId task = new TaskId(arrived.id(), i);
-            fixture.bodies.keepResult(
+            fixture.bodies.putResult(
                     task, fixture.bodies.task(task).map(TaskContent::input).orElseThrow());
         }
-        fixture.act(new AnswerComplete(arrived.id()));
+        fixture.perform(new AnswerComplete(arrived.id()));
     }
 }
--- a/tarragonarch-entry/src/test/java/org/tarragonarch/entry/cluster/WholePathTest.java
+++ b/tarragonarch-entry/src/test/java/org/tarragonarch/entry/cluster/ClusterNodeTest.java
@@ -23,9 +23,9 @@
 import org.testng.annotations.Test;
 
 /** Real nodes on real sockets, with stand-ins for the store and the endpoints: the whole way of a job. */
-public final class WholePathTest {
-    private static final Duration PATIENCE = Duration.ofSeconds(30);
-    private static final int PORTS_A_NODE = 4;
+public final class ClusterNodeTest {
+    private static final Duration TIMEOUT = Duration.ofSeconds(30);
+    private static final int PORTS_PER_NODE = 4;
     private static final String QUEUES = """
             {"Version":%d,"Routes":[{"Name":"q","Host":"127.0.0.1","Prefix":"/%s/","Service":"board",
              "Attempts":3,"Stretch":1.6,"SloMs":5000}]}
@@ -59,7 +59,7 @@
     }
 
     @Test
-    public void testJob_answeredWhole() throws Exception {
+    public void testJob_completed() throws Exception {
         ClusterSettings node = startNode("n1");
         assertEquals(status(post(node, "a", 1)), 503, "no configuration yet");
         store.configure(QUEUES.formatted(3, "a"));
@@ -83,7 +83,7 @@
 
     /** Guards against a queue refused as unknown that was added as a silent store came back. */
     @Test
-    public void testConfiguration_changesAsASilentStoreComesBack() throws Exception {
+    public void testConfiguration_changesWhileStoreSilent() throws Exception {
         store.configure(QUEUES.formatted(3, "a"));
         ClusterSettings node = startNode("n1");
         awaitReady(node);
@@ -128,7 +128,7 @@
 
     /** Guards against a node that starts with a division of capacity that nobody meant. */
     @Test
-    public void testSettings_wrongShareIsNamed() throws IOException {
+    public void testSettings_wrongShare() throws IOException {
         Path file = Files.createTempFile("settings", ".jsonc");
         Files.writeString(file, "{ \"shares\": [ { \"priority\": 0, \"weight\": 0 } ] }");
         try {
@@ -141,7 +141,7 @@
 
     private ClusterSettings startNode(String name) throws IOException, StepException {
         Path file = Files.createTempFile(name, ".jsonc");
-        List<Integer> ports = ArchiveWarmUp.freePorts(PORTS_A_NODE);
+        List<Integer> ports = ArchiveWarmUp.freePorts(PORTS_PER_NODE);
         try {
             Files.writeString(
                     file, """
@@ -166,7 +166,7 @@
         URI uri = URI.create("http://" + node.clientAddress() + "/" + queue + "/" + String.format("%016x", job));
         HttpRequest request = HttpRequest.newBuilder(uri)
                 .header("X-Deadline-Ms", "4000")
-                .timeout(PATIENCE)
+                .timeout(TIMEOUT)
                 .POST(HttpRequest.BodyPublishers.ofString(JOB))
                 .build();
         return client.send(request, HttpResponse.BodyHandlers.ofString());
@@ -183,7 +183,7 @@
     private void awaitReady(ClusterSettings node) throws Exception {
         HttpRequest request = HttpRequest.newBuilder(URI.create("http://" + node.readinessAddress() + "/readyz"))
                 .build();
-        long until = System.nanoTime() + PATIENCE.toNanos();
+        long until = System.nanoTime() + TIMEOUT.toNanos();
         while (client.send(request, HttpResponse.BodyHandlers.ofString()).statusCode() != 200) {
             assertTrue(System.nanoTime() < until, "the node is not ready");
             Thread.sleep(10);
@@ -192,7 +192,7 @@
 
     /** Sends new jobs until one gets the status, as clients come back after a refusal. */
     private void awaitStatus(ClusterSettings node, String queue, int wanted) throws Exception {
-        long until = System.nanoTime() + PATIENCE.toNanos();
+        long until = System.nanoTime() + TIMEOUT.toNanos();
         int job = 1_000;
         while (status(post(node, queue, job++)) != wanted) {
             assertTrue(System.nanoTime() < until, "no answer " + wanted);
--- a/tarragonarch-entry/src/test/java/org/tarragonarch/entry/cluster/ConfigurationInForceTest.java
+++ b/tarragonarch-entry/src/test/java/org/tarragonarch/entry/cluster/ConfigurationInForceTest.java
@@ -41,9 +41,9 @@
     @Test
     public void testFind_confirmed() {
         assertEquals(find("a"), QueueLookup.Result.UNCERTAIN);
-        configuration.offered(version(3, "a"), "store");
-        configuration.confirmed(timers.nowMillis());
-        timers.pass(IN_FORCE_MILLIS - 1);
+        configuration.updateIfNewer(version(3, "a"), "store");
+        configuration.confirm(timers.nowMillis());
+        timers.advance(IN_FORCE_MILLIS - 1);
         assertEquals(find("a"), QueueLookup.Result.FOUND);
         assertEquals(find("b"), QueueLookup.Result.UNKNOWN);
     }
@@ -51,19 +51,19 @@
     /** Guards against a queue refused as unknown by a node that has not read the store since it was added. */
     @Test
     public void testFind_outOfDate() {
-        configuration.offered(version(3, "a"), "store");
-        configuration.confirmed(timers.nowMillis());
-        timers.pass(IN_FORCE_MILLIS + 1);
+        configuration.updateIfNewer(version(3, "a"), "store");
+        configuration.confirm(timers.nowMillis());
+        timers.advance(IN_FORCE_MILLIS + 1);
         assertEquals(find("b"), QueueLookup.Result.UNCERTAIN);
         assertEquals(find("a"), QueueLookup.Result.FOUND);
-        configuration.confirmed(timers.nowMillis());
+        configuration.confirm(timers.nowMillis());
         assertEquals(find("b"), QueueLookup.Result.UNKNOWN);
     }
 
     /** Guards against a queue refused as unknown by a configuration that only a peer has confirmed. */
     @Test
-    public void testFind_knownFromAPeerAlone() {
-        configuration.offered(version(3, "a"), "hobart-2");
+    public void testFind_receivedFromPeerOnly() {
+        configuration.updateIfNewer(version(3, "a"), "hobart-2");
         assertEquals(find("a"), QueueLookup.Result.FOUND);
         assertEquals(find("b"), QueueLookup.Result.UNCERTAIN);
     }
@@ -71,11 +71,11 @@
     /** Guards against a queue refused as unknown after a suspension that the steady clock does not count. */
     @Test
     public void testFind_afterSuspension() {
-        configuration.offered(version(3, "a"), "store");
-        configuration.confirmed(timers.nowMillis());
+        configuration.updateIfNewer(version(3, "a"), "store");
+        configuration.confirm(timers.nowMillis());
         wall += 5_000;
         assertEquals(find("b"), QueueLookup.Result.UNCERTAIN);
-        configuration.confirmed(timers.nowMillis());
+        configuration.confirm(timers.nowMillis());
         assertEquals(find("b"), QueueLookup.Result.UNKNOWN);
         wall -= 60_000;
         assertEquals(find("b"), QueueLookup.Result.UNKNOWN, "a clock that is set back makes nothing older");
@@ -84,22 +84,22 @@
     /** Guards against a queue refused as unknown while a newer version exists that the node cannot read. */
     @Test
     public void testFind_newestIsUnreadable() {
-        configuration.offered(version(3, "a"), "store");
-        configuration.confirmed(timers.nowMillis());
-        assertFalse(configuration.offered("{}".getBytes(StandardCharsets.UTF_8), "store"));
-        timers.pass(IN_FORCE_MILLIS + 1);
-        configuration.confirmed(timers.nowMillis());
+        configuration.updateIfNewer(version(3, "a"), "store");
+        configuration.confirm(timers.nowMillis());
+        assertFalse(configuration.updateIfNewer("{}".getBytes(StandardCharsets.UTF_8), "store"));
+        timers.advance(IN_FORCE_MILLIS + 1);
+        configuration.confirm(timers.nowMillis());
         assertEquals(find("b"), QueueLookup.Result.UNCERTAIN);
-        configuration.offered(version(5, "b"), "store");
-        configuration.confirmed(timers.nowMillis());
+        configuration.updateIfNewer(version(5, "b"), "store");
+        configuration.confirm(timers.nowMillis());
         assertEquals(find("a"), QueueLookup.Result.UNKNOWN);
     }
 
     @Test
-    public void testOffered_olderVersionIsNotTaken() {
-        assertTrue(configuration.offered(version(9, "b"), "store"));
-        assertFalse(configuration.offered(version(3, "a"), "hobart-2"));
-        assertFalse(configuration.offered("{\"Version\":".getBytes(StandardCharsets.UTF_8), "store"));
+    public void testUpdateIfNewer_olderVersion() {
+        assertTrue(configuration.updateIfNewer(version(9, "b"), "store"));
+        assertFalse(configuration.updateIfNewer(version(3, "a"), "hobart-2"));
+        assertFalse(configuration.updateIfNewer("{\"Version\":".getBytes(StandardCharsets.UTF_8), "store"));
         assertEquals(configuration.version(), 9);
         assertEquals(configuration.source(), "store");
     }
--- a/tarragonarch-entry/src/test/java/org/tarragonarch/entry/cluster/DecisionLogTest.java
+++ b/tarragonarch-entry/src/test/java/org/tarragonarch/entry/cluster/DecisionLogTest.java
@@ -23,11 +23,11 @@
     private static final Instant NOON = Instant.parse("2026-05-04T12:00:00Z");
 
     @Test
-    public void testLine_isOneJsonObject() throws InterruptedException {
+    public void testWrite_oneJsonObject() throws InterruptedException {
         Lines lines = new Lines(1);
         DecisionLog log = new DecisionLog("hobart-1", lines.print(), Clock.fixed(NOON, ZoneOffset.UTC));
         log.start();
-        log.line(NodeEvent.PEER_LOST, "peer", "a\"b\nc", "after-ms", 700, "known", true);
+        log.write(NodeEvent.PEER_LOST, "peer", "a\"b\nc", "after-ms", 700, "known", true);
         assertEquals(
                 lines.await(),
                 List.of("{\"time\":\"2026-05-04T12:00:00Z\",\"node\":\"hobart-1\",\"event\":\"peer-lost\","
@@ -36,13 +36,13 @@
 
     /** Guards against requests that hang behind a full log pipe, or dropped lines that are not counted. */
     @Test
-    public void testLine_readerStandsStill() throws InterruptedException {
+    public void testWrite_readerBlocked() throws InterruptedException {
         Lines lines = new Lines(2_002);
         DecisionLog log = new DecisionLog("hobart-1", lines.print(), new TestClock(Duration.ofMillis(10)));
         CountDownLatch reading = lines.hold();
         log.start();
         for (int i = 0; i < 3_000; i++) {
-            log.line(NodeEvent.JOB_ANSWERED, "job", i);
+            log.write(NodeEvent.JOB_ANSWERED, "job", i);
         }
         assertTrue(log.droppedLines() >= 900, "dropped " + log.droppedLines());
         reading.countDown();
@@ -52,17 +52,17 @@
 
     /** An overload refuses thousands a second; their lines must not take the time that is needed to answer. */
     @Test
-    public void testLine_stormOfOneKind() throws InterruptedException {
+    public void testWrite_rateLimited() throws InterruptedException {
         Lines lines = new Lines(202);
         TestClock clock = new TestClock(Duration.ZERO);
         DecisionLog log = new DecisionLog("hobart-1", lines.print(), clock);
         log.start();
         for (int i = 0; i < 5_000; i++) {
-            log.line(NodeEvent.JOB_DECLINED, "job", i);
+            log.write(NodeEvent.JOB_DECLINED, "job", i);
         }
-        log.line(NodeEvent.PEER_LOST, "peer", "devonport-1");
+        log.write(NodeEvent.PEER_LOST, "peer", "devonport-1");
         clock.pass(Duration.ofSeconds(1));
-        log.line(NodeEvent.JOB_DECLINED, "job", 5_000);
+        log.write(NodeEvent.JOB_DECLINED, "job", 5_000);
         List<String> written = lines.await();
         assertTrue(written.get(200).contains("peer-lost"), written.get(200));
         assertTrue(written.get(201).endsWith(",\"skipped-before\":4800}"), written.get(201));
@@ -70,18 +70,18 @@
 
     /** The time of day steps back by minutes; the lines of those minutes are the ones that are needed then. */
     @Test
-    public void testLine_clockStepsBack() throws InterruptedException {
+    public void testWrite_clockStepsBack() throws InterruptedException {
         Lines lines = new Lines(202);
         TestClock clock = new TestClock(Duration.ZERO);
         DecisionLog log = new DecisionLog("hobart-1", lines.print(), clock);
         log.start();
-        log.line(NodeEvent.PEER_LOST, "peer", "a");
+        log.write(NodeEvent.PEER_LOST, "peer", "a");
         clock.pass(Duration.ofMinutes(-5));
         for (int i = 0; i < 201; i++) {
-            log.line(NodeEvent.PEER_LOST, "peer", "b");
+            log.write(NodeEvent.PEER_LOST, "peer", "b");
         }
         clock.pass(Duration.ofMinutes(-5));
-        log.line(NodeEvent.PEER_LOST, "peer", "c");
+        log.write(NodeEvent.PEER_LOST, "peer", "c");
         assertTrue(lines.await().get(201).contains("\"peer\":\"c\""));
         assertEquals(log.droppedLines(), 0);
     }
--- a/tarragonarch-entry/src/test/java/org/tarragonarch/entry/cluster/EndpointRowsTest.java
+++ b/tarragonarch-entry/src/test/java/org/tarragonarch/entry/cluster/EndpointRowsTest.java
@@ -63,7 +63,7 @@
 
     /** An endpoint's entry is written over by another program: it gets nothing new until its next heartbeat. */
     @Test
-    public void testChanged_writtenOver() {
+    public void testChanged_entryOverwritten() {
         rows.changed(page(row("w-1", GOOD), row("w-2", GOOD)));
         rows.changed(page(row("w-1", GOOD.replace("ready", "resting"))));
         assertEquals(listed(), ImmutableList.of("w-2"));
@@ -75,7 +75,7 @@
 
     /** Guards against an entry written over, without its start, that stays in use because the list was read whole. */
     @Test
-    public void testReplaced_writtenOver() {
+    public void testReplaced_entryOverwritten() {
         String started = "{\"born\":1700000000000," + GOOD.substring(1);
         rows.replaced(page(row("w-1", started), row("w-2", GOOD)));
         rows.replaced(page(row("w-1", GOOD), row("w-2", GOOD)));
@@ -86,7 +86,7 @@
     }
 
     @Test
-    public void testReplaced_foreignRowsAreLeftOut() {
+    public void testReplaced_skipsForeignRows() {
         rows.replaced(page(row("", GOOD), row("w-1", GOOD), row("w-2", "\u0000"), row("w-3", "{}")));
         assertEquals(listed(), ImmutableList.of("w-1"));
     }
--- a/tarragonarch-entry/src/test/java/org/tarragonarch/entry/cluster/MeterNamesTest.java
+++ b/tarragonarch-entry/src/test/java/org/tarragonarch/entry/cluster/MeterNamesTest.java
@@ -16,7 +16,7 @@
 public final class MeterNamesTest {
     /** Guards against a renamed constant that changes a label on which alerts and dashboards rely. */
     @Test
-    public void testScrape_seriesHaveTheirNames() throws IOException {
+    public void testScrape_seriesNames() throws IOException {
         SettableTimers timers = new SettableTimers();
         DecisionLog log = new DecisionLog("n", new PrintStream(new ByteArrayOutputStream()));
         NodeMeters meters = new NodeMeters(() -> 0, () -> 0);
--- a/tarragonarch-entry/src/test/java/org/tarragonarch/entry/cluster/NodeMetersTest.java
+++ b/tarragonarch-entry/src/test/java/org/tarragonarch/entry/cluster/NodeMetersTest.java
@@ -47,7 +47,7 @@
                 () -> ImmutableList.of(state),
                 () -> ImmutableMap.of(2, 4_000L));
         assertShows("tarragonarch_share_jobs_refused_total{priority=\"2\"} 0.0");
-        meters.refusedIn(share);
+        meters.jobRefusedInShare(share);
         assertShows("tarragonarch_share_allotted_cores{priority=\"2\"} 20.0");
         assertShows("tarragonarch_share_used_cores{priority=\"2\"} 15.0");
         assertShows("tarragonarch_share_lent_cores{priority=\"2\"} 5.0");
@@ -64,9 +64,9 @@
         OperatorRows rows = new OperatorRows(configuration, () -> {}, reading -> {}, timers, log, meters);
         assertShows("tarragonarch_configuration_version 0.0");
         assertShows("tarragonarch_configuration_age_seconds NaN");
-        configuration.offered(CONFIGURATION, "store");
+        configuration.updateIfNewer(CONFIGURATION, "store");
         rows.current(timers.nowMillis());
-        timers.pass(5_000);
+        timers.advance(5_000);
         rows.lost(new FailedCall(StoreResult.UNKNOWN, 2_000, 5_000));
         rows.stillLost(new FailedCall(StoreResult.UNKNOWN, 1_000, 5_000));
         assertShows("tarragonarch_configuration_version 9.0");
--- a/tarragonarch-entry/src/test/java/org/tarragonarch/entry/cluster/OperatorRowsTest.java
+++ b/tarragonarch-entry/src/test/java/org/tarragonarch/entry/cluster/OperatorRowsTest.java
@@ -24,18 +24,18 @@
     private static final String CONFIGURATION = "{\"Version\":9,\"Routes\":[]}";
 
     private final SettableTimers timers = new SettableTimers();
-    private List<String> told;
+    private List<String> calls;
     private OperatorRows rows;
 
     @BeforeMethod
     public void createRows() {
-        told = new ArrayList<>();
+        calls = new ArrayList<>();
         DecisionLog log = new DecisionLog("n", new PrintStream(new ByteArrayOutputStream()));
         ConfigurationInForce configuration = new ConfigurationInForce(2_000, timers, timers::nowMillis, log);
         rows = new OperatorRows(
                 configuration,
-                () -> told.add("configuration " + configuration.version()),
-                reading -> told.add(describe(reading)),
+                () -> calls.add("configuration " + configuration.version()),
+                reading -> calls.add(describe(reading)),
                 timers,
                 log,
                 new NodeMeters(() -> 0, () -> 0));
@@ -63,31 +63,31 @@
 
     /** Guards against a node that starts in the middle of a drain and places by the configuration first. */
     @Test
-    public void testReplaced_drainsAreToldBeforeTheConfiguration() {
+    public void testReplaced_drainsBeforeConfiguration() {
         rows.replaced(page(4, row("config", CONFIGURATION), drain(HOBART)));
-        assertEquals(told, ImmutableList.of("[hobart] at 4", "configuration 9"));
+        assertEquals(calls, ImmutableList.of("[hobart] at 4", "configuration 9"));
     }
 
     @Test
-    public void testChanged_twoDrainsThatEndOneAfterTheOther() {
+    public void testChanged_drainsEndInTurn() {
         rows.changed(page(4, drain(HOBART), drain(LAUNCESTON)));
         rows.changed(page(6, undrain(HOBART)));
         rows.changed(page(8, undrain(LAUNCESTON)));
-        assertEquals(told, ImmutableList.of("[hobart, launceston] at 4", "[launceston] at 6", "[] at 8"));
+        assertEquals(calls, ImmutableList.of("[hobart, launceston] at 4", "[launceston] at 6", "[] at 8"));
     }
 
     /** Guards against a domain that was taken back while the store's history was lost, and stays drained. */
     @Test
-    public void testReplaced_whatIsNotListedIsNotDrained() {
+    public void testReplaced_unlistedDomainNotDrained() {
         rows.changed(page(4, drain(HOBART)));
         rows.replaced(page(9, drain(LAUNCESTON)));
-        assertEquals(told, ImmutableList.of("[hobart] at 4", "[launceston] at 9"));
+        assertEquals(calls, ImmutableList.of("[hobart] at 4", "[launceston] at 9"));
     }
 
     /** Guards against a row of another writer that keeps a node from hearing of the operators' other rows. */
     @Test
-    public void testChanged_unreadableDomainIsLeftOut() {
+    public void testChanged_skipsUnreadableDomain() {
         rows.changed(page(4, row("evacuate/Not A Domain!", "{}"), drain(HOBART)));
-        assertEquals(told, ImmutableList.of("[hobart] at 4"));
+        assertEquals(calls, ImmutableList.of("[hobart] at 4"));
     }
 }
--- a/tarragonarch-entry/src/test/java/org/tarragonarch/entry/cluster/PeerExchangeTest.java
+++ b/tarragonarch-entry/src/test/java/org/tarragonarch/entry/cluster/PeerExchangeTest.java
@@ -27,7 +27,7 @@
     private static final JobId JOB = new JobId("00000000000000aa");
 
     private final List<String> calls = new ArrayList<>();
-    private final PeerExchange exchange = new PeerExchange(new Notes());
+    private final PeerExchange exchange = new PeerExchange(new RecordingHandler());
 
     @BeforeMethod
     public void forget() {
@@ -36,7 +36,7 @@
 
     /** Guards against a verdict that router and holder pass to each other without end. */
     @Test
-    public void testReceived_verdictIsForThisNode() {
+    public void testReceived_verdict() {
         exchange.received(PEER, Incarnation.of(1), new JobSettled(JOB, Verdict.DONE, 0));
         assertEquals(calls, ImmutableList.of("verdict of peer DONE"));
     }
@@ -61,9 +61,9 @@
     }
 
     /** Notes the calls. */
-    private final class Notes implements PeerCalls {
+    private final class RecordingHandler implements PeerFrameHandler {
         @Override
-        public void status(NodeStatus status) {
+        public void statusReceived(NodeStatus status) {
             calls.add("status");
         }
 
@@ -73,27 +73,27 @@
         }
 
         @Override
-        public void offered(Offer offer) {
+        public void offerReceived(Offer offer) {
             calls.add("offered");
         }
 
         @Override
-        public void notOffered(NodeId peer, JobId job) {
+        public void offerUndelivered(NodeId peer, JobId job) {
             calls.add("not offered");
         }
 
         @Override
-        public void verdictCame(NodeId holder, JobId job, Verdict verdict, long retryMillis) {
+        public void verdictReceived(NodeId holder, JobId job, Verdict verdict, long retryMillis) {
             calls.add("verdict of " + holder + " " + verdict);
         }
 
         @Override
-        public void withdrawn(NodeId peer, JobId job) {
+        public void withdrawalReceived(NodeId peer, JobId job) {
             calls.add("withdrawn by " + peer);
         }
 
         @Override
-        public void openJobs(NodeId peer, ImmutableSet<JobId> open) {
+        public void openJobsReceived(NodeId peer, ImmutableSet<JobId> open) {
             calls.add("open at " + peer + " " + open);
         }
 
@@ -103,13 +103,13 @@
         }
 
         @Override
-        public boolean cancelled(JobId job) {
+        public boolean cancel(JobId job) {
             calls.add("cancelled");
             return false;
         }
 
         @Override
-        public void cancelAnswered(JobId job, boolean known) {
+        public void cancelAnswerReceived(JobId job, boolean known) {
             calls.add("cancel answered");
         }
 
@@ -124,7 +124,7 @@
         }
 
         @Override
-        public void configurationGiven(NodeId peer, byte[] text) {
+        public void configurationReceived(NodeId peer, byte[] text) {
             calls.add("configuration");
         }
 
@@ -134,12 +134,12 @@
         }
 
         @Override
-        public void endpointsGiven(ImmutableList<EndpointEntry> endpoints) {
+        public void endpointsReceived(ImmutableList<EndpointEntry> endpoints) {
             calls.add("endpoints");
         }
 
         @Override
-        public void nodesGiven(ImmutableList<Member> nodes) {
+        public void nodesReceived(ImmutableList<Member> nodes) {
             calls.add("nodes " + nodes);
         }
     }
--- a/tarragonarch-entry/src/test/java/org/tarragonarch/entry/cluster/SettableTimers.java
+++ b/tarragonarch-entry/src/test/java/org/tarragonarch/entry/cluster/SettableTimers.java
@@ -6,7 +6,7 @@
 final class SettableTimers implements Timers {
     private long now = 1_000;
 
-    void pass(long millis) {
+    void advance(long millis) {
         now += millis;
     }
 
--- a/tarragonarch-entry/src/test/java/org/tarragonarch/entry/cluster/ShareSettingsReaderTest.java
+++ b/tarragonarch-entry/src/test/java/org/tarragonarch/entry/cluster/ShareSettingsReaderTest.java
@@ -62,7 +62,7 @@
 
     /** Guards against a mistake that is taken for a setting, or whose message does not say which entry it is in. */
     @Test(dataProvider = "mistakes")
-    public void testRead_mistakeNamesItsEntry(String text, String message) {
+    public void testRead_mistake(String text, String message) {
         assertEquals(expectThrows(IOException.class, () -> read(text)).getMessage(), message);
     }
 }
--- a/tarragonarch-entry/src/test/java/org/tarragonarch/entry/endpoint/EndpointClientTest.java
+++ b/tarragonarch-entry/src/test/java/org/tarragonarch/entry/endpoint/EndpointClientTest.java
@@ -53,8 +53,7 @@
         metrics = NodeMetrics.create(NODE);
         client = EndpointClient.create(bodies, events::add, metrics, new EndpointLimits(64, 16, 1_000));
         ImmutableList<byte[]> inputs = ImmutableList.of("\"one two\"".getBytes(StandardCharsets.UTF_8));
-        bodies.keep(
-                SUBMISSION, new SubmissionContent(ServiceName.of("proof-board"), KindName.of("word-count"), inputs));
+        bodies.put(SUBMISSION, new SubmissionContent(ServiceName.of("proof-board"), KindName.of("word-count"), inputs));
     }
 
     @AfterMethod
@@ -197,7 +196,7 @@
 
     @Test
     public void testSend_bodyGone() throws IOException {
-        bodies.drop(SUBMISSION);
+        bodies.remove(SUBMISSION);
         assertEquals(send(ScriptedEndpoint.closedAddress(), LONG).result(), SendResult.CONNECT_FAILED);
     }
 
--- a/tarragonarch-entry/src/test/java/org/tarragonarch/entry/peer/PeerShellTest.java
+++ b/tarragonarch-entry/src/test/java/org/tarragonarch/entry/peer/PeerShellTest.java
@@ -104,7 +104,7 @@
     }
 
     @Test
-    public void testAskAnswer_holderUnknownOrGone() throws Exception {
+    public void testAskAnswer_holderUnknownOrUnreachable() throws Exception {
         Node asker = new Node("hobart-2", 1, freeAddress());
         SubmissionId waiting = asker.keep(1);
         PeerAnswerArrived none = new PeerAnswerArrived(waiting, PeerAnswer.NOT_TO_BE_HAD, Optional.empty());
@@ -112,7 +112,7 @@
         asker.shell.askAnswer(new AskPeerAnswer(NodeId.of("hobart-9"), waiting, KEY));
         assertEquals(asker.await(PeerAnswerArrived.class), none);
         asker.events.clear();
-        asker.shell.learn(ImmutableList.of(record("hobart-9", freeAddress())));
+        asker.shell.updateAddresses(ImmutableList.of(record("hobart-9", freeAddress())));
         asker.shell.askAnswer(new AskPeerAnswer(NodeId.of("hobart-9"), waiting, KEY));
         assertEquals(asker.await(PeerAnswerArrived.class), none);
     }
@@ -183,8 +183,8 @@
     private static void meet(Node first, Node second) {
         ImmutableList<VmRecord> list =
                 ImmutableList.of(record(first.id.value(), first.address), record(second.id.value(), second.address));
-        first.shell.learn(list);
-        second.shell.learn(list);
+        first.shell.updateAddresses(list);
+        second.shell.updateAddresses(list);
     }
 
     private static VmRecord record(String name, Address address) {
@@ -222,9 +222,9 @@
         private SubmissionId keep(long sequence, String... results) {
             SubmissionId submission = new SubmissionId(id, incarnation, sequence);
             ImmutableList<byte[]> inputs = ImmutableList.of(new byte[] {'1'}, new byte[] {'2'});
-            bodies.keep(submission, new SubmissionContent(KEY.service(), KindName.of("word-count"), inputs));
+            bodies.put(submission, new SubmissionContent(KEY.service(), KindName.of("word-count"), inputs));
             for (int i = 0; i < results.length; i++) {
-                bodies.keepResult(new TaskId(submission, i), results[i].getBytes(StandardCharsets.UTF_8));
+                bodies.putResult(new TaskId(submission, i), results[i].getBytes(StandardCharsets.UTF_8));
             }
             return submission;
         }
