--- a/tarragonarch-entry/src/main/java/org/tarragonarch/entry/body/BodyStore.java
+++ b/tarragonarch-entry/src/main/java/org/tarragonarch/entry/body/BodyStore.java
@@ -13,15 +13,15 @@
 import org.tarragonarch.model.id.TaskId;
 
 /**
- * The inputs and results of the submissions of this node, by id.
+ * The inputs and results of the submissions of this node, by submission id.
  *
- * <p>Safe for use by several threads; no operation blocks. The arrays handed in are kept, not copied, and must not be
- * changed afterwards.
+ * <p>Thread-safe and non-blocking. Arrays are stored without copying and must not be modified by callers.
  *
- * <p>Bound: a submission is taken only while the bytes kept are below the limit. Results are kept whatever the sum, as
- * their tasks have run already; what they add is bounded by the tasks in flight times the largest answer that the
- * endpoint client accepts, and it counts against the next submission. Results that are only kept for a second caller
- * make room for new work, the oldest first: without that, minutes of kept results would have the node refuse everyone.
+ * <p>A submission is accepted only if its inputs fit within the limit of stored bytes. Results are always stored, as
+ * their tasks have already run. They exceed the limit by at most the number of tasks in flight times the largest answer
+ * that the endpoint client accepts, and count against the next submission. Results of answered submissions, stored only
+ * for repeated requests, are evicted for new submissions, oldest first; otherwise the results of a few minutes would
+ * make the node refuse all callers.
  */
 public final class BodyStore {
     private final long maxBytes;
@@ -36,7 +36,7 @@
     /**
      * Returns an empty store.
      *
-     * @param maxBytes the sum of bytes up to which submissions are taken; positive
+     * @param maxBytes the number of stored bytes up to which submissions are accepted; positive
      */
     public static BodyStore create(long maxBytes) {
         checkArgument(maxBytes > 0, "maxBytes %s is not positive", maxBytes);
@@ -44,11 +44,10 @@
     }
 
     /**
-     * Keeps the content of a new submission, if there is room.
+     * Stores the content of a new submission, if it fits within the limit.
      *
-     * @param submission an id that was not kept before
-     * @param content what it asks for
-     * @return whether it was kept
+     * @param submission an id that was not stored before
+     * @return whether the content was stored
      */
     public boolean put(SubmissionId submission, SubmissionContent content) {
         long size = size(content.inputs());
@@ -60,55 +59,55 @@
         return true;
     }
 
-    /** Returns what a task asks for, if its submission is still kept. */
+    /** Returns the content of a task, if the inputs of its submission are still stored. */
     public Optional<TaskContent> task(TaskId task) {
-        return find(task.submission()).flatMap(kept -> kept.task(task.index()));
+        return find(task.submission()).flatMap(stored -> stored.task(task.index()));
     }
 
-    /** Keeps the result of a task; passed over if its submission is no longer kept. */
+    /** Stores the result of a task, unless its submission was removed or the task already has a result. */
     public void putResult(TaskId task, byte[] result) {
-        find(task.submission()).ifPresent(kept -> bytes.addAndGet(kept.putResult(task.index(), result)));
+        find(task.submission()).ifPresent(stored -> bytes.addAndGet(stored.putResult(task.index(), result)));
     }
 
-    /** Keeps the results that another node gave for a submission that waits here. */
+    /** Stores the results that another node sent for a submission of this node. */
     public void putResults(SubmissionId submission, ImmutableList<byte[]> results) {
-        find(submission).ifPresent(kept -> bytes.addAndGet(kept.putResults(results)));
+        find(submission).ifPresent(stored -> bytes.addAndGet(stored.putResults(results)));
     }
 
-    /** Returns every result of a submission in the order of its tasks; empty unless all are there. */
+    /** Returns all results of a submission in the order of its tasks; empty if any is missing. */
     public Optional<ImmutableList<byte[]>> results(SubmissionId submission) {
         return find(submission).flatMap(StoredSubmission::results);
     }
 
-    /** Drops the inputs of a submission that was answered but keeps its results for a second caller. */
+    /** Removes the inputs of an answered submission and keeps its results for repeated requests until evicted. */
     public void removeInputs(SubmissionId submission) {
-        find(submission).ifPresent(kept -> bytes.addAndGet(-kept.removeInputs()));
+        find(submission).ifPresent(stored -> bytes.addAndGet(-stored.removeInputs()));
         answered.add(submission);
-        // Answers are forgotten in the order in which they were given, so what is gone stands in front.
+        // Answers are forgotten in the order in which they were given, so removed submissions are at the head.
         while (!answered.isEmpty() && !contains(answered.peek())) {
             answered.poll();
         }
     }
 
-    /** Drops all that is kept for a submission. */
+    /** Removes the inputs and results of a submission. */
     public void remove(SubmissionId submission) {
-        StoredSubmission dropped = bodies.remove(submission);
-        if (dropped != null) {
-            bytes.addAndGet(-dropped.close());
+        StoredSubmission removed = bodies.remove(submission);
+        if (removed != null) {
+            bytes.addAndGet(-removed.close());
         }
     }
 
-    /** Returns whether anything is kept for a submission, as is so until it is answered. */
+    /** Returns whether a submission is stored; always true until the submission is answered. */
     public boolean contains(SubmissionId submission) {
         return bodies.containsKey(submission);
     }
 
-    /** Returns the sum of the bytes kept. */
+    /** Returns the number of stored bytes. */
     public long bytes() {
         return bytes.get();
     }
 
-    /** Returns how many submissions have bodies here. */
+    /** Returns the number of stored submissions. */
     public int submissionCount() {
         return bodies.size();
     }
--- a/tarragonarch-entry/src/main/java/org/tarragonarch/entry/body/JsonSlices.java
+++ b/tarragonarch-entry/src/main/java/org/tarragonarch/entry/body/JsonSlices.java
@@ -8,23 +8,23 @@
 import java.io.IOException;
 import java.util.Arrays;
 
-/** Cuts JSON values out of a text byte for byte, and joins them again; nothing is parsed and written anew. */
+/** Splits JSON texts into values and joins values without changing their bytes. */
 public final class JsonSlices {
     private static final JsonFactory FACTORY = new JsonFactory();
 
     private JsonSlices() {}
 
     /**
-     * Returns the bytes of the value that the parser stands at, and moves to the value's end.
+     * Returns the bytes of the parser's current value and advances the parser to the end of the value.
      *
      * @param parser a parser over the text
-     * @param text the text in UTF-8
-     * @throws IOException if the value is not JSON, or the text is not in UTF-8
+     * @param text the text, encoded in UTF-8
+     * @throws IOException if the value is not valid JSON or the text is not encoded in UTF-8
      */
     public static byte[] currentValue(JsonParser parser, byte[] text) throws IOException {
         long start = parser.currentTokenLocation().getByteOffset();
         if (start < 0) {
-            throw new IOException("the text is not in UTF-8");
+            throw new IOException("the text is not encoded in UTF-8");
         }
         if (parser.currentToken().isStructStart()) {
             parser.skipChildren();
@@ -35,7 +35,7 @@
                 text, (int) start, (int) parser.currentLocation().getByteOffset());
     }
 
-    /** Returns an array of the values. */
+    /** Returns a JSON array of the values. */
     public static byte[] join(ImmutableList<byte[]> values) {
         ByteArrayOutputStream array = new ByteArrayOutputStream();
         array.write('[');
@@ -50,19 +50,19 @@
     }
 
     /**
-     * Returns the values of an array.
+     * Returns the values of a JSON array.
      *
-     * @throws IOException if the text is not one JSON array
+     * @throws IOException if the text is not a JSON array
      */
     public static ImmutableList<byte[]> split(byte[] array) throws IOException {
         try (JsonParser parser = FACTORY.createParser(array)) {
             if (parser.nextToken() != JsonToken.START_ARRAY) {
-                throw new IOException("the text is not an array");
+                throw new IOException("the text is not a JSON array");
             }
             ImmutableList.Builder<byte[]> values = ImmutableList.builder();
             while (parser.nextToken() != JsonToken.END_ARRAY) {
                 if (parser.currentToken() == null) {
-                    throw new IOException("the array has no end");
+                    throw new IOException("the array is not closed");
                 }
                 values.add(currentValue(parser, array));
             }
--- a/tarragonarch-entry/src/main/java/org/tarragonarch/entry/body/StoredSubmission.java
+++ b/tarragonarch-entry/src/main/java/org/tarragonarch/entry/body/StoredSubmission.java
@@ -5,7 +5,7 @@
 import org.tarragonarch.model.id.KindName;
 import org.tarragonarch.model.id.ServiceName;
 
-/** The bodies of one submission; every method that changes what is kept returns by how many bytes. */
+/** The inputs and results of one submission. Methods that change them return the number of bytes added or removed. */
 final class StoredSubmission {
     private final ServiceName service;
     private final KindName kind;
@@ -60,19 +60,19 @@
     }
 
     synchronized long removeInputs() {
-        long dropped = inputBytes;
+        long removed = inputBytes;
         inputs = ImmutableList.of();
         inputBytes = 0;
-        return dropped;
+        return removed;
     }
 
-    // A result may arrive while another thread drops the submission; once closed nothing more is kept, so that the sum
-    // of bytes comes back to where it was.
+    // A result may arrive while another thread removes the submission. Results are ignored after this call, so that the
+    // byte count of the store stays correct.
     synchronized long close() {
         closed = true;
-        long dropped = inputBytes + resultBytes;
+        long removed = inputBytes + resultBytes;
         inputBytes = 0;
         resultBytes = 0;
-        return dropped;
+        return removed;
     }
 }
--- a/tarragonarch-entry/src/main/java/org/tarragonarch/entry/body/SubmissionContent.java
+++ b/tarragonarch-entry/src/main/java/org/tarragonarch/entry/body/SubmissionContent.java
@@ -5,10 +5,10 @@
 import org.tarragonarch.model.id.ServiceName;
 
 /**
- * What a submission asks for.
+ * The content of a submission.
  *
- * @param service the service called
- * @param kind the kind asked for
+ * @param service the requested service
+ * @param kind the kind of its tasks
  * @param inputs the JSON text of each task's input
  */
 public record SubmissionContent(ServiceName service, KindName kind, ImmutableList<byte[]> inputs) {}
--- a/tarragonarch-entry/src/main/java/org/tarragonarch/entry/body/TaskContent.java
+++ b/tarragonarch-entry/src/main/java/org/tarragonarch/entry/body/TaskContent.java
@@ -4,10 +4,10 @@
 import org.tarragonarch.model.id.ServiceName;
 
 /**
- * What one task asks for.
+ * The content of one task.
  *
- * @param service the service called
- * @param kind the kind asked for
+ * @param service the requested service
+ * @param kind the kind of the task
  * @param input the JSON text of the input
  */
 public record TaskContent(ServiceName service, KindName kind, byte[] input) {}
--- a/tarragonarch-entry/src/main/java/org/tarragonarch/entry/body/package-info.java
+++ b/tarragonarch-entry/src/main/java/org/tarragonarch/entry/body/package-info.java
@@ -1,2 +1,2 @@
-/** The bytes of tasks and results, which never cross the control thread. */
+/** Storage of the inputs and results of tasks, which never pass through the control thread. */
 package org.tarragonarch.entry.body;
--- a/tarragonarch-entry/src/main/java/org/tarragonarch/entry/caller/AnswerSender.java
+++ b/tarragonarch-entry/src/main/java/org/tarragonarch/entry/caller/AnswerSender.java
@@ -28,9 +28,9 @@
 import org.tarragonarch.model.outcome.Step;
 
 /**
- * Gives callers their one answer, whole and with its length.
+ * Sends each caller its one complete answer.
  *
- * <p>Called on the control thread; the answers are put together and sent on the event loops of their connections.
+ * <p>Methods are called on the control thread; answers are built and sent on the event loops of their connections.
  */
 public final class AnswerSender {
     private static final FluentLogger LOG = FluentLogger.forEnclosingClass();
@@ -48,7 +48,7 @@
         this.metrics = metrics;
     }
 
-    /** Answers with the results of the submission's own tasks. */
+    /** Sends the results of the submission's own tasks. */
     public void answerComplete(AnswerComplete action) {
         SubmissionId id = action.submission();
         Optional<PendingAnswer> waiting = pending.remove(id);
@@ -60,17 +60,17 @@
         }
     }
 
-    /** Answers with the results of another submission of this node. */
+    /** Sends the results of another submission of this node. */
     public void answerSameAs(AnswerSameAs action) {
         answerAndRemove(action.submission(), bodies.results(action.original()));
     }
 
-    /** Answers with the results that a peer gave. */
+    /** Sends the results that a peer supplied. */
     public void answerFromPeer(AnswerFromPeer action) {
         answerAndRemove(action.submission(), bodies.results(action.submission()));
     }
 
-    /** Answers with a problem. */
+    /** Sends a problem. */
     public void answerProblem(AnswerProblem action) {
         pending.remove(action.submission())
                 .ifPresent(caller ->
@@ -78,12 +78,12 @@
         bodies.remove(action.submission());
     }
 
-    /** Drops the results that were kept for a second caller. */
+    /** Removes the results that were stored for repeated requests with the same idempotency key. */
     public void forget(ForgetAnswer action) {
         bodies.remove(action.submission());
     }
 
-    /** Refuses a message that was never handed to the core; called on the event loop of its connection. */
+    /** Refuses a message that was not handed to the core; called on the event loop of its connection. */
     void refuse(Context context, int status, Problem problem, ProblemIds ids) {
         writeProblem(context, status, problem, ids);
         countRefusal(problem);
@@ -96,9 +96,8 @@
 
     private void sendComplete(SubmissionId id, PendingAnswer caller, Optional<ImmutableList<byte[]>> results) {
         if (results.isEmpty()) {
-            // Kept results were evicted to make room for new work. The tasks did run, so nothing better than
-            // "unknown"
-            // may be said to a second caller.
+            // The stored results were evicted for new submissions. As the tasks did run, the outcome of this
+            // submission can only be reported as unknown.
             LOG.atWarning().atMostEvery(1, TimeUnit.SECONDS).log(
                     "%s", LogLine.of("results-missing", Step.COLLECT, "shell").with("id", id));
             runOnEventLoop(caller, () -> sendProblem(id, caller, resultsMissing()));
@@ -163,7 +162,7 @@
     private void setHeaders(Context context, Outcome outcome, Optional<String> submission, Optional<String> requestId) {
         context.setResponseHeader("Outcome", outcome.word());
         if (readiness.leaving()) {
-            // A connection kept open would be cut in the end, perhaps just as its next request is on the way.
+            // Guards against a request that is lost when the node exits and cuts the connections still open.
             context.setResponseHeader("Connection", "close");
         }
         submission.ifPresent(id -> context.setResponseHeader("Submission-Id", id));
@@ -175,7 +174,7 @@
                 ProblemCode.ANSWER_LOST,
                 Step.COLLECT,
                 "shell",
-                "the tasks ran, and the node no longer keeps their results");
+                "the tasks ran, but the node has evicted their results");
     }
 
     private static Duration responseTime(PendingAnswer caller) {
@@ -186,7 +185,7 @@
         try {
             Exchange.of(caller.context()).respond(answer);
         } catch (RejectedExecutionException e) {
-            // The server has stopped, and with it every connection: nobody is left to answer.
+            // The server has stopped and closed every connection.
             LOG.atInfo().log("%s", LogLine.of("answer-undeliverable", Step.LIFECYCLE, "caller"));
         }
     }
--- a/tarragonarch-entry/src/main/java/org/tarragonarch/entry/caller/CallerApi.java
+++ b/tarragonarch-entry/src/main/java/org/tarragonarch/entry/caller/CallerApi.java
@@ -40,10 +40,10 @@
 import org.tarragonarch.model.service.CallerDefinition;
 
 /**
- * The API of callers.
+ * The HTTP API for callers.
  *
- * <p>Handlers run on the event loops and never block. The shell itself answers {@code not-run} only to what it never
- * hands to the core; every submission that the core has seen is answered as the core says.
+ * <p>Handlers run on the event loops and never block. The API answers {@code not-run} on its own only to messages that
+ * it does not hand to the core; the core decides the answer to every submission that it receives.
  */
 public final class CallerApi {
     private static final FluentLogger LOG = FluentLogger.forEnclosingClass();
@@ -83,12 +83,12 @@
     /**
      * Returns the API of a node.
      *
-     * @param identity names the submissions
-     * @param catalog says whose token it is
-     * @param readiness says whether the balancer should send requests here
-     * @param bodies takes the inputs
-     * @param events takes the submissions
-     * @param metrics counts the answers
+     * @param identity the node, which is part of submission ids
+     * @param catalog the callers and their tokens
+     * @param readiness the source of the answers to readiness checks
+     * @param bodies the store for inputs and results
+     * @param events the receiver of submissions and cancellations
+     * @param metrics the metrics of answers and refusals
      */
     public static CallerApi create(
             NodeIdentity identity,
@@ -100,17 +100,17 @@
         return new CallerApi(identity, catalog, readiness, bodies, events, metrics);
     }
 
-    /** Returns what carries out the core's answers. */
+    /** Returns the sender of the core's answers. */
     public AnswerSender answers() {
         return answers;
     }
 
-    /** Returns how many callers wait for an answer. */
+    /** Returns the number of callers that wait for an answer. */
     public int waitingCallers() {
         return pending.size();
     }
 
-    /** Returns the application that serves this API. */
+    /** Returns a new application that serves this API. */
     public Jooby application() {
         Jooby application = new Jooby();
         application.setExecutionMode(ExecutionMode.EVENT_LOOP);
@@ -154,7 +154,7 @@
         SubmissionId id;
         ContentDigest digest = digest(form, content.kind(), raw);
         synchronized (arrivalLock) {
-            // Ids must reach the core in their order, so the id is made and handed in under one lock.
+            // Ids must reach the core in ascending order, so an id is created and handed in under one lock.
             id = new SubmissionId(identity.node(), identity.incarnation(), ++lastSequence);
             if (!bodies.put(id, content)) {
                 throw new RefusedException(Problem.of(
@@ -183,7 +183,7 @@
             ImmutableSet<SubmissionId> found =
                     pending.findByRequestId(caller, context.path("requestId").value());
             found.forEach(id -> events.post(new CancelRequested(id, CancelCause.CALLER)));
-            // The submission's own answer says what came of it; this one only says whether there was one to cancel.
+            // This answer only shows whether a submission was found; the submission's own answer shows its outcome.
             context.setResponseCode(found.isEmpty() ? StatusCode.NOT_FOUND : StatusCode.ACCEPTED);
             context.setResponseType("application/json");
             context.send("{\"cancelling\":" + found.size() + "}");
@@ -207,10 +207,10 @@
         }
         LOG.atSevere().withCause(cause).log("%s", LogLine.of("handler-failed", Step.READ, CALLER));
         if (context.getAttribute(HANDED_IN) == null) {
-            Problem problem = Problem.of(ProblemCode.MALFORMED, Step.READ, CALLER, "the node failed to read it");
+            Problem problem = Problem.of(ProblemCode.MALFORMED, Step.READ, CALLER, "the request could not be read");
             answers.refuse(context, status.value(), problem, ProblemIds.NONE);
         }
-        // Otherwise the core has the submission and will answer it: "not run" may no longer be said here.
+        // Otherwise the core has the submission and answers it; the tasks may run, so "not-run" would be wrong here.
     }
 
     private CallerDefinition authenticate(Context context) throws RefusedException {
@@ -226,7 +226,7 @@
                     ProblemCode.UNAUTHENTICATED,
                     Step.AUTHENTICATE,
                     CALLER,
-                    "the request carries no bearer token of a known caller"));
+                    "the request has no bearer token of a known caller"));
         }
         return caller.get();
     }
@@ -239,7 +239,7 @@
         String name = context.path("service").value();
         if (!Names.wellFormed(name)) {
             throw new RefusedException(
-                    Problem.of(ProblemCode.UNKNOWN_SERVICE, Step.ADMIT, CALLER, "there is no service of this name"));
+                    Problem.of(ProblemCode.UNKNOWN_SERVICE, Step.ADMIT, CALLER, "no service has this name"));
         }
         return ServiceName.of(name);
     }
@@ -248,7 +248,7 @@
         String name = context.path("kind").value();
         if (!Names.wellFormed(name)) {
             throw new RefusedException(
-                    Problem.of(ProblemCode.UNKNOWN_KIND, Step.ADMIT, CALLER, "there is no kind of this name"));
+                    Problem.of(ProblemCode.UNKNOWN_KIND, Step.ADMIT, CALLER, "no kind has this name"));
         }
         return KindName.of(name);
     }
--- a/tarragonarch-entry/src/main/java/org/tarragonarch/entry/caller/CompleteJson.java
+++ b/tarragonarch-entry/src/main/java/org/tarragonarch/entry/caller/CompleteJson.java
@@ -6,13 +6,13 @@
 import org.tarragonarch.core.event.SubmissionForm;
 import org.tarragonarch.model.id.SubmissionId;
 
-/** Puts complete answers together from the results, byte for byte as the endpoints wrote them. */
+/** Builds complete answers from results without changing the bytes of the results. */
 final class CompleteJson {
     private CompleteJson() {}
 
     static byte[] bytes(SubmissionForm form, SubmissionId id, ImmutableList<byte[]> results) {
         boolean job = form == SubmissionForm.JOB;
-        // An id holds no character that JSON would escape.
+        // An id contains no character that JSON escapes.
         byte[] head = ascii("{\"outcome\":\"complete\",\"id\":\"" + id + (job ? "\",\"results\":[" : "\",\"result\":"));
         byte[] tail = ascii(job ? "]}" : "}");
         int length = head.length + tail.length + Math.max(0, results.size() - 1);
--- a/tarragonarch-entry/src/main/java/org/tarragonarch/entry/caller/MalformedException.java
+++ b/tarragonarch-entry/src/main/java/org/tarragonarch/entry/caller/MalformedException.java
@@ -3,7 +3,7 @@
 import org.tarragonarch.model.outcome.Step;
 import org.tarragonarch.model.outcome.StepException;
 
-/** A caller's message could not be read. */
+/** Thrown when a caller's message is malformed. */
 final class MalformedException extends StepException {
     private static final long serialVersionUID = 1L;
 
--- a/tarragonarch-entry/src/main/java/org/tarragonarch/entry/caller/PendingAnswer.java
+++ b/tarragonarch-entry/src/main/java/org/tarragonarch/entry/caller/PendingAnswer.java
@@ -6,14 +6,14 @@
 import org.tarragonarch.model.id.CallerName;
 
 /**
- * A caller who waits for an answer.
+ * A caller that waits for an answer.
  *
  * @param context the exchange to answer
- * @param form request or job, which fixes the form of the answer
- * @param caller who waits
- * @param requestId the caller's own text for it
- * @param keyed whether the results are kept for a second caller under the same key
- * @param arrivedNanos when the submission was whole, by {@link System#nanoTime}
+ * @param form the form of the submission, which determines that of the answer
+ * @param caller the name of the caller
+ * @param requestId the caller's own id for the submission
+ * @param keyed whether the submission has an idempotency key, so that its results are kept for repeated requests
+ * @param arrivedNanos when the submission was received in full, by {@link System#nanoTime}
  */
 record PendingAnswer(
         Context context,
--- a/tarragonarch-entry/src/main/java/org/tarragonarch/entry/caller/PendingAnswers.java
+++ b/tarragonarch-entry/src/main/java/org/tarragonarch/entry/caller/PendingAnswers.java
@@ -10,7 +10,7 @@
 import org.tarragonarch.model.id.CallerName;
 import org.tarragonarch.model.id.SubmissionId;
 
-/** The callers who wait for an answer, by submission and by their own request ids. Safe for use by several threads. */
+/** The callers that wait for an answer, by submission and by request id. Thread-safe. */
 final class PendingAnswers {
     private final ConcurrentMap<SubmissionId, PendingAnswer> byId = new ConcurrentHashMap<>();
     private final SetMultimap<RequestKey, SubmissionId> byRequestId =
@@ -21,7 +21,7 @@
         pending.requestId().ifPresent(text -> byRequestId.put(new RequestKey(pending.caller(), text), id));
     }
 
-    /** Takes a caller out; only the first call for an id finds one, so no answer is given twice. */
+    /** Removes and returns a waiting caller. Only the first call for an id finds it, so no answer is sent twice. */
     Optional<PendingAnswer> remove(SubmissionId id) {
         PendingAnswer pending = byId.remove(id);
         if (pending == null) {
@@ -31,7 +31,7 @@
         return Optional.of(pending);
     }
 
-    /** Returns the submissions that a caller sent under its own request id and that have no answer yet. */
+    /** Returns the unanswered submissions of a caller with this request id. */
     ImmutableSet<SubmissionId> findByRequestId(CallerName caller, String requestId) {
         synchronized (byRequestId) {
             return ImmutableSet.copyOf(byRequestId.get(new RequestKey(caller, requestId)));
--- a/tarragonarch-entry/src/main/java/org/tarragonarch/entry/caller/RefusedException.java
+++ b/tarragonarch-entry/src/main/java/org/tarragonarch/entry/caller/RefusedException.java
@@ -3,7 +3,7 @@
 import org.tarragonarch.model.outcome.Problem;
 import org.tarragonarch.model.outcome.StepException;
 
-/** A message is refused before the core sees it. */
+/** Thrown when a caller's message is refused before it is handed to the core. */
 final class RefusedException extends StepException {
     private static final long serialVersionUID = 1L;
 
--- a/tarragonarch-entry/src/main/java/org/tarragonarch/entry/caller/SubmissionBody.java
+++ b/tarragonarch-entry/src/main/java/org/tarragonarch/entry/caller/SubmissionBody.java
@@ -4,9 +4,9 @@
 import org.tarragonarch.core.event.TaskShape;
 
 /**
- * What a caller's message holds: the inputs, which stay in the shell, and their shapes, which the core sees.
+ * The content of a caller's message: the inputs, which are not passed to the core, and their shapes, which are.
  *
- * @param inputs the JSON text of each task's input, byte for byte as the caller wrote it
+ * @param inputs the JSON text of each task's input, with the caller's bytes unchanged
  * @param shapes the shape of each task
  */
 record SubmissionBody(ImmutableList<byte[]> inputs, ImmutableList<TaskShape> shapes) {}
--- a/tarragonarch-entry/src/main/java/org/tarragonarch/entry/caller/SubmissionBodyReader.java
+++ b/tarragonarch-entry/src/main/java/org/tarragonarch/entry/caller/SubmissionBodyReader.java
@@ -19,8 +19,8 @@
 /**
  * Reads the body of a submission.
  *
- * <p>Inputs are cut out of the body byte for byte rather than parsed and written anew: a number or an escaped character
- * reaches the endpoint as the caller wrote it. Immutable; costs one pass over the bytes.
+ * <p>Inputs are copied from the body rather than parsed and serialized, so that numbers and escaped characters reach
+ * the endpoint as the caller wrote them. Immutable; reads the body in one pass.
  */
 final class SubmissionBodyReader {
     private static final String INPUT = "input";
@@ -36,7 +36,7 @@
             .build();
     private final int maxTasks;
 
-    /** Creates a reader that takes jobs of up to so many tasks, whatever their kind allows. */
+    /** Creates a reader that accepts jobs of at most {@code maxTasks} tasks, whatever the limit of their kind. */
     SubmissionBodyReader(int maxTasks) {
         this.maxTasks = maxTasks;
     }
@@ -45,7 +45,7 @@
         try (JsonParser parser = factory.createParser(body)) {
             SubmissionBody read = form == SubmissionForm.JOB ? readJob(parser, body) : readRequest(parser, body);
             if (parser.nextToken() != null) {
-                throw new MalformedException("there is text after the end of the message");
+                throw new MalformedException("unexpected text after the end of the message");
             }
             return read;
         } catch (JsonProcessingException e) {
@@ -57,11 +57,11 @@
         }
     }
 
-    // Jackson's own message goes on about where its source is, which a caller cannot use.
+    // Jackson's message ends with a reference to its input source, which is of no use to a caller.
     private static String reason(JsonProcessingException e) {
         String message = e.getOriginalMessage();
-        int aside = message.indexOf(" (start marker");
-        return aside < 0 ? message : message.substring(0, aside);
+        int sourceReference = message.indexOf(" (start marker");
+        return sourceReference < 0 ? message : message.substring(0, sourceReference);
     }
 
     private SubmissionBody readRequest(JsonParser parser, byte[] body) throws IOException, MalformedException {
@@ -84,7 +84,7 @@
             expect(parser.nextToken(), JsonToken.START_ARRAY, "'tasks' is not an array");
             while (parser.nextToken() != JsonToken.END_ARRAY) {
                 if (collector.size == maxTasks) {
-                    throw new MalformedException("a job holds at most " + maxTasks + " tasks");
+                    throw new MalformedException("a job has at most " + maxTasks + " tasks");
                 }
                 readTask(parser, body, "task " + collector.size, collector);
             }
@@ -138,7 +138,7 @@
     private static MalformedException unexpected(String field, boolean repeated, String where, String known) {
         return new MalformedException(
                 repeated
-                        ? "'" + field + "' stands twice in " + where
+                        ? "'" + field + "' appears twice in " + where
                         : "'" + field + "' is not known in " + where + "; known: '" + known + "'");
     }
 
--- a/tarragonarch-entry/src/main/java/org/tarragonarch/entry/caller/SubmissionHeaders.java
+++ b/tarragonarch-entry/src/main/java/org/tarragonarch/entry/caller/SubmissionHeaders.java
@@ -8,11 +8,11 @@
 import org.tarragonarch.model.id.IdempotencyKey;
 
 /**
- * What a caller's headers say.
+ * The submission headers of a caller's message.
  *
  * @param key the caller's idempotency key
- * @param timeAllowed the time the caller allows
- * @param requestId the caller's own text for the submission
+ * @param timeAllowed the time that the caller allows for the answer
+ * @param requestId the caller's own id for the submission
  */
 record SubmissionHeaders(Optional<IdempotencyKey> key, Optional<Duration> timeAllowed, Optional<String> requestId) {
     private static final String KEY = "Idempotency-Key";
@@ -66,7 +66,7 @@
     private static Optional<String> header(Context context, String name) throws MalformedException {
         List<String> values = context.header(name).toList();
         if (values.size() > 1) {
-            throw new MalformedException(name + " stands " + values.size() + " times");
+            throw new MalformedException(name + " appears " + values.size() + " times");
         }
         return values.stream().findFirst();
     }
--- a/tarragonarch-entry/src/main/java/org/tarragonarch/entry/caller/package-info.java
+++ b/tarragonarch-entry/src/main/java/org/tarragonarch/entry/caller/package-info.java
@@ -1,2 +1,2 @@
-/** The API that callers use: requests and jobs in, one whole answer out. */
+/** The HTTP API by which callers submit requests and jobs and receive one complete answer for each. */
 package org.tarragonarch.entry.caller;
--- a/tarragonarch-entry/src/main/java/org/tarragonarch/entry/cluster/ArchiveWarmUp.java
+++ b/tarragonarch-entry/src/main/java/org/tarragonarch/entry/cluster/ArchiveWarmUp.java
@@ -16,15 +16,14 @@
 import org.tarragonarch.model.outcome.StepException;
 
 /**
- * Starts two nodes on this machine, lets them serve some jobs and ends them again, so that the build can write an
- * archive of the classes that a node loads until it has answered its first job.
+ * Runs two nodes on this machine, has them serve some jobs and exits, so that the build can create a class data sharing
+ * archive of the classes that a node loads up to its first answers.
  *
- * <p>A start from that archive takes about half the processor time of one without, which is what a restarted node's
- * clients wait for. What the warm-up leaves out is read from the libraries at the worst moment, when a node that has
- * just been started is asked for everything at once.
+ * <p>A start with the archive takes about half the processor time of one without, and clients of a restarted node wait
+ * for that start. Classes that the warm-up misses are loaded from the libraries under the first load of a new node.
  */
 public final class ArchiveWarmUp {
-    /** Two nodes find each other and claim the one shard within some 500 ms; the rest is for the jobs. */
+    /** Two nodes find each other and claim the only shard within about 500 ms; the rest is a margin. */
     private static final long SETTLE_MILLIS = 1_000;
 
     private static final int JOBS = 40;
@@ -35,9 +34,9 @@
     private ArchiveWarmUp() {}
 
     /**
-     * Runs the warm-up.
+     * Runs the warm-up and exits the process.
      *
-     * @param arguments none
+     * @param arguments ignored
      */
     public static void main(String[] arguments) throws IOException, StepException, InterruptedException {
         LibraryLoggers.useJdkLogging();
@@ -84,16 +83,16 @@
     }
 
     /**
-     * Returns ports that are free, each another one. All are held until the last is found: one that is given back at
-     * once may be found again, and a node then cannot listen at its second address.
+     * Returns distinct free ports. All sockets stay open until the last port is found, as a port that is released at
+     * once may be returned a second time.
      */
     static List<Integer> freePorts(int count) throws IOException {
-        List<ServerSocket> held = new ArrayList<>();
+        List<ServerSocket> sockets = new ArrayList<>();
         for (int i = 0; i < count; i++) {
-            held.add(new ServerSocket(0));
+            sockets.add(new ServerSocket(0));
         }
-        List<Integer> ports = held.stream().map(ServerSocket::getLocalPort).toList();
-        for (ServerSocket socket : held) {
+        List<Integer> ports = sockets.stream().map(ServerSocket::getLocalPort).toList();
+        for (ServerSocket socket : sockets) {
             socket.close();
         }
         return ports;
--- a/tarragonarch-entry/src/main/java/org/tarragonarch/entry/cluster/ClusterMain.java
+++ b/tarragonarch-entry/src/main/java/org/tarragonarch/entry/cluster/ClusterMain.java
@@ -6,20 +6,20 @@
 import org.tarragonarch.model.log.NodeEvent;
 import org.tarragonarch.model.outcome.StepException;
 
-/** Starts a node on the users' platform. */
+/** Main class of a node on the users' platform. */
 public final class ClusterMain {
-    /** The exit code of wrong settings, as of wrong arguments. */
+    /** The exit code for invalid arguments or settings. */
     private static final int EXIT_USAGE = 2;
 
-    /** The exit code of an address that cannot be listened at. */
+    /** The exit code if a listening address cannot be bound. */
     private static final int EXIT_START = 3;
 
     private ClusterMain() {}
 
     /**
-     * Runs a node until it is asked to stop.
+     * Runs a node until the process is asked to stop.
      *
-     * @param arguments the path of the settings file
+     * @param arguments one element, the path of the settings file
      */
     public static void main(String[] arguments) {
         if (arguments.length != 1) {
@@ -39,9 +39,10 @@
     }
 
     /**
-     * Starts a node of this process.
+     * Starts a node in this process and installs the handler of the reload signal.
      *
-     * @throws StepException if an address cannot be listened at
+     * @param out the stream for the log
+     * @throws StepException if a listening address cannot be bound
      */
     static ClusterNode start(Path file, ClusterSettings settings, PrintStream out) throws StepException {
         DecisionLog log = new DecisionLog(settings.node().value(), out);
@@ -52,17 +53,17 @@
         return node;
     }
 
-    /** Checks the settings that were changed; all of them take effect with the next start. */
-    private static void reload(Path file, ClusterSettings before, DecisionLog log) {
+    /** Validates the changed settings file and logs the result; changes take effect at the next start. */
+    private static void reload(Path file, ClusterSettings current, DecisionLog log) {
         try {
-            boolean same = ClusterSettings.read(file).equals(before);
+            boolean same = ClusterSettings.read(file).equals(current);
             log.write(NodeEvent.SETTINGS_READ_AGAIN, "same", same);
         } catch (StepException e) {
             log.write(NodeEvent.SETTINGS_UNREADABLE, "reason", e.getMessage());
         }
     }
 
-    /** Keeps the process alive while the node leaves; the node ends it. */
+    /** Blocks the shutdown hook while the node leaves; {@link NodeShutdown} ends the process. */
     private static void leaveAndWait(ClusterNode node) {
         node.leave();
         try {
--- a/tarragonarch-entry/src/main/java/org/tarragonarch/entry/cluster/ClusterNode.java
+++ b/tarragonarch-entry/src/main/java/org/tarragonarch/entry/cluster/ClusterNode.java
@@ -38,19 +38,18 @@
 import org.tarragonarch.wire.NodesAsked;
 
 /**
- * One node on the users' platform.
+ * A node on the users' platform.
  *
- * <p>Everything runs on one event loop: it reads and writes every connection, and it is the thread that decides. So
- * nothing here needs a lock, and a request costs no hand-over between threads.
+ * <p>One event loop does all the input and output and makes all decisions, so no state needs a lock and no request is
+ * handed over between threads.
  */
 final class ClusterNode implements PeerFrameHandler {
-    /** How often shards, peers and endpoints are reviewed, in milliseconds; half the time between statuses. */
+    /** Interval between reviews of shards, peers and endpoints: half the status period. */
     private static final long REVIEW_MILLIS = PeerTable.STATUS_PERIOD_MILLIS / 2;
 
     /**
-     * How often the store says that there is no newer configuration, within the time in which a change must be in
-     * force. Right after a change a node knows no more than that of the call before, so two waits and their answers
-     * have to fit.
+     * Number of store confirmations within the time in which a configuration change must be in force. Right after a
+     * change a node knows only the result of the previous call, so two waiting calls and their answers must fit.
      */
     private static final double CONFIRMATIONS_PER_BOUND = 2.25;
 
@@ -62,7 +61,7 @@
     private final EndpointList endpoints = new EndpointList();
     private final ConfigurationInForce configuration;
     private final PeerExchange exchange = new PeerExchange(this);
-    private final PeerCancellations cancels = new PeerCancellations(timers);
+    private final PeerCancellations cancellations = new PeerCancellations(timers);
     private final NodeMeters meters;
     private final Coordinator coordinator;
     private final PeerDiscovery discovery;
@@ -97,15 +96,15 @@
         this.discovery = new PeerDiscovery(settings.member(), store, exchange, coordinator, timers, log);
     }
 
-    /** Opens everything, the servers for clients last. */
+    /** Opens the servers, those for clients last, and starts the work of the event loop. */
     void start() throws StepException {
-        Incarnation run = Incarnation.of(System.currentTimeMillis());
-        exchange.open(group, settings.peerAddress(), Hello.of(settings.node(), run, settings.domain()));
+        Incarnation incarnation = Incarnation.of(System.currentTimeMillis());
+        exchange.open(group, settings.peerAddress(), Hello.of(settings.node(), incarnation, settings.domain()));
         NodeJobs jobs = new NodeJobs(
                 configuration,
                 coordinator.router(),
                 this::askPeersToCancel,
-                cancels,
+                cancellations,
                 timers,
                 log,
                 meters,
@@ -116,10 +115,10 @@
         Address pages = new Address(settings.ip(), settings.metricsPort());
         ClientServer.openForPages(group, pages, ImmutableMap.of("/metrics", meters::scrape));
         loop.execute(this::startOnLoop);
-        log.write(NodeEvent.NODE_STARTED, "domain", settings.domain(), "run", run);
+        log.write(NodeEvent.NODE_STARTED, "domain", settings.domain(), "run", incarnation);
     }
 
-    /** Leaves: not ready at once, shards handed over, jobs finished, and out before the process would be killed. */
+    /** Stops being ready, hands over the shards, finishes open jobs and ends the process before it would be killed. */
     void leave() {
         loop.execute(() -> {
             if (leaving) {
@@ -132,7 +131,7 @@
         });
     }
 
-    /** Ends at once and without notice, as a killed process would; the process itself goes on. */
+    /** Stops abruptly, like a killed process, but leaves the Java process running. */
     void abort() {
         group.shutdownGracefully(0, 0, TimeUnit.MILLISECONDS).awaitUninterruptibly();
     }
@@ -150,7 +149,7 @@
         OperatorRows operatorRows = new OperatorRows(
                 configuration,
                 this::applyConfiguration,
-                reading -> coordinator.drained(reading, ConfigurationInForce.STORE),
+                drained -> coordinator.drained(drained, ConfigurationInForce.STORE),
                 timers,
                 log,
                 meters);
@@ -181,7 +180,7 @@
         }
     }
 
-    /** Asks every node that is known of whether it has a job to cancel; returns how many they are. */
+    /** Asks every located node to cancel a job and returns how many nodes were asked. */
     private int askPeersToCancel(JobId job) {
         ImmutableList<Member> located = exchange.located();
         located.forEach(peer -> exchange.send(peer.node(), new CancelAsked(job)));
@@ -260,7 +259,7 @@
 
     @Override
     public void cancelAnswerReceived(JobId job, boolean known) {
-        cancels.recordAnswer(job, known);
+        cancellations.recordAnswer(job, known);
     }
 
     @Override
--- a/tarragonarch-entry/src/main/java/org/tarragonarch/entry/cluster/ClusterSettings.java
+++ b/tarragonarch-entry/src/main/java/org/tarragonarch/entry/cluster/ClusterSettings.java
@@ -19,24 +19,24 @@
 import org.tarragonarch.model.share.SharePlan;
 
 /**
- * The settings of one node, from a file of JSON with comments.
+ * The settings of one node, read from a JSON file with comments.
  *
  * @param node this node's name
- * @param domain the failure domain it stands in
- * @param regions every failure domain, and the region it lies in
- * @param ip this VM's address
- * @param processorShare which part of a core the process may use
- * @param processorSpeed how many times as fast as an ordinary core that core is
- * @param peerPort where it takes frames of its peers; the same port on every VM
- * @param metricsPort where it serves its metrics
- * @param clientAddress where clients are sent
- * @param readinessAddress where the balancer asks
- * @param storeAddress the platform's store
- * @param leaseMillis the longest lease that endpoints give
- * @param stopMillis the longest that a stop takes on an endpoint
- * @param configurationMillis how soon after its confirmation a change of the configuration must be in force
- * @param shutdownMillis how long the process may take to end after it was asked to
- * @param shares how holders divide capacity among priorities
+ * @param domain the failure domain of this node
+ * @param regions the region of every failure domain
+ * @param ip this VM's IP address
+ * @param processorShare the fraction of a core that the process may use
+ * @param processorSpeed the speed of that core relative to an ordinary core
+ * @param peerPort the port for connections from peers; the same on every VM
+ * @param metricsPort the port of the metrics page
+ * @param clientAddress the listening address for clients
+ * @param readinessAddress the listening address for the balancer's readiness checks
+ * @param storeAddress the address of the platform's store
+ * @param leaseMillis the longest lease that endpoints grant
+ * @param stopMillis the longest time that an endpoint takes to stop a run
+ * @param configurationMillis the time within which a confirmed configuration change must be in force
+ * @param shutdownMillis the time after a stop request at which the process is killed
+ * @param shares the shares by which holders divide capacity among priorities
  */
 record ClusterSettings(
         NodeId node,
@@ -55,21 +55,21 @@
         long configurationMillis,
         long shutdownMillis,
         SharePlan shares) {
-    /** What operators are promised where the settings say nothing else. */
+    /** The default time within which a configuration change is in force. */
     private static final long DEFAULT_CONFIGURATION_MILLIS = 2_000;
 
-    /** Some ten round trips to the store; within less a call could not wait. */
+    /** About ten round trips to the store; a shorter time leaves none for a waiting call. */
     private static final long MIN_CONFIGURATION_MILLIS = 100;
 
     private static final long MILLIS_PER_SECOND = 1_000;
     private static final int MILLI_CORES_PER_CORE = 1_000;
 
-    /** Returns the processor time that this node may use, in thousandths of an ordinary core. */
+    /** Returns the processor capacity that this node may use, in thousandths of an ordinary core; at least 1. */
     int milliCores() {
         return (int) Math.max(1, Math.round(processorShare * processorSpeed * MILLI_CORES_PER_CORE));
     }
 
-    /** Returns who this node is among its peers. */
+    /** Returns the description of this node that its peers see. */
     Member member() {
         return new Member(node, domain, peerAddress(), milliCores());
     }
@@ -96,7 +96,7 @@
         }
     }
 
-    /** Collects the values of a file; an unknown key is an error, since it is most likely misspelt. */
+    /** Collects the values of a file. Rejects unknown keys, which are most likely misspelt. */
     private static final class Reader {
         private String node = "";
         private String domain = "";
@@ -173,8 +173,8 @@
                     shares);
         }
 
-        private static long atLeast(long least, String key, long value) {
-            checkArgument(value >= least, "'%s' is below %s", key, least);
+        private static long atLeast(long minimum, String key, long value) {
+            checkArgument(value >= minimum, "'%s' is below %s", key, minimum);
             return value;
         }
 
--- a/tarragonarch-entry/src/main/java/org/tarragonarch/entry/cluster/ConfigurationInForce.java
+++ b/tarragonarch-entry/src/main/java/org/tarragonarch/entry/cluster/ConfigurationInForce.java
@@ -11,9 +11,9 @@
 import org.tarragonarch.model.task.QueueLookup;
 import org.tarragonarch.model.task.Timers;
 
-/** The configuration in force at this node: its versions only rise, whether they come from the store or from peers. */
+/** The configuration in force at this node. Its version only increases, whether it comes from the store or a peer. */
 final class ConfigurationInForce {
-    /** The source of a version that the store gave. */
+    /** The source name of versions that were read from the store. */
     static final String STORE = "store";
 
     private static final String NO_SOURCE = "none";
@@ -30,13 +30,13 @@
     private long confirmedAtWallMillis;
 
     /**
-     * Creates one without a configuration.
+     * Creates an instance without a configuration.
      *
-     * @param boundMillis how soon a change must be in force, so how old a confirmation may be
-     * @param wallMillis the time of day, which shows that the VM was suspended
+     * @param maxAgeMillis the greatest age of a confirmation at which an unknown queue is reported as such
+     * @param wallMillis the time of day, which also advances while the VM is suspended
      */
-    ConfigurationInForce(long boundMillis, Timers timers, LongSupplier wallMillis, DecisionLog log) {
-        this.maxAgeMillis = boundMillis;
+    ConfigurationInForce(long maxAgeMillis, Timers timers, LongSupplier wallMillis, DecisionLog log) {
+        this.maxAgeMillis = maxAgeMillis;
         this.timers = timers;
         this.wallMillis = wallMillis;
         this.log = log;
@@ -46,7 +46,7 @@
         return catalog;
     }
 
-    /** Returns the configuration as the operators wrote it. */
+    /** Returns the text of the configuration as the operators wrote it; empty if there is none. */
     byte[] text() {
         return text;
     }
@@ -56,13 +56,13 @@
     }
 
     /**
-     * Returns what is known of the queue that a request names.
+     * Looks up the queue that a request names.
      *
-     * <p>Guards against "no such queue" for a queue that was added while this node could not hear of it: the store was
-     * away, the way to it cut, this process or its VM paused, or the configuration came from a peer that may be cut off
-     * itself. Such an answer is final, and the client goes away. Nobody was promised that a change is in force sooner
-     * than the bound, so a confirmation younger than that vouches for the answer. A queue that is known is served
-     * whatever the age, as a failure domain that is cut off has to.
+     * <p>Guards against "no such queue" for a queue that was added while this node could not learn of it: the store was
+     * down or unreachable, this process or its VM was paused, or the configuration came from a peer that may itself be
+     * cut off. Clients treat that answer as final. A queue is therefore reported as unknown only if the last
+     * confirmation is no older than the time within which a change must be in force. A known queue is found at any
+     * age, so that a failure domain that is cut off still serves it.
      */
     QueueLookup find(String host, String path) {
         Optional<QueueDefinition> queue = catalog.flatMap(known -> known.find(host, path));
@@ -83,9 +83,12 @@
     }
 
     /**
-     * Notes that the store had no newer version than it has given, at a moment of the steady clock.
+     * Records that the store had no newer version than the last one read from it.
      *
-     * <p>One that this node cannot read may have queues that the version in force has not, and confirms nothing.
+     * <p>Has no effect while the newest stored version is unreadable, as that version may contain queues that the
+     * version in force lacks.
+     *
+     * @param asOfMillis when that was so, by the monotonic clock
      */
     void confirm(long asOfMillis) {
         if (storedVersionUnreadable) {
@@ -96,27 +99,32 @@
     }
 
     /**
-     * Returns how long ago the store last showed that there was no newer version; empty if it never did.
+     * Returns the time since the last confirmation in milliseconds; empty if there was none.
      *
-     * <p>The steady clock stops while a VM is suspended, and the time of day may be set; the longer of the two
-     * times is never too short, and too long only until the next confirmation.
+     * <p>The monotonic clock stops while a VM is suspended, and the time of day may be set. The result is the longer
+     * of the times by the two clocks: it is never too short, and too long only until the next confirmation.
      */
     OptionalLong ageMillis() {
         if (confirmedAtMillis.isEmpty()) {
             return OptionalLong.empty();
         }
-        long steady = timers.nowMillis() - confirmedAtMillis.getAsLong();
+        long monotonic = timers.nowMillis() - confirmedAtMillis.getAsLong();
         long wall = wallMillis.getAsLong() - confirmedAtWallMillis;
-        return OptionalLong.of(Math.max(steady, wall));
+        return OptionalLong.of(Math.max(monotonic, wall));
     }
 
-    /** Returns the age as it stands in the log. */
+    /** Returns the age for log lines: a number of milliseconds, or the word for a version never confirmed. */
     Object loggedAge() {
         OptionalLong age = ageMillis();
         return age.isPresent() ? age.getAsLong() : "unconfirmed";
     }
 
-    /** Takes a configuration if it is newer; returns whether it was. */
+    /**
+     * Puts a configuration in force if it is readable and newer than the current one.
+     *
+     * @param from the source: {@link #STORE} or the name of a peer
+     * @return whether the configuration was put in force
+     */
     boolean updateIfNewer(byte[] candidate, String from) {
         QueueCatalog read;
         try {
--- a/tarragonarch-entry/src/main/java/org/tarragonarch/entry/cluster/DecisionLog.java
+++ b/tarragonarch-entry/src/main/java/org/tarragonarch/entry/cluster/DecisionLog.java
@@ -9,17 +9,17 @@
 import org.tarragonarch.model.log.NodeEvent;
 
 /**
- * Structured lines on standard output, one a decision, written by a thread of their own.
+ * A log of one JSON line for each decision, written to a stream by a separate thread.
  *
- * <p>Guards against a reader of standard output that stops reading: a write would block the control thread and with it
- * every request. Lines wait in a bounded queue; when it is full, whole lines are dropped and counted, and the count is
- * itself a line as soon as there is room.
+ * <p>Guards against a blocked reader of standard output: a direct write would block the control thread and with it
+ * every request. Lines wait in a bounded queue; when the queue is full, lines are dropped and counted, and the count
+ * is logged once the queue is empty.
  */
 final class DecisionLog {
-    /** Some ten seconds of lines at a node's busiest. */
+    /** About ten seconds of lines at a node's peak load. */
     private static final int MAX_QUEUED_LINES = 2_000;
 
-    /** What most lines stay below, in characters. */
+    /** The length that most lines stay below, in characters. */
     private static final int USUAL_LINE_LENGTH = 256;
 
     private final String node;
@@ -46,9 +46,10 @@
     }
 
     /**
-     * Writes a line, unless many of its kind were written within the second; called by the control thread alone.
+     * Queues a line, unless the rate limit of its event is reached or the queue is full. Must be called on the control
+     * thread.
      *
-     * @param fields names and values in turn; values are written as text unless they are numbers or booleans
+     * @param fields alternating names and values; values are written as text unless they are numbers or booleans
      */
     void write(NodeEvent event, Object... fields) {
         Instant now = clock.instant();
@@ -103,13 +104,13 @@
     }
 
     private void writeAll() {
-        long told = 0;
+        long reportedDropped = 0;
         try {
             while (true) {
                 out.println(queue.take());
                 long count = dropped.get();
-                if (count > told && queue.isEmpty()) {
-                    told = count;
+                if (count > reportedDropped && queue.isEmpty()) {
+                    reportedDropped = count;
                     StringBuilder line = startLine(NodeEvent.LOG_LINES_DROPPED, clock.instant());
                     appendField(line, "total", count);
                     out.println(line.append('}'));
--- a/tarragonarch-entry/src/main/java/org/tarragonarch/entry/cluster/EndpointRows.java
+++ b/tarragonarch-entry/src/main/java/org/tarragonarch/entry/cluster/EndpointRows.java
@@ -18,18 +18,18 @@
 import org.tarragonarch.model.task.EndpointEntry;
 import org.tarragonarch.model.task.Timers;
 
-/** Takes the endpoints' rows of the store into the list; a row that cannot be read is left out and logged. */
+/** Copies the endpoint rows of the store into the endpoint list; skips and logs unreadable rows. */
 final class EndpointRows extends LoggedTable {
     /**
-     * How a node that holds a shard, or would be the next to, reads the list of endpoints. Every endpoint writes its
-     * entry every 1.5 s, so a notification of each change would cost a call for every heartbeat of every endpoint; an
-     * endpoint that drains must get nothing new 2 s after it said so.
+     * The pace of a node that holds a shard or would be the next to hold one. Every endpoint rewrites its entry every
+     * 1.5 s, so a notification of each change would cost a call for every heartbeat. A draining endpoint must receive
+     * no new tasks 2 s after it reports the drain.
      */
     private static final FollowPace FREQUENT_PACE = FollowPace.every(900);
 
     /**
-     * How every other node reads the list. Entries lapse after three heartbeats, 4.5 s, so an outage of the store in
-     * which they do is noticed, and they are kept.
+     * The pace of every other node. Entries expire after three heartbeats (4.5 s); with a shorter interval the node
+     * notices an outage of the store before they expire, and keeps them.
      */
     private static final FollowPace INFREQUENT_PACE = FollowPace.every(3_600);
 
@@ -49,14 +49,14 @@
         this.log = log;
     }
 
-    /** Begins to read the rows. */
+    /** Starts reading the rows. */
     void follow(RowStore store) {
         TableFollower started = new TableFollower(store, StoreTable.ENDPOINTS, timers, this, FREQUENT_PACE);
         follower = Optional.of(started);
         started.start();
     }
 
-    /** Reads the rows as often as this node needs them; at once, if no call is under way, where it needs them now. */
+    /** Sets the pace of reads; if the list is needed now, reads at once unless a call is in progress. */
     void adjustReads(EndpointListNeed need) {
         follower.ifPresent(started -> {
             started.changePace(need.often() ? FREQUENT_PACE : INFREQUENT_PACE);
@@ -140,8 +140,8 @@
         }
     }
 
-    private void unreadable(StoreRow row, UnreadableBodyException why) {
+    private void unreadable(StoreRow row, UnreadableBodyException cause) {
         meters.endpointRowUnreadable();
-        log.write(NodeEvent.ENDPOINT_ROW_UNREADABLE, "endpoint", row.key(), "reason", why.getMessage());
+        log.write(NodeEvent.ENDPOINT_ROW_UNREADABLE, "endpoint", row.key(), "reason", cause.getMessage());
     }
 }
--- a/tarragonarch-entry/src/main/java/org/tarragonarch/entry/cluster/LibraryLoggers.java
+++ b/tarragonarch-entry/src/main/java/org/tarragonarch/entry/cluster/LibraryLoggers.java
@@ -4,14 +4,15 @@
 import io.netty.util.internal.logging.JdkLoggerFactory;
 
 /**
- * Sets for the libraries which logging to use, before any of them looks for one.
+ * Selects the logging library of Netty and Micrometer.
  *
- * <p>Left to themselves, Netty and Micrometer look for several logging libraries that are not there, each time through
- * every archive on the class path: a fifth of the time from a start to the first line of log.
+ * <p>By default both search every archive on the class path for several logging libraries that are not there, which
+ * takes a fifth of the time from process start to the first log line.
  */
 final class LibraryLoggers {
     private LibraryLoggers() {}
 
+    /** Selects {@code java.util.logging}; must be called before Netty or Micrometer creates a logger. */
     static void useJdkLogging() {
         InternalLoggerFactory.setDefaultFactory(JdkLoggerFactory.INSTANCE);
         io.micrometer.common.util.internal.logging.InternalLoggerFactory.setDefaultFactory(
--- a/tarragonarch-entry/src/main/java/org/tarragonarch/entry/cluster/LineRateLimiter.java
+++ b/tarragonarch-entry/src/main/java/org/tarragonarch/entry/cluster/LineRateLimiter.java
@@ -4,14 +4,14 @@
 import org.tarragonarch.model.log.NodeEvent;
 
 /**
- * Bounds how many lines of each kind of event are written in a second.
+ * Limits the number of log lines per second of each event.
  *
- * <p>Guards against a storm of one kind of line, a thousand refusals a second in an overload, that takes the processor
- * time its node needs to answer, and hides the few lines that tell of the cause. The first lines of a kind in a second
- * are always written; the next line of the kind that is written says how many were not.
+ * <p>Guards against a flood of one event, such as a thousand refusals a second in an overload, that takes the processor
+ * time needed for answers and hides the few lines that show the cause. The first lines of an event in each second are
+ * written; the next written line of the event carries the number of lines skipped.
  */
 final class LineRateLimiter {
-    /** Well above what a busy node writes of its most frequent kind. */
+    /** Well above the rate of the most frequent event on a busy node. */
     private static final int LINES_PER_SECOND = 200;
 
     private static final long SECOND_MILLIS = 1_000;
@@ -20,9 +20,9 @@
     private final long[] skipped = new long[NodeEvent.values().length];
     private long secondBeganMillis = Long.MIN_VALUE / 2;
 
-    /** Returns whether a line of this kind may be written now, and counts it either way. */
+    /** Returns whether a line of this event may be written now, and counts it as written or skipped. */
     boolean tryAcquire(NodeEvent event, long nowMillis) {
-        // The time of day may step back; that begins a new second too, or nothing would be written until it caught up.
+        // A clock that steps back starts a new second too; otherwise nothing is written until the clock catches up.
         if (nowMillis < secondBeganMillis || nowMillis - secondBeganMillis >= SECOND_MILLIS) {
             secondBeganMillis = nowMillis;
             Arrays.fill(written, 0);
@@ -35,7 +35,7 @@
         return true;
     }
 
-    /** Returns how many lines of this kind were not allowed since this was last asked. */
+    /** Returns the number of lines of this event skipped since the last call, and resets it. */
     long takeSkipped(NodeEvent event) {
         long count = skipped[event.ordinal()];
         skipped[event.ordinal()] = 0;
--- a/tarragonarch-entry/src/main/java/org/tarragonarch/entry/cluster/LoggedTable.java
+++ b/tarragonarch-entry/src/main/java/org/tarragonarch/entry/cluster/LoggedTable.java
@@ -9,8 +9,8 @@
 import org.tarragonarch.model.task.Timers;
 
 /**
- * A table of the store whose failures show in the log and the metrics: when it last answered, and each call that
- * failed.
+ * A listener to a table of the store that logs and counts failed calls and exposes the time since the last answer as a
+ * metric.
  */
 abstract class LoggedTable implements TableListener {
     private final StoreTable table;
@@ -34,8 +34,8 @@
     }
 
     @Override
-    public void unusable(RuntimeException why) {
-        log.write(NodeEvent.STORE_ROWS_UNUSABLE, "table", table, "reason", why);
+    public void unusable(RuntimeException cause) {
+        log.write(NodeEvent.STORE_ROWS_UNUSABLE, "table", table, "reason", cause);
     }
 
     @Override
--- a/tarragonarch-entry/src/main/java/org/tarragonarch/entry/cluster/LoopTimers.java
+++ b/tarragonarch-entry/src/main/java/org/tarragonarch/entry/cluster/LoopTimers.java
@@ -5,7 +5,7 @@
 import java.util.concurrent.TimeUnit;
 import org.tarragonarch.model.task.Timers;
 
-/** Time on an event loop. */
+/** Timers that run their tasks on an event loop. */
 final class LoopTimers implements Timers {
     private final EventLoop loop;
 
--- a/tarragonarch-entry/src/main/java/org/tarragonarch/entry/cluster/NodeDirectory.java
+++ b/tarragonarch-entry/src/main/java/org/tarragonarch/entry/cluster/NodeDirectory.java
@@ -20,17 +20,17 @@
 import org.tarragonarch.model.task.Timers;
 
 /**
- * Finds the other nodes: writes where this one is, then reads where the others are.
+ * The directory of nodes in the store: writes the row of this node, then reads the rows of the others.
  *
- * <p>Of two nodes that start together, the one that writes later reads the other's row, calls it, and is known to it
- * from then on. So one write and one read after it are enough; a read before it finds those that were there all along
- * some 50 ms earlier, which counts when every node starts at once. Where the store is away, whoever else is heard tells
- * where the others are.
+ * <p>Of two nodes that start together, the one that writes later reads the other's row and connects to it, which makes
+ * it known there. One write and one read after it are therefore enough. An additional read before the write finds
+ * running nodes about 50 ms earlier, which matters when all nodes start at once. If the store is unavailable, peers
+ * report the nodes that they know.
  */
 final class NodeDirectory {
     private static final long RETRY_MILLIS = 250;
 
-    /** Separates the parts of a row's value: address, processor time in thousandths of a core, failure domain. */
+    /** Separates the parts of a row's value: address, capacity in thousandths of a core, failure domain. */
     private static final char SEPARATOR = ' ';
 
     private static final int PART_COUNT = 3;
@@ -68,21 +68,21 @@
         });
     }
 
-    /** Returns whether it is known where the others are. */
+    /** Returns whether the addresses of the other nodes are known, from the store or from a peer. */
     boolean isComplete() {
         return isComplete;
     }
 
-    /** Returns since when that is known; meaningful once it is. */
+    /** Returns when the directory became complete; valid only if {@link #isComplete}. */
     long completeAtMillis() {
         return completeAtMillis;
     }
 
     /**
-     * Records where a peer knows nodes to be.
+     * Adds the nodes that a peer reported.
      *
-     * <p>Guards against two nodes of a domain that start while the store is away: each is found by those that run, none
-     * finds the other, and both hold the domain's endpoints against each other.
+     * <p>Guards against two nodes of a domain that start while the store is unavailable: running nodes locate both, but
+     * neither locates the other, and both claim the shard of the domain.
      */
     void addNodes(ImmutableList<Member> nodes) {
         nodes.forEach(this::locate);
@@ -113,10 +113,10 @@
     }
 
     /**
-     * Reads the rows once more.
+     * Rereads the rows, if the directory is complete.
      *
-     * <p>A holder sends to every node. Those that started after it are known to their neighbours and, by this, to the
-     * holders of other pools.
+     * <p>A holder sends its status to every node. Nodes that started later make themselves known to their neighbours
+     * only, so holders of other pools learn of them by this read.
      */
     void refresh() {
         if (isComplete) {
@@ -146,9 +146,9 @@
     }
 
     /**
-     * Reads a row.
+     * Parses a row.
      *
-     * @throws IllegalArgumentException if a part is missing or cannot be read
+     * @throws IllegalArgumentException if a part is missing or malformed
      */
     private static Member member(StoreRow row) {
         String text = new String(row.value(), StandardCharsets.UTF_8);
--- a/tarragonarch-entry/src/main/java/org/tarragonarch/entry/cluster/NodeJobs.java
+++ b/tarragonarch-entry/src/main/java/org/tarragonarch/entry/cluster/NodeJobs.java
@@ -17,15 +17,15 @@
 import org.tarragonarch.model.task.QueueLookup;
 import org.tarragonarch.model.task.Timers;
 
-/** What the doors for clients and the balancer ask of this node. */
+/** The service behind the servers for clients and for the balancer's readiness checks. */
 final class NodeJobs implements JobService {
-    /** What is logged at most of a path or host, in characters: a client may send any. */
+    /** The longest logged part of a path or host, in characters, as clients may send any length. */
     private static final int LOGGED_LENGTH = 128;
 
     private final ConfigurationInForce configuration;
     private final JobRouter router;
     private final ToIntFunction<JobId> askPeersToCancel;
-    private final PeerCancellations cancels;
+    private final PeerCancellations cancellations;
     private final Timers timers;
     private final DecisionLog log;
     private final NodeMeters meters;
@@ -36,7 +36,7 @@
             ConfigurationInForce configuration,
             JobRouter router,
             ToIntFunction<JobId> askPeersToCancel,
-            PeerCancellations cancels,
+            PeerCancellations cancellations,
             Timers timers,
             DecisionLog log,
             NodeMeters meters,
@@ -45,7 +45,7 @@
         this.configuration = configuration;
         this.router = router;
         this.askPeersToCancel = askPeersToCancel;
-        this.cancels = cancels;
+        this.cancellations = cancellations;
         this.timers = timers;
         this.log = log;
         this.meters = meters;
@@ -122,7 +122,7 @@
             known.accept(true);
             return;
         }
-        cancels.start(job, askPeersToCancel.applyAsInt(job), known);
+        cancellations.start(job, askPeersToCancel.applyAsInt(job), known);
     }
 
     @Override
--- a/tarragonarch-entry/src/main/java/org/tarragonarch/entry/cluster/NodeMeters.java
+++ b/tarragonarch-entry/src/main/java/org/tarragonarch/entry/cluster/NodeMeters.java
@@ -28,9 +28,9 @@
 import org.tarragonarch.model.task.JobOutcome;
 import org.tarragonarch.model.task.QueueLookup;
 
-/** The counters and histograms of a node on the users' platform; docs/OPERATIONS.md says what each is for. */
+/** The meters of a node on the users' platform. */
 final class NodeMeters {
-    /** The bounds of the histogram of answers: around the objectives of the users' queues, 150 ms to 4 s. */
+    /** The buckets of the histogram of answer times, around the queues' objectives of 150 ms to 4 s. */
     private static final Duration[] ANSWER_BOUNDS = {
         Duration.ofMillis(25),
         Duration.ofMillis(50),
@@ -85,7 +85,7 @@
                 .register(registry);
     }
 
-    /** Shows of a table of the store how long ago it last answered, and counts its calls that fail. */
+    /** Registers the age of the last answer and the counter of failed calls of a table of the store. */
     void watchStore(StoreTable table, LongSupplier sinceAnswerMillis) {
         failedStoreCalls.put(
                 table,
@@ -97,7 +97,7 @@
                 .register(registry);
     }
 
-    /** Shows the version of the configuration, and how long ago the store last confirmed it. */
+    /** Registers the gauges of the version of the configuration and of the age of its last confirmation. */
     void watchConfiguration(ConfigurationInForce configuration) {
         Gauge.builder("tarragonarch.configuration.version", configuration::version)
                 .register(registry);
@@ -105,12 +105,12 @@
                 .register(registry);
     }
 
-    /** Shows how many failure domains are drained, as far as the node knows. */
+    /** Registers the gauge of the failure domains that this node knows to be drained. */
     void watchDrainedDomains(IntSupplier drainedDomains) {
         Gauge.builder("tarragonarch.domains.drained", drainedDomains::getAsInt).register(registry);
     }
 
-    /** Registers the gauges of the shares of the plan; none without shares. */
+    /** Registers the meters of the shares of a plan. */
     void watchShares(
             SharePlan plan,
             Supplier<ImmutableList<ShareState>> states,
@@ -123,7 +123,7 @@
         ShareMeters.refusedJobs(registry, share.priority()).increment();
     }
 
-    /** Registers the gauges of the speeds of the endpoints that this node holds, relative to their pool. */
+    /** Registers the gauges of the speeds of this node's endpoints, relative to their pool. */
     void watchSpeeds(Supplier<SpeedSummary> speeds) {
         watchSpeed("slowest", () -> speeds.get().slowest());
         watchSpeed("mean", () -> speeds.get().mean());
@@ -134,7 +134,7 @@
         Gauge.builder("tarragonarch.endpoints.speed", speed).tag("of", which).register(registry);
     }
 
-    /** Returns the age in milliseconds; not a number where it was never confirmed. */
+    /** Returns the age of the last confirmation in milliseconds; NaN if there was none. */
     private static double age(ConfigurationInForce configuration) {
         OptionalLong age = configuration.ageMillis();
         return age.isPresent() ? age.getAsLong() : Double.NaN;
--- a/tarragonarch-entry/src/main/java/org/tarragonarch/entry/cluster/NodeShutdown.java
+++ b/tarragonarch-entry/src/main/java/org/tarragonarch/entry/cluster/NodeShutdown.java
@@ -5,26 +5,26 @@
 import org.tarragonarch.model.task.Timers;
 
 /**
- * The last seconds of a node that was asked to stop: takes jobs until the balancer sends it no more clients, finishes
- * what is open, and ends the process before it would be killed.
+ * The shutdown of a node that was asked to stop: accepts jobs until the balancer sends no more clients, finishes open
+ * jobs, and ends the process before it would be killed.
  */
 final class NodeShutdown {
-    /** The balancer asks once a second and drops a node after two misses. */
+    /** Time until the balancer drops the node: it checks once a second and drops a node after two failed checks. */
     private static final long BALANCER_NOTICE_MILLIS = 2_300;
 
     /**
-     * How long a leaving node still takes jobs after the balancer has noticed, in milliseconds. Every answer of a
-     * leaving node closes its connection, so after this hardly any client is left that would be refused.
+     * Time for which a leaving node still accepts jobs after the balancer has dropped it. Every answer of a leaving
+     * node closes its connection, so hardly any client remains connected after this time.
      */
     private static final long OPEN_CONNECTIONS_MILLIS = 500;
 
-    /** How long before it would be killed a leaving node answers what is still open, in milliseconds. */
+    /** Time before the process would be killed at which the node gives up the jobs that are still open. */
     private static final long LAST_ANSWERS_MILLIS = 500;
 
-    /** How often to check whether all is answered, in milliseconds. */
+    /** Interval between checks whether all jobs are answered. */
     private static final long CHECK_MILLIS = 50;
 
-    /** How long the last answers have to leave before the process ends, in milliseconds. */
+    /** Time to send the last answers before the process ends. */
     private static final long SEND_MILLIS = 100;
 
     private final JobRouter router;
@@ -34,9 +34,9 @@
     private final long startedAtMillis;
 
     /**
-     * Creates the departure of a node that leaves from now on.
+     * Creates the shutdown of a node that starts to leave now.
      *
-     * @param shutdownMillis when the process would be killed
+     * @param shutdownMillis the time from now until the process would be killed
      */
     NodeShutdown(JobRouter router, Timers timers, DecisionLog log, long shutdownMillis) {
         this.router = router;
--- a/tarragonarch-entry/src/main/java/org/tarragonarch/entry/cluster/OperatorRows.java
+++ b/tarragonarch-entry/src/main/java/org/tarragonarch/entry/cluster/OperatorRows.java
@@ -17,10 +17,10 @@
 import org.tarragonarch.model.task.Timers;
 
 /**
- * Takes the operators' rows of the store: the configuration, and the failure domains that are drained.
+ * Applies the rows that operators write to the store: the configuration and the drained failure domains.
  *
- * <p>Of one page the drained domains are handed on first, so that a node that has just started places nothing by the
- * configuration in a domain that was drained before.
+ * <p>The drained domains of a page are applied before its configuration, so that a node that has just started places no
+ * tasks in a drained domain.
  */
 final class OperatorRows extends LoggedTable {
     private final ConfigurationInForce configuration;
@@ -30,10 +30,10 @@
     private final Set<FailureDomain> drained = new HashSet<>();
 
     /**
-     * Creates the reader of a table that was not read yet.
+     * Creates a listener to the operators' table.
      *
-     * @param newVersion called once a later configuration is in force
-     * @param drainedDomains takes which failure domains are drained, after each page
+     * @param newVersion runs after a newer configuration is put in force
+     * @param drainedDomains receives all drained failure domains after each page
      */
     OperatorRows(
             ConfigurationInForce configuration,
--- a/tarragonarch-entry/src/main/java/org/tarragonarch/entry/cluster/PeerCancellations.java
+++ b/tarragonarch-entry/src/main/java/org/tarragonarch/entry/cluster/PeerCancellations.java
@@ -6,9 +6,9 @@
 import org.tarragonarch.model.task.JobId;
 import org.tarragonarch.model.task.Timers;
 
-/** Cancellations of jobs that this node does not have, while its peers are asked for them. */
+/** Pending cancellations of jobs that this node does not have and asks its peers to cancel. */
 final class PeerCancellations {
-    /** Peers answer in a few milliseconds; one that has not by then is slow, frozen or gone. */
+    /** Peers answer within a few milliseconds; one that misses this time is slow, paused or down. */
     private static final long ANSWER_TIMEOUT_MILLIS = 400;
 
     private final Timers timers;
@@ -18,39 +18,45 @@
         this.timers = timers;
     }
 
+    /**
+     * Waits for the peers' answers.
+     *
+     * @param asked the number of peers that were asked
+     * @param known receives whether a peer knew the job
+     */
     void start(JobId job, int asked, Consumer<Boolean> known) {
         if (asked == 0) {
             known.accept(false);
             return;
         }
-        Cancellation round = new Cancellation(asked, known);
-        cancellations.put(job, round);
-        timers.after(ANSWER_TIMEOUT_MILLIS, () -> end(job, round, false));
+        Cancellation cancellation = new Cancellation(asked, known);
+        cancellations.put(job, cancellation);
+        timers.after(ANSWER_TIMEOUT_MILLIS, () -> end(job, cancellation, false));
     }
 
     void recordAnswer(JobId job, boolean known) {
-        Cancellation round = cancellations.get(job);
-        if (round != null) {
-            round.missing--;
-            if (known || round.missing == 0) {
-                end(job, round, known);
+        Cancellation cancellation = cancellations.get(job);
+        if (cancellation != null) {
+            cancellation.unanswered--;
+            if (known || cancellation.unanswered == 0) {
+                end(job, cancellation, known);
             }
         }
     }
 
-    private void end(JobId job, Cancellation round, boolean known) {
-        if (cancellations.remove(job, round)) {
-            round.known.accept(known);
+    private void end(JobId job, Cancellation cancellation, boolean known) {
+        if (cancellations.remove(job, cancellation)) {
+            cancellation.known.accept(known);
         }
     }
 
-    /** One job that peers were asked for. */
+    /** A job that peers were asked to cancel, with the number of peers that have not answered. */
     private static final class Cancellation {
         private final Consumer<Boolean> known;
-        private int missing;
+        private int unanswered;
 
-        Cancellation(int missing, Consumer<Boolean> known) {
-            this.missing = missing;
+        Cancellation(int unanswered, Consumer<Boolean> known) {
+            this.unanswered = unanswered;
             this.known = known;
         }
     }
--- a/tarragonarch-entry/src/main/java/org/tarragonarch/entry/cluster/PeerDiscovery.java
+++ b/tarragonarch-entry/src/main/java/org/tarragonarch/entry/cluster/PeerDiscovery.java
@@ -8,9 +8,9 @@
 import org.tarragonarch.model.store.RowStore;
 import org.tarragonarch.model.task.Timers;
 
-/** Where the other nodes are, and whether enough of the neighbours are known to claim shards. */
+/** Locates the other nodes and determines when enough neighbours are known to claim shards. */
 final class PeerDiscovery {
-    /** How long a node tries to learn where its peers are, in milliseconds; with the store away it goes on alone. */
+    /** The longest time for which a node waits for the directory; after this it claims shards without it. */
     private static final long MAX_DISCOVERY_MILLIS = 1_500;
 
     private final Member own;
@@ -36,22 +36,22 @@
         this.startedAtMillis = timers.nowMillis();
     }
 
-    /** Begins to look for the other nodes. */
+    /** Starts to locate the other nodes. */
     void start() {
         directory.start();
     }
 
-    /** Records where a peer knows nodes to be. */
+    /** Adds the nodes that a peer reported. */
     void addNodes(ImmutableList<Member> nodes) {
         directory.addNodes(nodes);
     }
 
-    /** Returns whether it is known where the other nodes are. */
+    /** Returns whether the addresses of the other nodes are known. */
     boolean isDirectoryComplete() {
         return directory.isComplete();
     }
 
-    /** Returns whether every holder is known, or nothing more is to be expected. */
+    /** Returns whether this node may claim shards: every holder is known, or the time to learn of more has passed. */
     boolean canClaimShards() {
         long now = timers.nowMillis();
         if (!directory.isComplete()) {
@@ -62,7 +62,7 @@
                 || Discovery.isComplete(own, located, coordinator.presentNeighbours());
     }
 
-    /** Reads the directory again now and then while this node holds a shard; to be called a few times a second. */
+    /** Rereads the directory periodically while this node holds a shard; must be called a few times a second. */
     void refresh() {
         long now = timers.nowMillis();
         if (coordinator.heldShards() > 0 && now - refreshedAtMillis >= PeerTable.DISTANT_PERIOD_MILLIS) {
@@ -71,7 +71,7 @@
         }
     }
 
-    /** Greets a neighbour that was read of; once this node holds a shard its heartbeats reach every located node. */
+    /** Sends a status to a newly located neighbour. A node that holds a shard sends its status to all nodes anyway. */
     private void located(Member member) {
         exchange.located(member);
         if (coordinator.heldShards() == 0 && coordinator.neighbours().contains(member.domain())) {
--- a/tarragonarch-entry/src/main/java/org/tarragonarch/entry/cluster/PeerExchange.java
+++ b/tarragonarch-entry/src/main/java/org/tarragonarch/entry/cluster/PeerExchange.java
@@ -41,9 +41,9 @@
 import org.tarragonarch.wire.PeerNetworkSettings;
 import org.tarragonarch.wire.StatusFrame;
 
-/** Frames to and from the peers; turns each that comes into a call of the node. */
+/** Sends frames to peers and dispatches received frames to a {@link PeerFrameHandler}. */
 final class PeerExchange implements PeerListener, PeerSender {
-    /** Connections between nodes: a peer that is silent is missed, and its connections closed, before their timeout. */
+    /** The idle timeout exceeds the silence after which a peer is lost, so that a silent peer is detected first. */
     private static final PeerNetworkSettings NETWORK = new PeerNetworkSettings(
             Duration.ofMillis(400),
             Duration.ofMillis(PeerTable.DISTANT_SILENCE_MILLIS + 300),
@@ -54,43 +54,43 @@
             8 * 1024 * 1024,
             1_024);
 
-    private final PeerFrameHandler calls;
+    private final PeerFrameHandler handler;
     private final Map<NodeId, Member> members = new HashMap<>();
-    private final Map<NodeId, Incarnation> runs = new HashMap<>();
+    private final Map<NodeId, Incarnation> incarnations = new HashMap<>();
     private PeerNetwork network;
 
-    PeerExchange(PeerFrameHandler calls) {
-        this.calls = calls;
+    PeerExchange(PeerFrameHandler handler) {
+        this.handler = handler;
     }
 
     /**
-     * Begins to listen for peers.
+     * Starts to listen for peers.
      *
-     * @param group a group of one thread, on which every call is made
-     * @throws StepException if the address cannot be listened at
+     * @param group a group of one thread, which runs all calls of the handler
+     * @throws StepException if the address cannot be bound
      */
     void open(EventLoopGroup group, Address address, Hello own) throws StepException {
         network = PeerNetwork.startOn(group, address, own, this, NETWORK);
     }
 
-    /** Learns where a node is said to be, from the store. */
+    /** Records the address of a node from the store or from a peer, unless the node is already located. */
     void located(Member member) {
         members.putIfAbsent(member.node(), member);
     }
 
-    /** Returns every other node that is known of. */
+    /** Returns every other node whose address is known. */
     ImmutableList<Member> located() {
         return ImmutableList.copyOf(members.values());
     }
 
-    /** Returns every other node of these failure domains that is known of. */
+    /** Returns every other node of these failure domains whose address is known. */
     ImmutableList<Member> locatedIn(ImmutableSet<FailureDomain> domains) {
         return members.values().stream()
                 .filter(member -> domains.contains(member.domain()))
                 .collect(ImmutableList.toImmutableList());
     }
 
-    /** Closes what connections there are with a peer that is not reachable. */
+    /** Closes all connections with an unreachable peer. */
     void disconnect(NodeId node, String reason) {
         network.disconnect(node, reason);
     }
@@ -134,66 +134,66 @@
         answer(to, new JobSettled(job, verdict, retryMillis));
     }
 
-    /** Answers the run of a node that spoke last. */
+    /** Sends a frame to the incarnation of a node that sent the latest frame. */
     private void answer(NodeId node, Frame frame) {
-        Optional.ofNullable(runs.get(node)).ifPresent(run -> network.reply(node, run, frame));
+        Optional.ofNullable(incarnations.get(node)).ifPresent(incarnation -> network.reply(node, incarnation, frame));
     }
 
     @Override
-    public void received(NodeId peer, Incarnation run, Frame frame) {
-        runs.put(peer, run);
+    public void received(NodeId peer, Incarnation incarnation, Frame frame) {
+        incarnations.put(peer, incarnation);
         if (frame instanceof StatusFrame status) {
             members.put(peer, status.status().member());
-            calls.statusReceived(status.status());
+            handler.statusReceived(status.status());
         } else if (frame instanceof JobOffered offered) {
-            calls.offerReceived(offered.offer());
+            handler.offerReceived(offered.offer());
         } else if (frame instanceof JobSettled settled) {
-            calls.verdictReceived(peer, settled.job(), settled.verdict(), settled.retryMillis());
+            handler.verdictReceived(peer, settled.job(), settled.verdict(), settled.retryMillis());
         } else if (frame instanceof JobWithdrawn withdrawn) {
-            calls.withdrawalReceived(peer, withdrawn.job());
+            handler.withdrawalReceived(peer, withdrawn.job());
         } else if (frame instanceof OpenJobs open) {
-            calls.openJobsReceived(peer, open.jobs());
+            handler.openJobsReceived(peer, open.jobs());
         } else if (frame instanceof CancelAsked asked) {
-            network.reply(peer, run, new CancelAnswered(asked.job(), calls.cancel(asked.job())));
+            network.reply(peer, incarnation, new CancelAnswered(asked.job(), handler.cancel(asked.job())));
         } else if (frame instanceof CancelAnswered answered) {
-            calls.cancelAnswerReceived(answered.job(), answered.known());
+            handler.cancelAnswerReceived(answered.job(), answered.known());
         } else if (frame instanceof ConfigurationAsked) {
-            network.reply(peer, run, configuration());
+            network.reply(peer, incarnation, configuration());
         } else if (frame instanceof ConfigurationGiven given) {
-            given.canonicalText().ifPresent(text -> calls.configurationReceived(peer, text.bytes()));
+            given.canonicalText().ifPresent(text -> handler.configurationReceived(peer, text.bytes()));
         } else if (frame instanceof EndpointsAsked) {
-            network.reply(peer, run, new EndpointsGiven(calls.endpoints()));
+            network.reply(peer, incarnation, new EndpointsGiven(handler.endpoints()));
         } else if (frame instanceof EndpointsGiven given) {
-            calls.endpointsReceived(given.endpoints());
+            handler.endpointsReceived(given.endpoints());
         } else if (frame instanceof NodesAsked) {
-            network.reply(peer, run, new NodesGiven(located()));
+            network.reply(peer, incarnation, new NodesGiven(located()));
         } else if (frame instanceof NodesGiven given) {
-            calls.nodesReceived(given.nodes());
+            handler.nodesReceived(given.nodes());
         }
     }
 
     @Override
     public Optional<Frame> firstFrame(NodeId peer) {
-        return Optional.of(new OpenJobs(calls.openJobsAt(peer)));
+        return Optional.of(new OpenJobs(handler.openJobsAt(peer)));
     }
 
     @Override
     public void undelivered(NodeId peer, Frame frame) {
         if (frame instanceof JobOffered offered) {
-            calls.offerUndelivered(peer, offered.offer().job().id());
+            handler.offerUndelivered(peer, offered.offer().job().id());
         }
     }
 
     @Override
-    public void disconnected(NodeId peer, Incarnation run) {
-        if (run.equals(runs.get(peer))) {
-            calls.disconnected(peer);
+    public void disconnected(NodeId peer, Incarnation incarnation) {
+        if (incarnation.equals(incarnations.get(peer))) {
+            handler.disconnected(peer);
         }
     }
 
     private ConfigurationGiven configuration() {
-        byte[] text = calls.configurationText();
-        ConfigurationVersion version = ConfigurationVersion.of(calls.configurationVersion());
+        byte[] text = handler.configurationText();
+        ConfigurationVersion version = ConfigurationVersion.of(handler.configurationVersion());
         if (text.length == 0) {
             return ConfigurationGiven.none(version);
         }
--- a/tarragonarch-entry/src/main/java/org/tarragonarch/entry/cluster/PeerFrameHandler.java
+++ b/tarragonarch-entry/src/main/java/org/tarragonarch/entry/cluster/PeerFrameHandler.java
@@ -10,28 +10,30 @@
 import org.tarragonarch.model.task.Offer;
 import org.tarragonarch.model.task.Verdict;
 
-/** What frames of peers ask of this node. */
+/** Handles the frames that peers send to this node. */
 interface PeerFrameHandler {
     void statusReceived(NodeStatus status);
 
-    /** The last connection with the run of a peer that spoke last is closed. */
+    /** Called when the last connection with the latest incarnation of a peer is closed. */
     void disconnected(NodeId peer);
 
     void offerReceived(Offer offer);
 
+    /** Called when an offer could not be sent to a peer. */
     void offerUndelivered(NodeId peer, JobId job);
 
-    /** A holder gave its verdict on a job of this node's. */
+    /** Called when a holder sends its verdict on a job of this node's clients. */
     void verdictReceived(NodeId holder, JobId job, Verdict verdict, long retryMillis);
 
     void withdrawalReceived(NodeId peer, JobId job);
 
-    /** A peer that has connected says which jobs it has open here. */
+    /** Called when a newly connected peer sends the jobs that it has open at this node. */
     void openJobsReceived(NodeId peer, ImmutableSet<JobId> open);
 
-    /** Returns the jobs of this node's clients that the peer has. */
+    /** Returns the jobs of this node's clients that are open at a peer. */
     ImmutableSet<JobId> openJobsAt(NodeId peer);
 
+    /** Cancels a job of this node and returns whether this node knew it. */
     boolean cancel(JobId job);
 
     void cancelAnswerReceived(JobId job, boolean known);
@@ -46,6 +48,6 @@
 
     void endpointsReceived(ImmutableList<EndpointEntry> endpoints);
 
-    /** A peer said where it knows nodes to be. */
+    /** Called when a peer sends the nodes that it knows. */
     void nodesReceived(ImmutableList<Member> nodes);
 }
--- a/tarragonarch-entry/src/main/java/org/tarragonarch/entry/cluster/ReloadSignal.java
+++ b/tarragonarch-entry/src/main/java/org/tarragonarch/entry/cluster/ReloadSignal.java
@@ -4,15 +4,15 @@
 import java.lang.reflect.Proxy;
 
 /**
- * Takes the signal by which operators say that the settings file has changed.
+ * Handles the signal (HUP) by which operators announce a changed settings file.
  *
- * <p>Without a handler the virtual machine ends at this signal, and with it every open request. The class that takes
- * signals is internal to the JDK and is therefore used by name alone: where it is missing, the process keeps the
- * virtual machine's behaviour.
+ * <p>Without a handler this signal ends the Java virtual machine and with it every open request. The signal API is
+ * internal to the JDK and is therefore used by reflection: where it is missing, the signal keeps its default effect.
  */
 final class ReloadSignal {
     private ReloadSignal() {}
 
+    /** Runs a task at each signal; prints a message to standard error if no handler can be installed. */
     static void handle(Runnable task) {
         try {
             Class<?> signal = Class.forName("sun.misc.Signal");
@@ -25,7 +25,7 @@
             Object hangUp = signal.getConstructor(String.class).newInstance("HUP");
             signal.getMethod("handle", signal, handler).invoke(null, hangUp, proxy);
         } catch (ReflectiveOperationException e) {
-            System.err.println("lifecycle HUP: cannot take the signal: " + e);
+            System.err.println("lifecycle HUP: cannot handle the signal: " + e);
         }
     }
 }
--- a/tarragonarch-entry/src/main/java/org/tarragonarch/entry/cluster/ShardLog.java
+++ b/tarragonarch-entry/src/main/java/org/tarragonarch/entry/cluster/ShardLog.java
@@ -16,7 +16,7 @@
 import org.tarragonarch.model.task.JobId;
 import org.tarragonarch.model.task.TaskRun;
 
-/** Writes and counts what happens on the shards that this node holds; docs/OPERATIONS.md explains each line. */
+/** Logs and counts the events of the shards that this node holds. */
 final class ShardLog implements ShardObserver {
     private static final double HUNDREDTHS = 100;
 
--- a/tarragonarch-entry/src/main/java/org/tarragonarch/entry/cluster/ShareMeters.java
+++ b/tarragonarch-entry/src/main/java/org/tarragonarch/entry/cluster/ShareMeters.java
@@ -10,7 +10,7 @@
 import org.tarragonarch.core.share.ShareState;
 import org.tarragonarch.model.share.SharePlan;
 
-/** The meters of shares, in whole cores and by priority; the services' shares of one priority are summed. */
+/** The meters of shares, in cores and by priority; shares of the same priority are summed over services. */
 final class ShareMeters {
     private static final String TAG = "priority";
     private static final double MILLI_CORES_PER_CORE = 1_000;
@@ -28,7 +28,7 @@
         this.usedElsewhere = usedElsewhere;
     }
 
-    /** Registers the gauges of every priority that the plan names. */
+    /** Registers the meters of every priority of a plan. */
     void register(SharePlan plan) {
         for (int priority : plan.priorities()) {
             gauge("tarragonarch.share.allotted.cores", priority, ShareState::allottedMilliCores);
@@ -42,7 +42,7 @@
         }
     }
 
-    /** Returns the counter of refused jobs of a priority. */
+    /** Returns the counter of refused jobs of a priority; registers it if needed. */
     static Counter refusedJobs(MeterRegistry registry, int priority) {
         return Counter.builder("tarragonarch.share.jobs.refused")
                 .tag(TAG, Integer.toString(priority))
--- a/tarragonarch-entry/src/main/java/org/tarragonarch/entry/cluster/ShareSettingsReader.java
+++ b/tarragonarch-entry/src/main/java/org/tarragonarch/entry/cluster/ShareSettingsReader.java
@@ -8,7 +8,7 @@
 import org.tarragonarch.model.share.SharePlan;
 import org.tarragonarch.model.share.ShareSettings;
 
-/** Reads the key {@code shares} of a node's settings: a list with one object for each priority. */
+/** Reads the value of {@code shares} in a node's settings: a list with one object for each priority. */
 final class ShareSettingsReader {
     private static final double NO_GUARANTEE = 0;
     private static final double NO_CEILING = 1;
@@ -16,9 +16,9 @@
     private ShareSettingsReader() {}
 
     /**
-     * Reads the list whose first token is the parser's current one.
+     * Reads the list that starts at the parser's current token.
      *
-     * @throws IOException if it is malformed, or an entry breaks a rule; the message names the entry
+     * @throws IOException if the list is malformed or an entry is invalid; the message names the entry
      */
     static SharePlan read(JsonParser parser) throws IOException {
         if (parser.currentToken() != JsonToken.START_ARRAY) {
--- a/tarragonarch-entry/src/main/java/org/tarragonarch/entry/cluster/package-info.java
+++ b/tarragonarch-entry/src/main/java/org/tarragonarch/entry/cluster/package-info.java
@@ -1,2 +1,2 @@
-/** The node on the users' platform: one event loop that joins the doors, the peers, the store and the endpoints. */
+/** The node on the users' platform: one event loop that serves clients, peers, the store and the endpoints. */
 package org.tarragonarch.entry.cluster;
--- a/tarragonarch-entry/src/main/java/org/tarragonarch/entry/peer/AskedQuestions.java
+++ b/tarragonarch-entry/src/main/java/org/tarragonarch/entry/peer/AskedQuestions.java
@@ -9,18 +9,19 @@
 import org.tarragonarch.model.id.NodeId;
 import org.tarragonarch.model.id.SubmissionId;
 
-/** The questions that this node has put to others and that have no answer yet. Safe for use by several threads. */
+/** The unanswered questions of this node to its peers. Thread-safe. */
 final class AskedQuestions {
     private final AtomicLong last = new AtomicLong();
     private final ConcurrentMap<Long, Asked> open = new ConcurrentHashMap<>();
 
+    /** Adds a question and returns its number. */
     long add(NodeId peer, SubmissionId waiting, ClaimKey key) {
         long question = last.incrementAndGet();
         open.put(question, new Asked(peer, waiting, key));
         return question;
     }
 
-    /** Takes a question out if it was put to this peer; only the first call finds it. */
+    /** Removes and returns a question, if it is open and was sent to this peer. */
     Optional<Asked> remove(long question, NodeId peer) {
         Asked asked = open.get(question);
         return asked != null && asked.peer().equals(peer) && open.remove(question, asked)
--- a/tarragonarch-entry/src/main/java/org/tarragonarch/entry/peer/ConfigurationExchange.java
+++ b/tarragonarch-entry/src/main/java/org/tarragonarch/entry/peer/ConfigurationExchange.java
@@ -16,7 +16,7 @@
 import org.tarragonarch.wire.ConfigurationGiven;
 import org.tarragonarch.wire.Payload;
 
-/** Loads configurations from peers, and gives peers the one in force. Safe for use by several threads. */
+/** Loads configurations from peers and sends peers the configuration in force. Thread-safe. */
 final class ConfigurationExchange {
     private final CatalogInForce catalog;
     private final ConfigurationTexts texts;
@@ -32,48 +32,48 @@
         this.events = checkNotNull(events, "events");
     }
 
-    /** Notes that a peer is asked for a configuration; an earlier question to it fails. */
+    /** Records a question to a peer; an earlier open question to the same peer fails. */
     void recordQuestion(NodeId peer, LoadConfiguration wanted) {
         questions
                 .add(peer, wanted, System.nanoTime())
-                .ifPresent(earlier -> postFailure(earlier, "another version was asked for meanwhile"));
+                .ifPresent(earlier -> postFailure(earlier, "replaced by a question for another version"));
     }
 
-    /** Fails the question to a peer, if it is open. */
+    /** Fails the open question to a peer, if there is one. */
     void failQuestion(NodeId peer, String detail) {
         questions.remove(peer).ifPresent(wanted -> postFailure(wanted, detail));
     }
 
-    /** Fails the questions that were put before a time. */
+    /** Fails the questions that were asked before a time of {@link System#nanoTime}. */
     void expire(long askedBeforeNanos) {
         questions
                 .removeAskedBefore(askedBeforeNanos)
-                .forEach(wanted -> postFailure(wanted, "the peer gave no answer in time"));
+                .forEach(wanted -> postFailure(wanted, "the peer did not answer in time"));
     }
 
-    /** Reads a peer's answer on the executor, if the question to it is open. */
+    /** Loads the answer of a peer on the executor, if a question to the peer is open. */
     void loadAnswer(NodeId peer, ConfigurationGiven given, Executor executor) {
         questions.remove(peer).ifPresent(wanted -> executor.execute(() -> load(peer, wanted, given)));
     }
 
-    /** Returns the answer to a peer's question. */
+    /** Returns the answer to a question of a peer. */
     ConfigurationGiven answer(ConfigurationAsked question) {
-        Optional<ServiceCatalog> now =
+        Optional<ServiceCatalog> current =
                 catalog.catalog().filter(known -> !question.version().newerThan(known.version()));
-        return now.flatMap(known -> texts.find(known)
+        return current.flatMap(known -> texts.find(known)
                         .map(text -> ConfigurationGiven.of(known.version(), known.digest(), Payload.of(text))))
                 .orElseGet(() -> ConfigurationGiven.none(question.version()));
     }
 
     private void load(NodeId peer, LoadConfiguration wanted, ConfigurationGiven given) {
         if (given.canonicalText().isEmpty()) {
-            postFailure(wanted, "the peer has no such version");
+            postFailure(wanted, "the peer does not have this version");
             return;
         }
         boolean same = given.version().equals(wanted.version());
-        Optional<ContentDigest> due = same && wanted.digest().isPresent() ? wanted.digest() : given.digest();
+        Optional<ContentDigest> expected = same && wanted.digest().isPresent() ? wanted.digest() : given.digest();
         byte[] text = given.canonicalText().get().bytes();
-        events.post(loader.load(given.version(), due, text, peer.toString()));
+        events.post(loader.load(given.version(), expected, text, peer.toString()));
     }
 
     private void postFailure(LoadConfiguration wanted, String detail) {
--- a/tarragonarch-entry/src/main/java/org/tarragonarch/entry/peer/ConfigurationQuestions.java
+++ b/tarragonarch-entry/src/main/java/org/tarragonarch/entry/peer/ConfigurationQuestions.java
@@ -7,11 +7,11 @@
 import org.tarragonarch.core.action.LoadConfiguration;
 import org.tarragonarch.model.id.NodeId;
 
-/** The configurations that this node has asked others for. Safe for use by several threads. */
+/** The open questions of this node for configurations, at most one for each peer. Thread-safe. */
 final class ConfigurationQuestions {
     private final ConcurrentMap<NodeId, Open> open = new ConcurrentHashMap<>();
 
-    /** Notes a question; returns an earlier one to the same peer that it takes the place of. */
+    /** Adds a question and returns the earlier open question to the same peer, which it replaces. */
     Optional<LoadConfiguration> add(NodeId peer, LoadConfiguration wanted, long nowNanos) {
         return Optional.ofNullable(open.put(peer, new Open(wanted, nowNanos))).map(Open::wanted);
     }
@@ -20,7 +20,7 @@
         return Optional.ofNullable(open.remove(peer)).map(Open::wanted);
     }
 
-    /** Takes out the questions that were put before a time. */
+    /** Removes and returns the questions that were asked before a time of {@link System#nanoTime}. */
     ImmutableList<LoadConfiguration> removeAskedBefore(long nanos) {
         return open.entrySet().stream()
                 .filter(entry -> entry.getValue().askedNanos - nanos < 0)
--- a/tarragonarch-entry/src/main/java/org/tarragonarch/entry/peer/PeerShell.java
+++ b/tarragonarch-entry/src/main/java/org/tarragonarch/entry/peer/PeerShell.java
@@ -51,14 +51,14 @@
 import org.tarragonarch.wire.ReportFrame;
 
 /**
- * Talks to other entry nodes for the core. No method blocks but {@link #open} and {@link #close}.
+ * Exchanges messages with other entry nodes for the core. Only {@link #open} and {@link #close} block.
  *
- * <p>A question whose connection breaks after it left is neither answered nor given back. So open questions are put
- * again at intervals: a holder that still knows the question passes the repeat over, and one that was restarted says
- * that it knows nothing of the key.
+ * <p>A question whose connection breaks after it was sent is neither answered nor reported as undelivered. Open
+ * questions are therefore repeated periodically: a node that still has the question open ignores the repeat, and one
+ * that was restarted answers that it does not know the key.
  */
 public final class PeerShell implements PeerListener, AutoCloseable {
-    // A little below the longest frame, for the frame's other fields.
+    // The longest frame less space for the frame's other fields.
     private static final int MAX_RESULT_BYTES = FrameCodec.MAX_FRAME_BYTES - 1_024;
     private static final Duration REPEAT_INTERVAL = Duration.ofSeconds(2);
 
@@ -92,7 +92,7 @@
         this.configurations = new ConfigurationExchange(catalog, texts, loader, events);
     }
 
-    /** Returns a shell that does not listen yet. */
+    /** Returns a shell that does not listen until {@link #open} is called. */
     public static PeerShell create(
             NodeIdentity identity,
             BodyStore bodies,
@@ -105,9 +105,9 @@
     }
 
     /**
-     * Takes hold of the peer port.
+     * Starts to listen at the peer port.
      *
-     * @throws StepException if it cannot be had
+     * @throws StepException if the port cannot be bound
      */
     public void open() throws StepException {
         Hello own = Hello.of(identity.node(), identity.incarnation(), identity.domain());
@@ -116,7 +116,7 @@
                 this::repeatQuestions, REPEAT_INTERVAL.toMillis(), REPEAT_INTERVAL.toMillis(), TimeUnit.MILLISECONDS);
     }
 
-    /** Records where the platform lists other nodes; one that is gone from the list keeps its last address. */
+    /** Updates the addresses of other nodes from a VM list; nodes missing from the list keep their last address. */
     public void updateAddresses(Iterable<VmRecord> vms) {
         for (VmRecord vm : vms) {
             if (vm.role() == VmRole.ENTRY) {
@@ -125,25 +125,25 @@
         }
     }
 
-    /** Sends a report. */
+    /** Sends a report to a peer. */
     public void sendReport(SendReport action) {
         metrics.wasted(WasteKind.REPORT);
         network.send(action.peer(), action.address(), new ReportFrame(action.report()));
     }
 
-    /** Asks the node that holds a key for its answer. */
+    /** Asks the node that holds a claim for its answer. */
     public void askAnswer(AskPeerAnswer action) {
         long question = asked.add(action.peer(), action.waiting(), action.key());
         ask(question, action.peer(), new AnswerAsked(question, action.key()));
     }
 
-    /** Gives a peer the answer that it asked for. */
+    /** Sends a peer the answer that it asked for. */
     public void giveAnswer(GivePeerAnswer action) {
-        // The results are looked up now, as the core may evict them next; they are put together elsewhere.
+        // The results are looked up here, as the core may evict them later, and are joined on the worker thread.
         Optional<ImmutableList<byte[]>> results = action.submission().flatMap(bodies::results);
         received.remove(action.question())
-                .ifPresent(question -> runOnWorker(() ->
-                        network.reply(question.peer(), question.run(), answer(action, results, question.question()))));
+                .ifPresent(question -> runOnWorker(() -> network.reply(
+                        question.peer(), question.incarnation(), answer(action, results, question.question()))));
     }
 
     /** Asks a peer for a configuration. */
@@ -152,22 +152,22 @@
         configurations.recordQuestion(peer, action);
         Address address = addresses.get(peer);
         if (address == null) {
-            configurations.failQuestion(peer, "the peer's address is not known");
+            configurations.failQuestion(peer, "the address of the peer is unknown");
             return;
         }
         network.send(peer, address, new ConfigurationAsked(action.version()));
     }
 
     @Override
-    public void received(NodeId peer, Incarnation run, Frame frame) {
+    public void received(NodeId peer, Incarnation incarnation, Frame frame) {
         if (frame instanceof ReportFrame report) {
             events.post(new PeerReported(report.report()));
         } else if (frame instanceof AnswerAsked question) {
-            answerAsked(peer, run, question);
+            answerAsked(peer, incarnation, question);
         } else if (frame instanceof AnswerGiven given) {
             asked.remove(given.question(), peer).ifPresent(question -> answerGiven(question, given));
         } else if (frame instanceof ConfigurationAsked question) {
-            network.reply(peer, run, configurations.answer(question));
+            network.reply(peer, incarnation, configurations.answer(question));
         } else if (frame instanceof ConfigurationGiven given) {
             configurations.loadAnswer(peer, given, this::runOnWorker);
         }
@@ -178,7 +178,7 @@
         if (frame instanceof AnswerAsked question) {
             asked.remove(question.question(), peer).ifPresent(this::postUnavailable);
         } else if (frame instanceof ConfigurationAsked) {
-            configurations.failQuestion(peer, "the peer cannot be reached");
+            configurations.failQuestion(peer, "the peer is unreachable");
         }
     }
 
@@ -204,15 +204,15 @@
             if (bodies.contains(open.waiting())) {
                 ask(question, open.peer(), new AnswerAsked(question, open.key()));
             } else {
-                // The core has answered it meanwhile, by its deadline for instance.
+                // The core has answered the submission, for instance at its deadline.
                 asked.remove(question, open.peer());
             }
         });
         configurations.expire(System.nanoTime() - REPEAT_INTERVAL.toNanos());
     }
 
-    private void answerAsked(NodeId peer, Incarnation run, AnswerAsked question) {
-        received.add(new ReceivedQuestions.Received(peer, run, question.question()))
+    private void answerAsked(NodeId peer, Incarnation incarnation, AnswerAsked question) {
+        received.add(new ReceivedQuestions.Received(peer, incarnation, question.question()))
                 .ifPresent(number -> events.post(new PeerAnswerAsked(peer, number, question.key())));
     }
 
@@ -245,8 +245,8 @@
             postUnavailable(question);
             return;
         }
-        boolean whole = bodies.results(question.waiting()).isPresent();
-        postAnswer(question, whole ? PeerAnswer.COMPLETE : PeerAnswer.NOT_TO_BE_HAD, Optional.empty());
+        boolean complete = bodies.results(question.waiting()).isPresent();
+        postAnswer(question, complete ? PeerAnswer.COMPLETE : PeerAnswer.NOT_TO_BE_HAD, Optional.empty());
     }
 
     private void postUnavailable(AskedQuestions.Asked question) {
@@ -261,7 +261,7 @@
         try {
             worker.execute(task);
         } catch (RejectedExecutionException e) {
-            // The node has stopped; nobody waits for what came.
+            // The node has stopped, so the message no longer matters.
             return;
         }
     }
--- a/tarragonarch-entry/src/main/java/org/tarragonarch/entry/peer/ReceivedQuestions.java
+++ b/tarragonarch-entry/src/main/java/org/tarragonarch/entry/peer/ReceivedQuestions.java
@@ -7,10 +7,10 @@
 import org.tarragonarch.model.id.NodeId;
 
 /**
- * The questions that other nodes have put to this one, under numbers of this node.
+ * The open questions of other nodes to this node, each under a number assigned by this node. Thread-safe.
  *
- * <p>A peer numbers its questions anew in each run, so its own number does not tell two runs apart: the answer to a
- * question of an earlier run would reach a caller of the later one. Safe for use by several threads.
+ * <p>A peer's own numbers start again with each incarnation. With them, the answer to a question of an earlier
+ * incarnation could reach a caller of the later one.
  */
 final class ReceivedQuestions {
     private static final int MAX_OPEN = 10_000;
@@ -18,7 +18,7 @@
     private final BiMap<Long, Received> open = HashBiMap.create();
     private long last;
 
-    /** Returns this node's number for a question; empty if it came before and is open, or there are too many. */
+    /** Adds a question and returns its number; empty if the question is already open or too many are open. */
     synchronized Optional<Long> add(Received question) {
         if (open.size() >= MAX_OPEN || open.containsValue(question)) {
             return Optional.empty();
@@ -31,5 +31,5 @@
         return Optional.ofNullable(open.remove(number));
     }
 
-    record Received(NodeId peer, Incarnation run, long question) {}
+    record Received(NodeId peer, Incarnation incarnation, long question) {}
 }
--- a/tarragonarch-entry/src/main/java/org/tarragonarch/entry/peer/package-info.java
+++ b/tarragonarch-entry/src/main/java/org/tarragonarch/entry/peer/package-info.java
@@ -1,2 +1,2 @@
-/** The messages from and to other entry nodes. */
+/** The exchange of messages with other entry nodes. */
 package org.tarragonarch.entry.peer;
--- a/tarragonarch-entry/src/test/java/org/tarragonarch/entry/body/BodyStoreTest.java
+++ b/tarragonarch-entry/src/test/java/org/tarragonarch/entry/body/BodyStoreTest.java
@@ -40,7 +40,7 @@
         assertEquals(store.bytes(), 0);
     }
 
-    // A second answer for a task, from whatever cause, must not change what a caller gets.
+    // Guards against a second answer for a task that changes the result that a caller receives.
     @Test
     public void testPutResult_firstResultKept() {
         store.put(FIRST, content(1));
@@ -50,7 +50,7 @@
         store.remove(FIRST);
     }
 
-    /** Guards against callers refused for minutes since kept results fill the store of bodies. */
+    /** Guards against callers that are refused for minutes because stored results fill the store. */
     @Test
     public void testPut_evictsAnsweredResults() {
         BodyStore full = BodyStore.create(10);
--- a/tarragonarch-entry/src/test/java/org/tarragonarch/entry/caller/CallerApiTest.java
+++ b/tarragonarch-entry/src/test/java/org/tarragonarch/entry/caller/CallerApiTest.java
@@ -71,7 +71,7 @@
         assertEquals(arrived.timeAllowed(), Optional.of(Duration.ofMillis(1_500)));
         assertEquals(arrived.tasks().get(0).declaredRunTime(), Optional.of(Duration.ofMillis(200)));
         assertEquals(arrived.tasks().get(0).bodyBytes(), 28);
-        Eventually.check("bodies are dropped", () -> fixture.bodies.bytes() == 0);
+        Eventually.check("bodies are removed", () -> fixture.bodies.bytes() == 0);
     }
 
     @Test
@@ -100,7 +100,7 @@
             {REQUESTS, "{\"input\":1} x", "not JSON"},
             {REQUESTS, "{\"input\":1} 2", "after the end"},
             {REQUESTS, "{}", "no 'input'"},
-            {REQUESTS, "{\"input\":1,\"input\":2}", "'input' stands twice"},
+            {REQUESTS, "{\"input\":1,\"input\":2}", "'input' appears twice"},
             {REQUESTS, "{\"input\":1,\"inputs\":2}", "'inputs' is not known"},
             {REQUESTS, "{\"input\":1,\"expected-run-time\":200}", "expected-run-time"},
             {REQUESTS, "{\"input\":1,\"expected-run-time\":\"soon\"}", "'soon'"},
@@ -194,7 +194,7 @@
         try (RawClient first = fixture.connect();
                 RawClient second = fixture.connect()) {
             first.send(RawClient.post(REQUESTS, "{\"input\":12345678}"));
-            Eventually.check("the first is in", () -> fixture.bodies.bytes() == 8);
+            Eventually.check("the first request is stored", () -> fixture.bodies.bytes() == 8);
             RawClient.Answer answer =
                     second.send(RawClient.post(REQUESTS, "{\"input\":123}")).read();
             assertProblem(answer, 429, "not-run", "queue-full");
@@ -219,11 +219,11 @@
             assertTrue(answer.body().contains("\"peer\":\"hobart-w1\""), answer.body());
             assertTrue(answer.body().contains("\"id\":\"hobart-1_7_1\",\"request-id\":\"r\""), answer.body());
         }
-        Eventually.check("bodies are dropped", () -> fixture.bodies.submissionCount() == 0);
+        Eventually.check("bodies are removed", () -> fixture.bodies.submissionCount() == 0);
     }
 
-    // A caller sends an upload twice under one key. Both callers get the results of the one run, also when the second
-    // comes after the first was answered; the results go once the core forgets them.
+    // Guards against a repeated request under one idempotency key that is not answered with the results of the first
+    // after the first was answered, and against results that stay stored after the core forgets them.
     @Test
     public void testSameKey_resultsKeptUntilForgotten() throws Exception {
         start((arrived, sink) -> {
@@ -240,7 +240,7 @@
             assertTrue(client.send(keyed).read().body().endsWith("_1\",\"result\":\"text\"}"));
             assertTrue(client.send(keyed).read().body().endsWith("_2\",\"result\":\"text\"}"));
         }
-        Eventually.check("bodies are dropped", () -> fixture.bodies.submissionCount() == 0);
+        Eventually.check("bodies are removed", () -> fixture.bodies.submissionCount() == 0);
         assertEquals(fixture.bodies.bytes(), 0);
     }
 
@@ -260,17 +260,19 @@
         assertNotEquals(arrived.get(3).content(), arrived.get(0).content());
     }
 
-    // An author closes the upload page while the check still waits. Work that nobody waits for must not start.
+    // Guards against tasks that start although their caller closed the connection while they were queued.
     @Test
     public void testHangUp_cancels() throws Exception {
         start(NEVER);
         RawClient client = fixture.connect();
         client.send(RawClient.post(REQUESTS, "{\"input\":1}"));
         Eventually.check(
-                "it arrived", () -> core.events(SubmissionArrived.class).size() == 1);
+                "the submission arrives",
+                () -> core.events(SubmissionArrived.class).size() == 1);
         client.close();
         Eventually.check(
-                "it is cancelled", () -> core.events(CancelRequested.class).size() == 1);
+                "the submission is cancelled",
+                () -> core.events(CancelRequested.class).size() == 1);
         assertEquals(
                 core.events(CancelRequested.class).get(0),
                 new CancelRequested(core.events(SubmissionArrived.class).get(0).id(), CancelCause.HANG_UP));
@@ -295,11 +297,13 @@
                 RawClient client = fixture.connect()) {
             waiting.send(RawClient.post(REQUESTS, "{\"input\":1}", "Request-Id: up-1"));
             Eventually.check(
-                    "it arrived", () -> core.events(SubmissionArrived.class).size() == 1);
+                    "the submission arrives",
+                    () -> core.events(SubmissionArrived.class).size() == 1);
             String delete = RawClient.post("/v1/submissions/up-1", "").replaceFirst("POST", "DELETE");
             assertEquals(client.send(delete).read().status(), 202);
             Eventually.check(
-                    "it is cancelled", () -> core.events(CancelRequested.class).size() == 1);
+                    "the submission is cancelled",
+                    () -> core.events(CancelRequested.class).size() == 1);
             assertEquals(core.events(CancelRequested.class).get(0).cause(), CancelCause.CALLER);
             assertEquals(client.send(delete.replace("up-1", "up-2")).read().status(), 404);
         }
--- a/tarragonarch-entry/src/test/java/org/tarragonarch/entry/caller/CallerFixture.java
+++ b/tarragonarch-entry/src/test/java/org/tarragonarch/entry/caller/CallerFixture.java
@@ -31,7 +31,7 @@
 import org.tarragonarch.model.service.CallerDefinition;
 import org.tarragonarch.model.service.ServiceCatalog;
 
-/** The caller API on a real port and a real control thread, with a fake core behind it. */
+/** The caller API on a real port with a real control thread and a fake core. */
 public final class CallerFixture implements AutoCloseable {
     static final String TOKEN = "the-token-of-the-upload-page";
 
@@ -88,7 +88,7 @@
         return RawClient.connect(server.port());
     }
 
-    /** Carries an action out as the daemon would, from any thread that stands for the control thread. */
+    /** Performs an action as the daemon does, on the calling thread in place of the control thread. */
     void perform(Action action) {
         if (action instanceof AnswerComplete complete) {
             answers.answerComplete(complete);
--- a/tarragonarch-entry/src/test/java/org/tarragonarch/entry/caller/CallerLimitsTest.java
+++ b/tarragonarch-entry/src/test/java/org/tarragonarch/entry/caller/CallerLimitsTest.java
@@ -66,7 +66,7 @@
         }
     }
 
-    // A client without an end to its body must not fill the node's memory, nor wait for an answer that is certain.
+    // Guards against an endless body that fills the node's memory, or whose refusal is sent only at its end.
     @Test
     public void testEndlessChunks() throws Exception {
         start(LONG, Duration.ofMillis(400), LONG);
@@ -104,7 +104,7 @@
         assertCut("not-http");
     }
 
-    // A sender that gives one byte of its head now and then would hold a connection for ever, were only silence timed.
+    // Guards against a client that keeps a connection open indefinitely by sending its headers one byte at a time.
     @Test
     public void testSlowHead() throws Exception {
         start(LONG, SHORT, LONG);
@@ -142,13 +142,15 @@
         for (int i = 0; i < 3; i++) {
             held.add(fixture.connect());
         }
-        Eventually.check("three are open", () -> fixture.metrics.scrape().contains("port=\"caller\"} 3.0"));
+        Eventually.check(
+                "three connections are open", () -> fixture.metrics.scrape().contains("port=\"caller\"} 3.0"));
         try (RawClient client = fixture.connect()) {
             assertTrue(client.closedByServer());
         }
         assertCut("too-many-connections");
         held.get(0).close();
-        Eventually.check("there is room again", () -> fixture.metrics.scrape().contains("port=\"caller\"} 2.0"));
+        Eventually.check(
+                "one connection is closed", () -> fixture.metrics.scrape().contains("port=\"caller\"} 2.0"));
         assertEquals(
                 held.get(1)
                         .send(RawClient.post(REQUESTS, "{\"input\":1}"))
@@ -157,7 +159,7 @@
                 429);
     }
 
-    // A caller that stops reading in the middle of a large answer must not hold the answer's memory for ever.
+    // Guards against a caller that stops reading during a large answer and keeps the answer in memory indefinitely.
     @Test
     public void testSlowReader() throws Exception {
         byte[] large = ("\"" + "x".repeat(30 << 20) + "\"").getBytes(StandardCharsets.UTF_8);
@@ -174,8 +176,8 @@
                 "the connection is closed", () -> fixture.metrics.scrape().contains("port=\"caller\"} 0.0"));
     }
 
-    // A caller sends a small request and at once a huge one on the same connection. The huge one can be answered before
-    // it is read; were it so, the caller would take that answer for the small one's.
+    // Guards against answers in the wrong order: a caller pipelines a small request and an oversized one, which can be
+    // refused before the small one is answered. The caller would take the refusal for the answer to the small one.
     @Test
     public void testOversizedBody_answeredInOrder() throws Exception {
         core = new FakeCore((arrived, sink) -> {});
@@ -183,7 +185,8 @@
         try (RawClient client = fixture.connect()) {
             client.send(RawClient.post(REQUESTS, "{\"input\":1}") + RawClient.post(REQUESTS, "x".repeat(20_000)));
             Eventually.check(
-                    "it arrived", () -> core.events(SubmissionArrived.class).size() == 1);
+                    "the submission arrives",
+                    () -> core.events(SubmissionArrived.class).size() == 1);
             fixture.perform(refusal(core.events(SubmissionArrived.class).get(0)));
             assertEquals(client.read().status(), 429);
             assertEquals(client.read().status(), 413);
--- a/tarragonarch-entry/src/test/java/org/tarragonarch/entry/caller/ContentDigestTest.java
+++ b/tarragonarch-entry/src/test/java/org/tarragonarch/entry/caller/ContentDigestTest.java
@@ -7,9 +7,9 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** Guards against a change of the digest of a submission, which claims in the store hold, through a rename. */
+/** Guards against a rename that changes the digest of a submission, which is stored in claims. */
 public final class ContentDigestTest {
-    /** A path, a body and the SHA-256 digest of the form's word, the kind and the body. */
+    /** Returns rows of a path, a body, and the SHA-256 digest of the form's name, the kind and the body. */
     @DataProvider
     public Object[][] submissions() {
         return new Object[][] {
@@ -33,7 +33,8 @@
                 RawClient client = fixture.connect()) {
             client.send(RawClient.post(path, body));
             Eventually.check(
-                    "it arrived", () -> core.events(SubmissionArrived.class).size() == 1);
+                    "the submission arrives",
+                    () -> core.events(SubmissionArrived.class).size() == 1);
             assertEquals(core.events(SubmissionArrived.class).get(0).content().hex(), digest);
         }
     }
--- a/tarragonarch-entry/src/test/java/org/tarragonarch/entry/caller/FakeCore.java
+++ b/tarragonarch-entry/src/test/java/org/tarragonarch/entry/caller/FakeCore.java
@@ -14,7 +14,7 @@
 import org.tarragonarch.model.id.NodeId;
 import org.tarragonarch.model.report.NodePhase;
 
-/** A core that keeps what it is told and does what a test says with submissions. */
+/** A core that records events and handles submissions as a test specifies. */
 public final class FakeCore implements NodeCore {
     private final List<Event> events = new CopyOnWriteArrayList<>();
     private final OnArrival onArrival;
@@ -23,12 +23,12 @@
         this.onArrival = onArrival;
     }
 
-    /** Returns every event so far, in its order. */
+    /** Returns all events so far, in order of arrival. */
     public List<Event> events() {
         return events;
     }
 
-    /** Returns the events of one type. */
+    /** Returns the events of one type so far, in order of arrival. */
     public <T extends Event> List<T> events(Class<T> type) {
         return events.stream().filter(type::isInstance).map(type::cast).toList();
     }
@@ -56,6 +56,7 @@
                 ImmutableList.of());
     }
 
+    /** Handles a submission. */
     public interface OnArrival {
         void arrived(SubmissionArrived arrived, ActionSink sink);
     }
--- a/tarragonarch-entry/src/test/java/org/tarragonarch/entry/caller/InterleavedAnswersTest.java
+++ b/tarragonarch-entry/src/test/java/org/tarragonarch/entry/caller/InterleavedAnswersTest.java
@@ -22,9 +22,8 @@
 import org.testng.annotations.Test;
 
 /**
- * A desk's connection carries the availability checks of many customers, and their answers become ready in any order.
- * Were one written to the wrong request, a customer would be told of another's domain. So every answer must be the
- * whole one to its own request, also where requests are pipelined and the core answers late and out of order.
+ * Guards against an answer that is sent to the wrong request or mixed with another, when requests are pipelined on one
+ * connection and the core answers them late and out of order.
  */
 public final class InterleavedAnswersTest {
     private static final int CONNECTIONS = 8;
@@ -55,7 +54,7 @@
                 answered += client.get(60, TimeUnit.SECONDS);
             }
             assertEquals(answered, CONNECTIONS * REQUESTS_EACH);
-            Eventually.check("bodies are dropped", () -> fixture.bodies.submissionCount() == 0);
+            Eventually.check("bodies are removed", () -> fixture.bodies.submissionCount() == 0);
         } finally {
             threads.shutdownNow();
         }
@@ -67,16 +66,16 @@
             int answered = 0;
             try (RawClient client = fixture.connect()) {
                 while (answered < REQUESTS_EACH) {
-                    int row = Math.min(1 + random.nextInt(MAX_PIPELINED), REQUESTS_EACH - answered);
+                    int batch = Math.min(1 + random.nextInt(MAX_PIPELINED), REQUESTS_EACH - answered);
                     StringBuilder requests = new StringBuilder();
-                    for (int i = 0; i < row; i++) {
+                    for (int i = 0; i < batch; i++) {
                         requests.append(request(connection, answered + i));
                     }
                     client.send(requests.toString());
-                    for (int i = 0; i < row; i++) {
+                    for (int i = 0; i < batch; i++) {
                         check(client.read(), connection, answered + i);
                     }
-                    answered += row;
+                    answered += batch;
                 }
             }
             return answered;
@@ -103,7 +102,7 @@
         return "\"" + "n".repeat(number % 50) + connection + "-" + number + ".example\"";
     }
 
-    // Takes what waits, shuffles it and answers it, for as long as the test runs.
+    // Answers waiting submissions in random order until interrupted.
     private void answerOutOfOrder() {
         Random order = new Random(SEED);
         List<SubmissionArrived> waiting = new ArrayList<>();
--- a/tarragonarch-entry/src/test/java/org/tarragonarch/entry/caller/RawClient.java
+++ b/tarragonarch-entry/src/test/java/org/tarragonarch/entry/caller/RawClient.java
@@ -8,7 +8,7 @@
 import java.net.SocketTimeoutException;
 import java.nio.charset.StandardCharsets;
 
-/** An HTTP client over one plain socket, which may send what it likes when it likes. */
+/** An HTTP client over one plain socket that can send arbitrary text. */
 final class RawClient implements AutoCloseable {
     private static final int TIMEOUT_MILLIS = 10_000;
 
@@ -50,25 +50,25 @@
         return this;
     }
 
-    /** Reads one answer, by its length. */
+    /** Reads one answer, whose length is given by its Content-Length header. */
     Answer read() throws IOException {
         StringBuilder head = new StringBuilder();
         while (head.indexOf("\r\n\r\n") < 0) {
             int next = in.read();
             if (next < 0) {
-                throw new IOException("closed after '" + head + "'");
+                throw new IOException("connection closed after '" + head + "'");
             }
             head.append((char) next);
         }
         int length = Integer.parseInt(header(head.toString(), "content-length"));
         byte[] body = in.readNBytes(length);
         if (body.length < length) {
-            throw new IOException("cut short");
+            throw new IOException("connection closed in the middle of the body");
         }
         return new Answer(head.toString(), new String(body, StandardCharsets.UTF_8));
     }
 
-    /** Returns whether the server closes the connection without sending more. */
+    /** Returns whether the server closes the connection without sending more; waits up to the read timeout. */
     boolean closedByServer() {
         try {
             return in.read() < 0;
--- a/tarragonarch-entry/src/test/java/org/tarragonarch/entry/cluster/ClusterNodeTest.java
+++ b/tarragonarch-entry/src/test/java/org/tarragonarch/entry/cluster/ClusterNodeTest.java
@@ -22,7 +22,7 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** Real nodes on real sockets, with stand-ins for the store and the endpoints: the whole way of a job. */
+/** Jobs through real nodes on real sockets, with stand-ins for the store and the endpoints. */
 public final class ClusterNodeTest {
     private static final Duration TIMEOUT = Duration.ofSeconds(30);
     private static final int PORTS_PER_NODE = 4;
@@ -70,7 +70,7 @@
         assertEquals(status(post(node, "unknown", 3)), 404);
     }
 
-    /** A queue is added and another dropped: both are in force on every node without a restart. */
+    /** Guards against an added or removed queue that takes effect only after a restart. */
     @Test
     public void testConfiguration_changes() throws Exception {
         store.configure(QUEUES.formatted(3, "a"));
@@ -81,7 +81,7 @@
         assertEquals(status(post(node, "a", 77)), 404);
     }
 
-    /** Guards against a queue refused as unknown that was added as a silent store came back. */
+    /** Guards against a queue reported as unknown that was added while the store did not answer. */
     @Test
     public void testConfiguration_changesWhileStoreSilent() throws Exception {
         store.configure(QUEUES.formatted(3, "a"));
@@ -98,7 +98,7 @@
         awaitStatus(node, "a", 404);
     }
 
-    /** Guards against callers refused for two seconds or more after the holder was killed. */
+    /** Guards against clients that are refused for two seconds or more after the holder was killed. */
     @Test
     public void testHolderKilled_otherNodeServes() throws Exception {
         store.configure(QUEUES.formatted(3, "a"));
@@ -118,7 +118,7 @@
         Files.writeString(file, "{ \"configuration-millis\": 99 }");
         try {
             ClusterSettings.read(file);
-            fail("99 ms leave no time for a call that waits");
+            fail("99 ms leave no time for a waiting call");
         } catch (StepException e) {
             assertTrue(e.getMessage().contains("wrong settings"), e.getMessage());
         } finally {
@@ -126,7 +126,7 @@
         }
     }
 
-    /** Guards against a node that starts with a division of capacity that nobody meant. */
+    /** Guards against a node that starts with an invalid share, or an error message that does not name it. */
     @Test
     public void testSettings_wrongShare() throws IOException {
         Path file = Files.createTempFile("settings", ".jsonc");
@@ -190,12 +190,12 @@
         }
     }
 
-    /** Sends new jobs until one gets the status, as clients come back after a refusal. */
-    private void awaitStatus(ClusterSettings node, String queue, int wanted) throws Exception {
+    /** Sends new jobs until one is answered with the status, like clients that retry after a refusal. */
+    private void awaitStatus(ClusterSettings node, String queue, int expected) throws Exception {
         long until = System.nanoTime() + TIMEOUT.toNanos();
         int job = 1_000;
-        while (status(post(node, queue, job++)) != wanted) {
-            assertTrue(System.nanoTime() < until, "no answer " + wanted);
+        while (status(post(node, queue, job++)) != expected) {
+            assertTrue(System.nanoTime() < until, "no answer with status " + expected);
             Thread.sleep(10);
         }
     }
--- a/tarragonarch-entry/src/test/java/org/tarragonarch/entry/cluster/ConfigurationInForceTest.java
+++ b/tarragonarch-entry/src/test/java/org/tarragonarch/entry/cluster/ConfigurationInForceTest.java
@@ -11,9 +11,9 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** What a node says of queues while its configuration is confirmed, and while it may be out of date. */
+/** Queue lookups while the configuration is confirmed and while it may be out of date. */
 public final class ConfigurationInForceTest {
-    /** How soon after its confirmation a change must be in force. */
+    /** The time within which a confirmed change must be in force. */
     private static final long IN_FORCE_MILLIS = 2_000;
 
     private SettableTimers timers;
@@ -48,7 +48,7 @@
         assertEquals(find("b"), QueueLookup.Result.UNKNOWN);
     }
 
-    /** Guards against a queue refused as unknown by a node that has not read the store since it was added. */
+    /** Guards against a queue reported as unknown by a node that has not read the store since the queue was added. */
     @Test
     public void testFind_outOfDate() {
         configuration.updateIfNewer(version(3, "a"), "store");
@@ -60,7 +60,7 @@
         assertEquals(find("b"), QueueLookup.Result.UNKNOWN);
     }
 
-    /** Guards against a queue refused as unknown by a configuration that only a peer has confirmed. */
+    /** Guards against a queue reported as unknown by a node whose configuration came from a peer only. */
     @Test
     public void testFind_receivedFromPeerOnly() {
         configuration.updateIfNewer(version(3, "a"), "hobart-2");
@@ -68,7 +68,7 @@
         assertEquals(find("b"), QueueLookup.Result.UNCERTAIN);
     }
 
-    /** Guards against a queue refused as unknown after a suspension that the steady clock does not count. */
+    /** Guards against a queue reported as unknown after a suspension, which the monotonic clock does not count. */
     @Test
     public void testFind_afterSuspension() {
         configuration.updateIfNewer(version(3, "a"), "store");
@@ -78,10 +78,10 @@
         configuration.confirm(timers.nowMillis());
         assertEquals(find("b"), QueueLookup.Result.UNKNOWN);
         wall -= 60_000;
-        assertEquals(find("b"), QueueLookup.Result.UNKNOWN, "a clock that is set back makes nothing older");
+        assertEquals(find("b"), QueueLookup.Result.UNKNOWN, "a clock that is set back must not age the confirmation");
     }
 
-    /** Guards against a queue refused as unknown while a newer version exists that the node cannot read. */
+    /** Guards against a queue reported as unknown while the store has a newer version that is unreadable. */
     @Test
     public void testFind_newestIsUnreadable() {
         configuration.updateIfNewer(version(3, "a"), "store");
--- a/tarragonarch-entry/src/test/java/org/tarragonarch/entry/cluster/DecisionLogTest.java
+++ b/tarragonarch-entry/src/test/java/org/tarragonarch/entry/cluster/DecisionLogTest.java
@@ -34,23 +34,23 @@
                         + "\"peer\":\"a\\\"b c\",\"after-ms\":700,\"known\":true}"));
     }
 
-    /** Guards against requests that hang behind a full log pipe, or dropped lines that are not counted. */
+    /** Guards against requests that block on a full log pipe, and against dropped lines that are not counted. */
     @Test
     public void testWrite_readerBlocked() throws InterruptedException {
         Lines lines = new Lines(2_002);
         DecisionLog log = new DecisionLog("hobart-1", lines.print(), new TestClock(Duration.ofMillis(10)));
-        CountDownLatch reading = lines.hold();
+        CountDownLatch blocked = lines.block();
         log.start();
         for (int i = 0; i < 3_000; i++) {
             log.write(NodeEvent.JOB_ANSWERED, "job", i);
         }
         assertTrue(log.droppedLines() >= 900, "dropped " + log.droppedLines());
-        reading.countDown();
+        blocked.countDown();
         List<String> written = lines.await();
         assertTrue(written.stream().anyMatch(line -> line.contains("\"log-lines-dropped\"")), written.toString());
     }
 
-    /** An overload refuses thousands a second; their lines must not take the time that is needed to answer. */
+    /** Guards against log lines of thousands of refusals a second that take the processor time needed for answers. */
     @Test
     public void testWrite_rateLimited() throws InterruptedException {
         Lines lines = new Lines(202);
@@ -61,14 +61,14 @@
             log.write(NodeEvent.JOB_DECLINED, "job", i);
         }
         log.write(NodeEvent.PEER_LOST, "peer", "devonport-1");
-        clock.pass(Duration.ofSeconds(1));
+        clock.advance(Duration.ofSeconds(1));
         log.write(NodeEvent.JOB_DECLINED, "job", 5_000);
         List<String> written = lines.await();
         assertTrue(written.get(200).contains("peer-lost"), written.get(200));
         assertTrue(written.get(201).endsWith(",\"skipped-before\":4800}"), written.get(201));
     }
 
-    /** The time of day steps back by minutes; the lines of those minutes are the ones that are needed then. */
+    /** Guards against a log that stays silent after the time of day steps back, until it catches up. */
     @Test
     public void testWrite_clockStepsBack() throws InterruptedException {
         Lines lines = new Lines(202);
@@ -76,21 +76,21 @@
         DecisionLog log = new DecisionLog("hobart-1", lines.print(), clock);
         log.start();
         log.write(NodeEvent.PEER_LOST, "peer", "a");
-        clock.pass(Duration.ofMinutes(-5));
+        clock.advance(Duration.ofMinutes(-5));
         for (int i = 0; i < 201; i++) {
             log.write(NodeEvent.PEER_LOST, "peer", "b");
         }
-        clock.pass(Duration.ofMinutes(-5));
+        clock.advance(Duration.ofMinutes(-5));
         log.write(NodeEvent.PEER_LOST, "peer", "c");
         assertTrue(lines.await().get(201).contains("\"peer\":\"c\""));
         assertEquals(log.droppedLines(), 0);
     }
 
-    /** Collects lines; its writer can be held up. */
+    /** A stream that collects lines and can block its writer. */
     private static final class Lines extends OutputStream {
         private final ByteArrayOutputStream bytes = new ByteArrayOutputStream();
         private final CountDownLatch wanted;
-        private CountDownLatch held = new CountDownLatch(0);
+        private CountDownLatch gate = new CountDownLatch(0);
 
         Lines(int wanted) {
             this.wanted = new CountDownLatch(wanted);
@@ -100,13 +100,13 @@
             return new PrintStream(this, true, StandardCharsets.UTF_8);
         }
 
-        CountDownLatch hold() {
-            held = new CountDownLatch(1);
-            return held;
+        CountDownLatch block() {
+            gate = new CountDownLatch(1);
+            return gate;
         }
 
         List<String> await() throws InterruptedException {
-            assertTrue(wanted.await(10, TimeUnit.SECONDS), "lines missing: " + wanted.getCount());
+            assertTrue(wanted.await(10, TimeUnit.SECONDS), "missing lines: " + wanted.getCount());
             synchronized (this) {
                 return bytes.toString(StandardCharsets.UTF_8).lines().toList();
             }
@@ -115,7 +115,7 @@
         @Override
         public void write(int b) throws IOException {
             try {
-                held.await();
+                gate.await();
             } catch (InterruptedException e) {
                 throw new IOException(e);
             }
@@ -128,7 +128,7 @@
         }
     }
 
-    /** Shows the time that is set, and moves on by a fixed step at each look. */
+    /** A settable clock that advances by a fixed step at each reading. */
     private static final class TestClock extends Clock {
         private final Duration step;
         private Instant now = NOON;
@@ -137,7 +137,7 @@
             this.step = step;
         }
 
-        void pass(Duration time) {
+        void advance(Duration time) {
             now = now.plus(time);
         }
 
@@ -153,7 +153,7 @@
 
         @Override
         public synchronized Instant instant() {
-            pass(step);
+            advance(step);
             return now;
         }
     }
--- a/tarragonarch-entry/src/test/java/org/tarragonarch/entry/cluster/EndpointRowsTest.java
+++ b/tarragonarch-entry/src/test/java/org/tarragonarch/entry/cluster/EndpointRowsTest.java
@@ -14,7 +14,7 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** Rows of the endpoints' table, some of them not by endpoints. */
+/** Rows of the endpoints' table, including rows that endpoints did not write. */
 public final class EndpointRowsTest {
     private static final String GOOD = "{\"Service\":\"s\",\"Addr\":\"10.0.0.9:8080\",\"Zone\":\"hobart\","
             + "\"State\":\"ready\",\"Capacity\":{\"Cpu\":16000,\"MemMb\":32768}}";
@@ -53,7 +53,7 @@
                 .collect(ImmutableList.toImmutableList());
     }
 
-    /** Guards against a follower that stops at a key that is not that of an endpoint. */
+    /** Guards against a follower that stops at a key that is not an endpoint id. */
     @Test
     public void testChanged_foreignKey() {
         rows.changed(page(row("Not An Id", "x"), row("w-1", GOOD)));
@@ -61,7 +61,7 @@
         assertEquals(listed(), ImmutableList.of("w-1", "w-2"));
     }
 
-    /** An endpoint's entry is written over by another program: it gets nothing new until its next heartbeat. */
+    /** Guards against an endpoint that stays in use after another program overwrote its entry, before a heartbeat. */
     @Test
     public void testChanged_entryOverwritten() {
         rows.changed(page(row("w-1", GOOD), row("w-2", GOOD)));
@@ -73,7 +73,7 @@
         assertEquals(meters.scrape().contains("tarragonarch_endpoint_rows_unreadable_total 1.0"), true);
     }
 
-    /** Guards against an entry written over, without its start, that stays in use because the list was read whole. */
+    /** Guards against an endpoint whose overwritten entry lacks its start time and stays in use after a full read. */
     @Test
     public void testReplaced_entryOverwritten() {
         String started = "{\"born\":1700000000000," + GOOD.substring(1);
--- a/tarragonarch-entry/src/test/java/org/tarragonarch/entry/cluster/MeterNamesTest.java
+++ b/tarragonarch-entry/src/test/java/org/tarragonarch/entry/cluster/MeterNamesTest.java
@@ -14,7 +14,7 @@
 
 /** The names and labels of the meters of a node on the users' platform. */
 public final class MeterNamesTest {
-    /** Guards against a renamed constant that changes a label on which alerts and dashboards rely. */
+    /** Guards against a renamed constant that changes a label used by alerts and dashboards. */
     @Test
     public void testScrape_seriesNames() throws IOException {
         SettableTimers timers = new SettableTimers();
--- a/tarragonarch-entry/src/test/java/org/tarragonarch/entry/cluster/NodeMetersTest.java
+++ b/tarragonarch-entry/src/test/java/org/tarragonarch/entry/cluster/NodeMetersTest.java
@@ -16,7 +16,7 @@
 import org.tarragonarch.model.store.StoreResult;
 import org.testng.annotations.Test;
 
-/** What an on-call engineer sees of a node that cannot hear the store. */
+/** The metrics that show slow endpoints, full shares and an unreachable store. */
 public final class NodeMetersTest {
     private static final byte[] CONFIGURATION = "{\"Version\":9}".getBytes(StandardCharsets.UTF_8);
 
@@ -28,7 +28,7 @@
         assertTrue(meters.scrape().lines().anyMatch(line::equals), line + " is not in " + meters.scrape());
     }
 
-    /** A job is slow because one endpoint is: the metrics of its holder show that there is one. */
+    /** Guards against a slow endpoint that does not show in the metrics of its holder. */
     @Test
     public void testScrape_slowEndpoint() {
         meters.watchSpeeds(() -> new SpeedSummary(0.25, 1.0, 1.75));
@@ -37,7 +37,7 @@
         assertShows("tarragonarch_endpoints_speed{of=\"fastest\"} 1.75");
     }
 
-    /** Guards against an operator who cannot tell which share is full, or what it has of others. */
+    /** Guards against metrics that do not show which share is full or how much it borrows from others. */
     @Test
     public void testScrape_shares() {
         ShareId share = new ShareId("board", 2);
@@ -56,12 +56,12 @@
         assertShows("tarragonarch_share_jobs_refused_total{priority=\"2\"} 1.0");
     }
 
-    /** Guards against metrics that do not show an unconfirmed version and failing calls. */
+    /** Guards against metrics that do not show an outdated configuration and failing store calls. */
     @Test
     public void testScrape_storeSilent() {
         ConfigurationInForce configuration = new ConfigurationInForce(2_000, timers, timers::nowMillis, log);
         meters.watchConfiguration(configuration);
-        OperatorRows rows = new OperatorRows(configuration, () -> {}, reading -> {}, timers, log, meters);
+        OperatorRows rows = new OperatorRows(configuration, () -> {}, drained -> {}, timers, log, meters);
         assertShows("tarragonarch_configuration_version 0.0");
         assertShows("tarragonarch_configuration_age_seconds NaN");
         configuration.updateIfNewer(CONFIGURATION, "store");
--- a/tarragonarch-entry/src/test/java/org/tarragonarch/entry/cluster/OperatorRowsTest.java
+++ b/tarragonarch-entry/src/test/java/org/tarragonarch/entry/cluster/OperatorRowsTest.java
@@ -16,7 +16,7 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** What a node makes of the rows that operators write. */
+/** The effect of the rows that operators write. */
 @Test(singleThreaded = true)
 public final class OperatorRowsTest {
     private static final FailureDomain HOBART = FailureDomain.of("hobart");
@@ -35,14 +35,14 @@
         rows = new OperatorRows(
                 configuration,
                 () -> calls.add("configuration " + configuration.version()),
-                reading -> calls.add(describe(reading)),
+                drained -> calls.add(describe(drained)),
                 timers,
                 log,
                 new NodeMeters(() -> 0, () -> 0));
     }
 
-    private static String describe(DrainedDomains reading) {
-        return ImmutableSet.copyOf(ImmutableList.sortedCopyOf(reading.domains())) + " at " + reading.version();
+    private static String describe(DrainedDomains drained) {
+        return ImmutableSet.copyOf(ImmutableList.sortedCopyOf(drained.domains())) + " at " + drained.version();
     }
 
     private static RowPage page(long version, StoreRow... written) {
@@ -61,7 +61,7 @@
         return new StoreRow("evacuate/" + domain, new byte[0], true);
     }
 
-    /** Guards against a node that starts in the middle of a drain and places by the configuration first. */
+    /** Guards against a node that starts during a drain and places tasks before it learns of the drain. */
     @Test
     public void testReplaced_drainsBeforeConfiguration() {
         rows.replaced(page(4, row("config", CONFIGURATION), drain(HOBART)));
@@ -76,7 +76,7 @@
         assertEquals(calls, ImmutableList.of("[hobart, launceston] at 4", "[launceston] at 6", "[] at 8"));
     }
 
-    /** Guards against a domain that was taken back while the store's history was lost, and stays drained. */
+    /** Guards against a domain that stays drained because it was undrained while the store's history was lost. */
     @Test
     public void testReplaced_unlistedDomainNotDrained() {
         rows.changed(page(4, drain(HOBART)));
@@ -84,7 +84,7 @@
         assertEquals(calls, ImmutableList.of("[hobart] at 4", "[launceston] at 9"));
     }
 
-    /** Guards against a row of another writer that keeps a node from hearing of the operators' other rows. */
+    /** Guards against a malformed row that prevents a node from drained the other rows. */
     @Test
     public void testChanged_skipsUnreadableDomain() {
         rows.changed(page(4, row("evacuate/Not A Domain!", "{}"), drain(HOBART)));
--- a/tarragonarch-entry/src/test/java/org/tarragonarch/entry/cluster/PeerExchangeTest.java
+++ b/tarragonarch-entry/src/test/java/org/tarragonarch/entry/cluster/PeerExchangeTest.java
@@ -21,7 +21,7 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** Frames of peers, each turned into the one call that it stands for. */
+/** The call that each received frame causes. */
 public final class PeerExchangeTest {
     private static final NodeId PEER = NodeId.of("peer");
     private static final JobId JOB = new JobId("00000000000000aa");
@@ -30,11 +30,11 @@
     private final PeerExchange exchange = new PeerExchange(new RecordingHandler());
 
     @BeforeMethod
-    public void forget() {
+    public void clearCalls() {
         calls.clear();
     }
 
-    /** Guards against a verdict that router and holder pass to each other without end. */
+    /** Guards against a verdict that is sent back to its holder, so that the two nodes exchange it endlessly. */
     @Test
     public void testReceived_verdict() {
         exchange.received(PEER, Incarnation.of(1), new JobSettled(JOB, Verdict.DONE, 0));
@@ -47,20 +47,20 @@
         assertEquals(calls, ImmutableList.of("withdrawn by peer"));
     }
 
-    /** Guards against a holder that does not learn which of a peer's jobs are still open. */
+    /** Guards against a holder that does not learn which of a peer's jobs are open. */
     @Test
     public void testReceived_openJobs() {
         exchange.received(PEER, Incarnation.of(1), new OpenJobs(ImmutableSet.of(JOB)));
         assertEquals(calls, ImmutableList.of("open at peer [" + JOB + "]"));
     }
 
-    /** Guards against a connection on which a holder learns of offers before it learns which jobs are still open. */
+    /** Guards against a connection on which a holder receives offers before the list of open jobs. */
     @Test
     public void testFirstFrame_openJobs() {
         assertEquals(exchange.firstFrame(PEER), Optional.of(new OpenJobs(ImmutableSet.of(JOB))));
     }
 
-    /** Notes the calls. */
+    /** Records calls as text. */
     private final class RecordingHandler implements PeerFrameHandler {
         @Override
         public void statusReceived(NodeStatus status) {
--- a/tarragonarch-entry/src/test/java/org/tarragonarch/entry/cluster/SettableTimers.java
+++ b/tarragonarch-entry/src/test/java/org/tarragonarch/entry/cluster/SettableTimers.java
@@ -2,7 +2,7 @@
 
 import org.tarragonarch.model.task.Timers;
 
-/** Time that a test sets; nothing that is planned ever happens. */
+/** Timers with a settable clock that never run their tasks. */
 final class SettableTimers implements Timers {
     private long now = 1_000;
 
--- a/tarragonarch-entry/src/test/java/org/tarragonarch/entry/cluster/ShareSettingsReaderTest.java
+++ b/tarragonarch-entry/src/test/java/org/tarragonarch/entry/cluster/ShareSettingsReaderTest.java
@@ -60,7 +60,7 @@
         };
     }
 
-    /** Guards against a mistake that is taken for a setting, or whose message does not say which entry it is in. */
+    /** Guards against an invalid entry that is accepted, or whose error message does not name the entry. */
     @Test(dataProvider = "mistakes")
     public void testRead_mistake(String text, String message) {
         assertEquals(expectThrows(IOException.class, () -> read(text)).getMessage(), message);
--- a/tarragonarch-entry/src/test/java/org/tarragonarch/entry/peer/PeerShellTest.java
+++ b/tarragonarch-entry/src/test/java/org/tarragonarch/entry/peer/PeerShellTest.java
@@ -66,15 +66,15 @@
         nodes.clear();
     }
 
-    // A client sends a push twice under one key, to two nodes. The second node lost the claim and must hand its caller
-    // the very results of the first.
+    // Guards against different answers to a request that a client sends to two nodes under one idempotency key: the
+    // node without the claim must return the results of the node that holds it.
     @Test
     public void testAskAnswer_complete() throws Exception {
         Node holder = new Node("hobart-1", 1, freeAddress());
         Node asker = new Node("hobart-2", 1, freeAddress());
-        meet(holder, asker);
-        SubmissionId original = holder.keep(1, "1.0", "[\"a\"]");
-        SubmissionId waiting = asker.keep(2);
+        exchangeAddresses(holder, asker);
+        SubmissionId original = holder.store(1, "1.0", "[\"a\"]");
+        SubmissionId waiting = asker.store(2);
 
         asker.shell.askAnswer(new AskPeerAnswer(holder.id, waiting, KEY));
         PeerAnswerAsked asked = holder.await(PeerAnswerAsked.class);
@@ -91,8 +91,8 @@
     public void testAskAnswer_problem() throws Exception {
         Node holder = new Node("hobart-1", 1, freeAddress());
         Node asker = new Node("hobart-2", 1, freeAddress());
-        meet(holder, asker);
-        SubmissionId waiting = asker.keep(1);
+        exchangeAddresses(holder, asker);
+        SubmissionId waiting = asker.store(1);
         Optional<Problem> problem = Optional.of(Problem.of(ProblemCode.TASK_FAILED, Step.RUN, "hobart-w1", "broke"));
 
         asker.shell.askAnswer(new AskPeerAnswer(holder.id, waiting, KEY));
@@ -106,7 +106,7 @@
     @Test
     public void testAskAnswer_holderUnknownOrUnreachable() throws Exception {
         Node asker = new Node("hobart-2", 1, freeAddress());
-        SubmissionId waiting = asker.keep(1);
+        SubmissionId waiting = asker.store(1);
         PeerAnswerArrived none = new PeerAnswerArrived(waiting, PeerAnswer.NOT_TO_BE_HAD, Optional.empty());
 
         asker.shell.askAnswer(new AskPeerAnswer(NodeId.of("hobart-9"), waiting, KEY));
@@ -117,15 +117,15 @@
         assertEquals(asker.await(PeerAnswerArrived.class), none);
     }
 
-    // The holder is restarted on its old address after it was asked, and knows nothing of the question. The caller must
-    // not wait for its whole deadline: the question is put again, and the new run says that it has no such key.
+    // Guards against a caller that waits until its deadline because the holder was restarted at the same address after
+    // it received the question. The question is repeated, and the new incarnation answers that it has no such key.
     @Test
     public void testAskAnswer_holderRestarted() throws Exception {
         Address address = freeAddress();
         Node holder = new Node("hobart-1", 1, address);
         Node asker = new Node("hobart-2", 1, freeAddress());
-        meet(holder, asker);
-        SubmissionId waiting = asker.keep(1);
+        exchangeAddresses(holder, asker);
+        SubmissionId waiting = asker.store(1);
         asker.shell.askAnswer(new AskPeerAnswer(holder.id, waiting, KEY));
         holder.await(PeerAnswerAsked.class);
         holder.shell.close();
@@ -142,7 +142,7 @@
     public void testLoadConfiguration_fromPeer() throws Exception {
         Node holder = new Node("hobart-1", 1, freeAddress());
         Node asker = new Node("hobart-2", 1, freeAddress());
-        meet(holder, asker);
+        exchangeAddresses(holder, asker);
         ConfigurationVersion version = ConfigurationVersion.of(5);
         holder.adopt(version);
 
@@ -153,13 +153,13 @@
         assertEquals(loaded.source(), "hobart-1");
     }
 
-    // A peer's text must be the one that was accepted: a node that took any text in place of it would revert to, or
-    // invent, a configuration.
+    // Guards against a node that puts in force a text other than the accepted one, because it does not check the digest
+    // of the text that a peer sent.
     @Test
     public void testLoadConfiguration_otherDigest() throws Exception {
         Node holder = new Node("hobart-1", 1, freeAddress());
         Node asker = new Node("hobart-2", 1, freeAddress());
-        meet(holder, asker);
+        exchangeAddresses(holder, asker);
         ConfigurationVersion version = ConfigurationVersion.of(5);
         holder.adopt(version);
 
@@ -172,7 +172,7 @@
     public void testLoadConfiguration_peerHasOnlyOlder() throws Exception {
         Node holder = new Node("hobart-1", 1, freeAddress());
         Node asker = new Node("hobart-2", 1, freeAddress());
-        meet(holder, asker);
+        exchangeAddresses(holder, asker);
         holder.adopt(ConfigurationVersion.of(4));
 
         asker.shell.loadConfiguration(
@@ -180,7 +180,7 @@
         assertEquals(asker.await(ConfigurationLoadFailed.class).version(), ConfigurationVersion.of(5));
     }
 
-    private static void meet(Node first, Node second) {
+    private static void exchangeAddresses(Node first, Node second) {
         ImmutableList<VmRecord> list =
                 ImmutableList.of(record(first.id.value(), first.address), record(second.id.value(), second.address));
         first.shell.updateAddresses(list);
@@ -208,9 +208,9 @@
         private final ConfigurationLoader loader = ConfigurationLoader.create(texts);
         private final PeerShell shell;
 
-        private Node(String name, long run, Address address) throws StepException {
+        private Node(String name, long number, Address address) throws StepException {
             this.id = NodeId.of(name);
-            this.incarnation = Incarnation.of(run);
+            this.incarnation = Incarnation.of(number);
             this.address = address;
             NodeIdentity identity = new NodeIdentity(id, incarnation, DOMAIN, address);
             this.shell =
@@ -219,7 +219,7 @@
             nodes.add(this);
         }
 
-        private SubmissionId keep(long sequence, String... results) {
+        private SubmissionId store(long sequence, String... results) {
             SubmissionId submission = new SubmissionId(id, incarnation, sequence);
             ImmutableList<byte[]> inputs = ImmutableList.of(new byte[] {'1'}, new byte[] {'2'});
             bodies.put(submission, new SubmissionContent(KEY.service(), KindName.of("word-count"), inputs));
@@ -242,7 +242,7 @@
 
         private <T extends Event> T await(Class<T> type) {
             Eventually.check(
-                    type.getSimpleName() + " comes to " + id,
+                    type.getSimpleName() + " arrives at " + id,
                     () -> events.stream().anyMatch(type::isInstance));
             return events.stream()
                     .filter(type::isInstance)
