--- a/tarragonarch-standin/src/test/java/org/tarragonarch/standin/soak/SoakMain.java
+++ b/tarragonarch-standin/src/test/java/org/tarragonarch/standin/soak/SoakMain.java
@@ -42,9 +42,9 @@
         SoakOptions options = new SoakOptions(nodes, endpoints, clients, faults, millis);
         int failed = 0;
         for (long seed = first; seed < first + seeds; seed++) {
-            SoakResult result = new SoakRun(options, seed).play();
-            out.println(result.line());
-            failed += result.broken().isEmpty() ? 0 : 1;
+            SoakResult result = new SoakRun(options, seed).run();
+            out.println(result.summary());
+            failed += result.violations().isEmpty() ? 0 : 1;
         }
         out.println(seeds - failed + " passed, " + failed + " failed");
         return failed == 0 ? 0 : 1;
--- a/tarragonarch-standin/src/test/java/org/tarragonarch/standin/soak/SoakOptions.java
+++ b/tarragonarch-standin/src/test/java/org/tarragonarch/standin/soak/SoakOptions.java
@@ -9,9 +9,9 @@
  * @param endpoints how many endpoints, in this process
  * @param clients how many clients, each with one job at a time
  * @param faults how many faults
- * @param millis by when the last fault has begun, from the start of the faults
+ * @param faultPeriodMillis by when the last fault has begun, from the start of the faults
  */
-record SoakOptions(int nodes, int endpoints, int clients, int faults, int millis) {
+record SoakOptions(int nodes, int endpoints, int clients, int faults, int faultPeriodMillis) {
     /** What takes some ten seconds and few processes, for CI. */
     static final SoakOptions SHORT = new SoakOptions(3, 4, 4, 8, 4_000);
 
@@ -20,6 +20,6 @@
         checkArgument(endpoints > 0, "endpoints %s is not positive", endpoints);
         checkArgument(clients > 0, "clients %s is not positive", clients);
         checkArgument(faults >= 0, "faults %s is negative", faults);
-        checkArgument(millis > 0, "millis %s is not positive", millis);
+        checkArgument(faultPeriodMillis > 0, "millis %s is not positive", faultPeriodMillis);
     }
 }
--- a/tarragonarch-standin/src/test/java/org/tarragonarch/standin/soak/SoakPlan.java
+++ b/tarragonarch-standin/src/test/java/org/tarragonarch/standin/soak/SoakPlan.java
@@ -29,7 +29,7 @@
      * @param millis by when the last one has begun
      * @param targets how many nodes, and how many endpoints, there are to choose from
      */
-    static SoakPlan of(long seed, int faults, int millis, int targets) {
+    static SoakPlan draw(long seed, int faults, int millis, int targets) {
         Random random = new Random(seed);
         List<Step> steps = new ArrayList<>();
         Fault fault = Fault.values()[0];
@@ -53,7 +53,7 @@
      * @param begins whether it begins
      */
     record Step(int atMillis, Fault fault, int target, boolean begins) {
-        void carryOut(SoakCluster cluster) throws IOException, InterruptedException {
+        void execute(SoakCluster cluster) throws IOException, InterruptedException {
             if (begins) {
                 fault.begin(cluster, target);
             } else {
--- a/tarragonarch-standin/src/test/java/org/tarragonarch/standin/soak/SoakResult.java
+++ b/tarragonarch-standin/src/test/java/org/tarragonarch/standin/soak/SoakResult.java
@@ -12,19 +12,19 @@
  * @param sent how many jobs were sent
  * @param done how many were answered as done
  * @param refused how many were refused
- * @param broken the promises that were broken
+ * @param violations the promises that were broken
  */
-record SoakResult(long seed, Path folder, int sent, long done, long refused, ImmutableList<String> broken) {
+record SoakResult(long seed, Path folder, int sent, long done, long refused, ImmutableList<String> violations) {
     static SoakResult of(long seed, Path folder, List<SentJob> jobs, ImmutableList<String> broken) {
-        long done = jobs.stream().filter(SentJob::done).count();
-        long refused = jobs.stream().filter(SentJob::refused).count();
+        long done = jobs.stream().filter(SentJob::isDone).count();
+        long refused = jobs.stream().filter(SentJob::isRefused).count();
         return new SoakResult(seed, folder, jobs.size(), done, refused, broken);
     }
 
-    String line() {
+    String summary() {
         String counts = "seed " + seed + ": " + sent + " jobs, " + done + " done, " + refused + " refused";
-        return broken.isEmpty()
+        return violations.isEmpty()
                 ? counts
-                : counts + "; BROKEN, logs in " + folder + ":\n  " + String.join("\n  ", broken);
+                : counts + "; BROKEN, logs in " + folder + ":\n  " + String.join("\n  ", violations);
     }
 }
--- a/tarragonarch-standin/src/test/java/org/tarragonarch/standin/soak/SoakRun.java
+++ b/tarragonarch-standin/src/test/java/org/tarragonarch/standin/soak/SoakRun.java
@@ -32,47 +32,47 @@
     }
 
     /** Plays the seed; the folder with the logs is kept if a promise was broken. */
-    SoakResult play() throws IOException, InterruptedException {
+    SoakResult run() throws IOException, InterruptedException {
         Path folder = Files.createTempDirectory("tarragonarch-soak-" + seed + "-");
-        SoakResult result = playIn(folder);
-        if (result.broken().isEmpty()) {
+        SoakResult result = runIn(folder);
+        if (result.violations().isEmpty()) {
             MoreFiles.deleteRecursively(folder, RecursiveDeleteOption.ALLOW_INSECURE);
         }
         return result;
     }
 
-    private SoakResult playIn(Path folder) throws IOException, InterruptedException {
+    private SoakResult runIn(Path folder) throws IOException, InterruptedException {
         try (SoakCluster cluster = new SoakCluster(folder, options.nodes(), options.endpoints())) {
-            awaitDoors(cluster);
+            awaitNodesListening(cluster);
             startClients(cluster);
             QueueWatcher watcher = new QueueWatcher(cluster);
             start(watcher, "queue-watcher");
             List<String> broken = new ArrayList<>();
             awaitServed(broken, "at the start");
-            carryOut(cluster, SoakPlan.of(seed, options.faults(), options.millis(), options.nodes()));
-            cluster.heal();
-            awaitDoors(cluster);
+            carryOut(cluster, SoakPlan.draw(seed, options.faults(), options.faultPeriodMillis(), options.nodes()));
+            cluster.clearFaults();
+            awaitNodesListening(cluster);
             awaitServed(broken, "after the last fault");
-            watcher.awaitLastQueueDue();
-            watcher.end();
+            watcher.awaitNewestQueueDue();
+            watcher.stop();
             endClients();
-            broken.addAll(watcher.broken());
+            broken.addAll(watcher.violations());
             if (watcher.answers() == 0) {
                 broken.add("no node said anything of its queues");
             }
             List<SentJob> jobs =
                     clients.stream().flatMap(client -> client.jobs().stream()).toList();
-            broken.addAll(SoakChecks.broken(
+            broken.addAll(SoakChecks.violations(
                     cluster.endpoints().stream().map(StandInEndpoint::runs).toList(), jobs));
             return SoakResult.of(seed, folder, jobs, ImmutableList.copyOf(broken));
         }
     }
 
     /** Waits until every node takes connections; one that was still on its way out is started again. */
-    private void awaitDoors(SoakCluster cluster) throws IOException, InterruptedException {
+    private void awaitNodesListening(SoakCluster cluster) throws IOException, InterruptedException {
         long until = System.nanoTime() + PATIENCE.toNanos();
         for (int node = 0; node < cluster.nodeCount(); node++) {
-            while (!cluster.node(node).alive() || !open(cluster.clientAddress(node))) {
+            while (!cluster.node(node).isAlive() || !isListening(cluster.clientAddress(node))) {
                 if (System.nanoTime() > until) {
                     throw new IOException("node " + node + " takes no connection: " + cluster.log(node));
                 }
@@ -82,7 +82,7 @@
         }
     }
 
-    private static boolean open(String address) {
+    private static boolean isListening(String address) {
         int colon = address.indexOf(':');
         InetSocketAddress at =
                 new InetSocketAddress(address.substring(0, colon), Integer.parseInt(address.substring(colon + 1)));
@@ -125,7 +125,7 @@
     }
 
     private static boolean servedSince(SoakClient client, long sinceMillis) {
-        return client.jobs().stream().anyMatch(job -> job.done() && job.answeredAt() >= sinceMillis);
+        return client.jobs().stream().anyMatch(job -> job.isDone() && job.answeredAtMillis() >= sinceMillis);
     }
 
     private void carryOut(SoakCluster cluster, SoakPlan plan) throws IOException, InterruptedException {
@@ -135,12 +135,12 @@
             if (wait > 0) {
                 TimeUnit.MILLISECONDS.sleep(wait);
             }
-            step.carryOut(cluster);
+            step.execute(cluster);
         }
     }
 
     private void endClients() throws InterruptedException {
-        clients.forEach(SoakClient::end);
+        clients.forEach(SoakClient::stop);
         for (Thread thread : threads) {
             thread.join(PATIENCE.toMillis());
         }
--- a/tarragonarch-standin/src/test/java/org/tarragonarch/standin/soak/SoakTest.java
+++ b/tarragonarch-standin/src/test/java/org/tarragonarch/standin/soak/SoakTest.java
@@ -16,13 +16,13 @@
 
     /** Guards against answers that are untrue, or callers that are no longer served, after faults that overlap. */
     @Test(dataProvider = "seeds")
-    public void testPromises(long seed) throws Exception {
-        SoakResult result = new SoakRun(SoakOptions.SHORT, seed).play();
-        assertEquals(result.broken(), ImmutableList.of(), result.line());
+    public void testGuarantees_overlappingFaults(long seed) throws Exception {
+        SoakResult result = new SoakRun(SoakOptions.SHORT, seed).run();
+        assertEquals(result.violations(), ImmutableList.of(), result.summary());
     }
 
     @Test
     public void testPlan_sameSeedSamePlan() {
-        assertEquals(SoakPlan.of(7, 20, 4_000, 3), SoakPlan.of(7, 20, 4_000, 3));
+        assertEquals(SoakPlan.draw(7, 20, 4_000, 3), SoakPlan.draw(7, 20, 4_000, 3));
     }
 }
--- a/tarragonarch-wire/src/main/java/org/tarragonarch/wire/StatusCodec.java
+++ b/tarragonarch-wire/src/main/java/org/tarragonarch/wire/StatusCodec.java
@@ -19,7 +19,7 @@
     static void write(FrameWriter writer, NodeStatus status) {
         MemberCodec.write(writer, status.member());
         writer.writeBoolean(status.leaving())
-                .writeBoolean(status.withoutHolder())
+                .writeBoolean(status.missesHolder())
                 .writeLong(status.configurationVersion());
         writeDrained(writer, status.drained());
         writer.writeCount(status.shards().size());
