--- a/tarragonarch-ctl/src/main/java/org/tarragonarch/ctl/CtlMain.java
+++ b/tarragonarch-ctl/src/main/java/org/tarragonarch/ctl/CtlMain.java
@@ -15,18 +15,18 @@
 import picocli.CommandLine.ITypeConverter;
 import picocli.CommandLine.TypeConversionException;
 
-/** Starts the operator program. */
+/** The entry point of the operator program. */
 public final class CtlMain {
     private CtlMain() {}
 
-    /** Runs one command and exits with its {@link ExitCode}. */
+    /** Runs a command and exits with its {@link ExitCode}. */
     public static void main(String[] arguments) {
         PrintWriter out = new PrintWriter(System.out, true);
         PrintWriter err = new PrintWriter(System.err, true);
         System.exit(run(out, err, arguments));
     }
 
-    /** Runs one command, printing to these writers, and returns the exit status. */
+    /** Runs a command that prints to the given writers, and returns the exit status. */
     static int run(PrintWriter out, PrintWriter err, String... arguments) {
         return commandLine().setOut(out).setErr(err).execute(arguments);
     }
@@ -42,7 +42,7 @@
                 .registerConverter(ServiceName.class, converter(ServiceName::of))
                 .registerConverter(ConfigurationVersion.class, converter(CtlMain::version))
                 .setCaseInsensitiveEnumValuesAllowed(true)
-                // An '@FILE' of ours holds inputs; picocli would read it as more arguments.
+                // '@FILE' names a file with inputs; picocli would expand it to further arguments.
                 .setExpandAtFiles(false)
                 .setParameterExceptionHandler(new UsageHandler())
                 .setExecutionExceptionHandler(new FailureHandler());
@@ -56,7 +56,7 @@
         }
     }
 
-    /** Turns the refusal of a value type into picocli's own, which prints it as a mistake of usage. */
+    /** Converts an IllegalArgumentException to the type that picocli reports as a usage error. */
     private static <T> ITypeConverter<T> converter(ITypeConverter<T> parse) {
         return text -> {
             try {
--- a/tarragonarch-ctl/src/main/java/org/tarragonarch/ctl/ExitCode.java
+++ b/tarragonarch-ctl/src/main/java/org/tarragonarch/ctl/ExitCode.java
@@ -1,16 +1,16 @@
 package org.tarragonarch.ctl;
 
-/** How a run of the operator program ended; the numbers are stated in {@code --help}. */
+/** The exit status of the operator program; {@code --help} lists the numbers. */
 public enum ExitCode {
-    /** All that was asked for was done. */
+    /** The command succeeded. */
     OK(0),
-    /** Something failed; the message says what, at which step and with which peer. */
+    /** The command failed; the message names the step and the peer. */
     FAILED(1),
-    /** The command line is wrong, or settings hold mistakes. */
+    /** The command line is invalid, or settings or configuration files have mistakes. */
     USAGE(2),
     /** Another operator's change was accepted first. */
     CONFLICT(3),
-    /** The change was accepted, and is not in force everywhere in the time allowed. */
+    /** The change was accepted but was not in force everywhere within the timeout. */
     NOT_IN_FORCE(4);
 
     private final int number;
@@ -19,7 +19,7 @@
         this.number = number;
     }
 
-    /** Returns the process's exit status. */
+    /** Returns the exit status of the process. */
     public int number() {
         return number;
     }
--- a/tarragonarch-ctl/src/main/java/org/tarragonarch/ctl/FailureHandler.java
+++ b/tarragonarch-ctl/src/main/java/org/tarragonarch/ctl/FailureHandler.java
@@ -9,7 +9,7 @@
 import picocli.CommandLine.IExecutionExceptionHandler;
 import picocli.CommandLine.ParseResult;
 
-/** Reports why a command failed, and picks the exit status. */
+/** Prints why a command failed and selects the exit status. */
 final class FailureHandler implements IExecutionExceptionHandler {
     @Override
     public int handleExecutionException(Exception failure, CommandLine command, ParseResult parsed) throws Exception {
@@ -22,13 +22,14 @@
         if (failure instanceof ChangeConflictException) {
             err.println("conflict: " + failure.getMessage());
             err.println(
-                    "Nothing was changed. See what was accepted with 'tarragonctl history', take it into your folder,"
-                            + " look with 'tarragonctl diff', and apply again.");
+                    "Nothing was changed. List the accepted changes with 'tarragonctl history', merge them into your"
+                            + " folder, check with 'tarragonctl diff', and apply again.");
             return ExitCode.CONFLICT.number();
         }
         if (failure instanceof ChangeOutcomeUnknownException) {
             err.println(failure.getMessage());
-            err.println("Look for it with 'tarragonctl audit'. If it is not there, apply again: it is not made twice.");
+            err.println(
+                    "Look for the change with 'tarragonctl audit'. If it is not listed, it is safe to apply again.");
             return ExitCode.FAILED.number();
         }
         if (failure instanceof StepException step) {
--- a/tarragonarch-ctl/src/main/java/org/tarragonarch/ctl/UsageHandler.java
+++ b/tarragonarch-ctl/src/main/java/org/tarragonarch/ctl/UsageHandler.java
@@ -6,7 +6,7 @@
 import picocli.CommandLine.ParameterException;
 import picocli.CommandLine.UnmatchedArgumentException;
 
-/** Reports a mistake of usage in one line, with the way to the help; the whole help would hide the message. */
+/** Prints a usage error and how to get help; the full help text would hide the message. */
 final class UsageHandler implements IParameterExceptionHandler {
     @Override
     public int handleParseException(ParameterException mistake, String[] arguments) {
--- a/tarragonarch-ctl/src/main/java/org/tarragonarch/ctl/VersionProvider.java
+++ b/tarragonarch-ctl/src/main/java/org/tarragonarch/ctl/VersionProvider.java
@@ -3,7 +3,7 @@
 import java.util.Optional;
 import picocli.CommandLine.IVersionProvider;
 
-/** Returns the version of the archive that this class was loaded from. */
+/** Provides the version of the archive that contains this class. */
 public final class VersionProvider implements IVersionProvider {
     @Override
     public String[] getVersion() {
--- a/tarragonarch-ctl/src/main/java/org/tarragonarch/ctl/admin/AdminCall.java
+++ b/tarragonarch-ctl/src/main/java/org/tarragonarch/ctl/admin/AdminCall.java
@@ -1,12 +1,12 @@
 package org.tarragonarch.ctl.admin;
 
-/** One question to one node. */
+/** A call to the administration API of a node. */
 @FunctionalInterface
 public interface AdminCall<T> {
     /**
-     * Asks the node.
+     * Calls the node.
      *
-     * @throws AdminException if it gave no usable answer
+     * @throws AdminException if the node refuses the call or gives no valid answer
      */
     T call(AdminClient client) throws AdminException;
 }
--- a/tarragonarch-ctl/src/main/java/org/tarragonarch/ctl/admin/AdminClient.java
+++ b/tarragonarch-ctl/src/main/java/org/tarragonarch/ctl/admin/AdminClient.java
@@ -8,7 +8,7 @@
 import org.tarragonarch.model.id.EndpointId;
 import org.tarragonarch.platform.AuditRecord;
 
-/** The administration API of one node. Calls block for at most the timeout; safe for use by several threads. */
+/** A client of the administration API of one node. Calls block for at most the timeout. Thread-safe. */
 public final class AdminClient {
     private static final byte[] NO_BODY = {};
 
@@ -26,18 +26,18 @@
     }
 
     /**
-     * Reads what the node knows of itself, its peers and endpoints.
+     * Reads the status of the node, with its view of its peers and endpoints.
      *
-     * @throws AdminException if there is no usable answer
+     * @throws AdminException if there is no valid answer
      */
     public NodeView status() throws AdminException {
         return AdminJson.node(address, get("admin", "status"));
     }
 
     /**
-     * Reads the configuration in force at the node; version 0 where it has none.
+     * Reads the configuration in force at the node, or {@link ConfigurationView#NONE} if there is none.
      *
-     * @throws AdminException if there is no usable answer
+     * @throws AdminException if there is no valid answer
      */
     public ConfigurationView configuration() throws AdminException {
         try {
@@ -51,9 +51,9 @@
     }
 
     /**
-     * Reads an accepted configuration by its version, which the node loads from the platform.
+     * Reads an accepted configuration, which the node loads from the platform.
      *
-     * @throws AdminException if there is no usable answer, or the node gave another version
+     * @throws AdminException if there is no valid answer, or the answer is another version
      */
     public ConfigurationView configuration(ConfigurationVersion version) throws AdminException {
         HttpUrl url = url("admin", "configuration")
@@ -61,15 +61,15 @@
                 .build();
         ConfigurationView view = AdminJson.configuration(address, http.get(address, url));
         if (!view.version().equals(version)) {
-            throw AdminException.unreadable(address, "it holds version " + view.version() + " in place of " + version);
+            throw AdminException.unreadable(address, "expected version " + version + ", found " + view.version());
         }
         return view;
     }
 
     /**
-     * Reads the audit trail, the newest change first.
+     * Reads the latest changes of the audit trail, the newest first.
      *
-     * @throws AdminException if there is no usable answer
+     * @throws AdminException if there is no valid answer
      */
     public ImmutableList<AuditRecord> audit(int limit) throws AdminException {
         HttpUrl url = url("admin", "audit")
@@ -79,10 +79,10 @@
     }
 
     /**
-     * Asks the node to accept a configuration; sending it again with the same change id is harmless.
+     * Submits a configuration for acceptance. Idempotent: the same change id is accepted only once.
      *
      * @return the version under which it was accepted
-     * @throws AdminException if it was refused, or there is no usable answer
+     * @throws AdminException if the node refuses or gives no valid answer
      */
     public ConfigurationVersion accept(ChangeRequest change) throws AdminException {
         HttpUrl url = url("admin", "configuration")
@@ -94,27 +94,27 @@
     }
 
     /**
-     * Asks the node to leave: it finishes what it has and takes nothing new.
+     * Drains the node: it completes its open submissions and accepts no new ones.
      *
-     * @throws AdminException if it was refused, or there is no usable answer
+     * @throws AdminException if the node refuses or gives no valid answer
      */
     public void drain() throws AdminException {
         http.post(address, url("admin", "drain").build(), NO_BODY);
     }
 
     /**
-     * Asks the node to give an endpoint no new task.
+     * Drains an endpoint at this node: the node sends it no new tasks.
      *
-     * @throws AdminException if it was refused, or there is no usable answer
+     * @throws AdminException if the node refuses or gives no valid answer
      */
     public void drainEndpoint(EndpointId endpoint) throws AdminException {
         http.post(address, endpointDrain(endpoint), NO_BODY);
     }
 
     /**
-     * Takes back {@link #drainEndpoint}.
+     * Ends the drain of an endpoint at this node.
      *
-     * @throws AdminException if it was refused, or there is no usable answer
+     * @throws AdminException if the node refuses or gives no valid answer
      */
     public void undrainEndpoint(EndpointId endpoint) throws AdminException {
         http.delete(address, endpointDrain(endpoint));
--- a/tarragonarch-ctl/src/main/java/org/tarragonarch/ctl/admin/AdminException.java
+++ b/tarragonarch-ctl/src/main/java/org/tarragonarch/ctl/admin/AdminException.java
@@ -6,9 +6,9 @@
 import org.tarragonarch.model.outcome.Step;
 import org.tarragonarch.model.outcome.StepException;
 
-/** A call to a node's administration API had no usable result. */
+/** Thrown when a call to a node's administration API is refused or gets no valid answer. */
 public final class AdminException extends StepException {
-    /** The status of an error that arose before or without an HTTP answer. */
+    /** The status if there was no valid HTTP answer. */
     public static final int NO_STATUS = 0;
 
     private static final long serialVersionUID = 1L;
@@ -16,8 +16,9 @@
     private static final int CONFLICT = 409;
     private static final int FIRST_SERVER_ERROR = 500;
 
-    /** The codes of a node that certainly did not do what was asked, although another might. */
-    private static final ImmutableSet<String> NOT_DONE = ImmutableSet.of("platform-unavailable", "not-ready", "busy");
+    /** Problem codes of calls that were not carried out, although another node may be able to. */
+    private static final ImmutableSet<String> NOT_APPLIED_CODES =
+            ImmutableSet.of("platform-unavailable", "not-ready", "busy");
 
     private final int status;
     private final String code;
@@ -37,9 +38,9 @@
         return new AdminException(Step.PEER, node.toString(), detail + " (status " + status + ")", status, code, null);
     }
 
-    /** Returns the error of an answer that cannot be read. */
+    /** Returns an exception for an invalid answer. */
     public static AdminException unreadable(Address node, String problem) {
-        String message = "the answer of " + node + " cannot be read: " + problem;
+        String message = "the answer of " + node + " is invalid: " + problem;
         return new AdminException(Step.PEER, node.toString(), message, NO_STATUS, "", null);
     }
 
@@ -48,23 +49,23 @@
         return status;
     }
 
-    /** Returns whether the node has not what was asked for. */
+    /** Returns whether the requested resource does not exist. */
     public boolean isNotFound() {
         return status == NOT_FOUND;
     }
 
-    /** Returns whether another change was accepted first. */
+    /** Returns whether another change was accepted before this one. */
     public boolean isConflict() {
         return status == CONFLICT;
     }
 
-    /** Returns whether what was asked may have been done all the same. */
+    /** Returns whether the call may have been carried out despite the failure. */
     public boolean mayHaveApplied() {
         boolean neverSent = getCause() instanceof ConnectException;
-        return isInconclusive() && !neverSent && !NOT_DONE.contains(code);
+        return isInconclusive() && !neverSent && !NOT_APPLIED_CODES.contains(code);
     }
 
-    /** Returns whether the node's answer leaves open if it did what was asked, so that another node may be asked. */
+    /** Returns whether the node did not decide on the call, so that it may be repeated at another node. */
     public boolean isInconclusive() {
         return status == NO_STATUS || status >= FIRST_SERVER_ERROR;
     }
--- a/tarragonarch-ctl/src/main/java/org/tarragonarch/ctl/admin/AdminHttp.java
+++ b/tarragonarch-ctl/src/main/java/org/tarragonarch/ctl/admin/AdminHttp.java
@@ -14,7 +14,7 @@
 import okhttp3.ResponseBody;
 import org.tarragonarch.model.id.Address;
 
-/** Sends calls of the administration API and reads their JSON. Safe for use by several threads. */
+/** Sends calls to the administration API and parses the JSON answers. Thread-safe. */
 final class AdminHttp {
     private static final JsonMapper MAPPER = JsonMapper.builder().build();
 
@@ -31,7 +31,7 @@
                 .callTimeout(timeout)
                 .connectTimeout(timeout)
                 .readTimeout(timeout)
-                // A change is sent again only by the caller of this class, with the change's own mark.
+                // Only the caller of this class repeats a change, with the same change id.
                 .retryOnConnectionFailure(false)
                 .proxy(Proxy.NO_PROXY)
                 .build();
@@ -88,7 +88,7 @@
 
     private static String detail(Address node, Response response, JsonNode body) {
         JsonNode detail = body.path("detail");
-        String said = detail.isTextual() ? detail.textValue() : response.message();
-        return node + " refused: " + said;
+        String reason = detail.isTextual() ? detail.textValue() : response.message();
+        return node + " refused: " + reason;
     }
 }
--- a/tarragonarch-ctl/src/main/java/org/tarragonarch/ctl/admin/AdminJson.java
+++ b/tarragonarch-ctl/src/main/java/org/tarragonarch/ctl/admin/AdminJson.java
@@ -12,7 +12,7 @@
 import org.tarragonarch.model.id.OperatorName;
 import org.tarragonarch.platform.AuditRecord;
 
-/** The JSON forms of the administration API's answers. */
+/** Converts JSON answers of the administration API to views. */
 final class AdminJson {
     private AdminJson() {}
 
@@ -34,9 +34,9 @@
         JsonReader json = new JsonReader(address, answer);
         ConfigurationVersion version = ConfigurationVersion.of(json.number("version"));
         byte[] canonical = json.text("canonical").getBytes(StandardCharsets.UTF_8);
-        // A text that does not match its digest would be applied whole by a rollback.
+        // Without this check, a rollback could apply a corrupted text.
         if (!ContentDigest.of(canonical).hex().equals(json.text("digest"))) {
-            throw AdminException.unreadable(address, "the text of version " + version + " does not match its digest");
+            throw AdminException.unreadable(address, "the digest of version " + version + " does not match its text");
         }
         return new ConfigurationView(version, canonical);
     }
--- a/tarragonarch-ctl/src/main/java/org/tarragonarch/ctl/admin/AdminNodes.java
+++ b/tarragonarch-ctl/src/main/java/org/tarragonarch/ctl/admin/AdminNodes.java
@@ -9,7 +9,7 @@
 import java.util.concurrent.Executors;
 import org.tarragonarch.ctl.connection.Connection;
 
-/** The nodes whose administration addresses the operator knows. */
+/** Clients of all nodes whose administration addresses are configured. */
 public final class AdminNodes implements AutoCloseable {
     private static final int MAX_THREADS = 16;
 
@@ -22,9 +22,10 @@
     }
 
     /**
-     * Returns the nodes of a connection, which must name at least one address and hold an operator token.
+     * Creates clients for the administration addresses of a connection.
      *
-     * @param timeout how long one call may take
+     * @param connection the connection; must have an administration address and an operator token
+     * @param timeout the timeout of a call
      */
     public static AdminNodes create(Connection connection, Duration timeout) {
         checkArgument(!connection.adminAddresses().isEmpty(), "no administration address");
@@ -40,12 +41,12 @@
         return clients;
     }
 
-    /** Asks every node at once and returns every answer, in the order of the connection's addresses. */
+    /** Calls all nodes in parallel and returns their results, in the order of the connection's addresses. */
     public <T> ImmutableList<AdminResult<T>> callAll(AdminCall<T> call) {
-        ImmutableList<CompletableFuture<AdminResult<T>>> asked = clients.stream()
-                .map(client -> CompletableFuture.supplyAsync(() -> ask(client, call), threads))
+        ImmutableList<CompletableFuture<AdminResult<T>>> calls = clients.stream()
+                .map(client -> CompletableFuture.supplyAsync(() -> call(client, call), threads))
                 .collect(ImmutableList.toImmutableList());
-        return asked.stream().map(CompletableFuture::join).collect(ImmutableList.toImmutableList());
+        return calls.stream().map(CompletableFuture::join).collect(ImmutableList.toImmutableList());
     }
 
     @Override
@@ -53,7 +54,7 @@
         threads.shutdownNow();
     }
 
-    private static <T> AdminResult<T> ask(AdminClient client, AdminCall<T> call) {
+    private static <T> AdminResult<T> call(AdminClient client, AdminCall<T> call) {
         try {
             return AdminResult.of(client.address(), call.call(client));
         } catch (AdminException e) {
--- a/tarragonarch-ctl/src/main/java/org/tarragonarch/ctl/admin/AdminResult.java
+++ b/tarragonarch-ctl/src/main/java/org/tarragonarch/ctl/admin/AdminResult.java
@@ -6,14 +6,14 @@
 import org.tarragonarch.model.id.Address;
 
 /**
- * What one of several nodes answered: a value, or why there is none.
+ * The result of a call to one of several nodes: a value or a failure.
  *
- * @param node the administration address asked
- * @param value the answer
- * @param failure why there is no answer
+ * @param node the administration address that was called
+ * @param value the value, if the call succeeded
+ * @param failure the failure, if the call failed
  */
 public record AdminResult<T>(Address node, Optional<T> value, Optional<AdminException> failure) {
-    /** Checks the parts. */
+    /** Creates a result. */
     public AdminResult {
         checkNotNull(node, "node");
         checkNotNull(value, "value");
--- a/tarragonarch-ctl/src/main/java/org/tarragonarch/ctl/admin/ChangeRequest.java
+++ b/tarragonarch-ctl/src/main/java/org/tarragonarch/ctl/admin/ChangeRequest.java
@@ -6,18 +6,18 @@
 import org.tarragonarch.model.id.ConfigurationVersion;
 
 /**
- * A change of the configuration that is to be accepted.
+ * A request to accept a configuration.
  *
- * @param from the version that it replaces; another version accepted meanwhile is a conflict
- * @param changeId the change's unique mark, the same each time it is sent
- * @param summary what changes, in words
- * @param canonical the new configuration's canonical text; callers must not change it
+ * @param from the version to replace; it is a conflict if another version is accepted by then
+ * @param changeId the unique id of the change, the same in every attempt
+ * @param summary the summary for the audit trail
+ * @param canonical the canonical text of the new configuration; callers must not change it
  */
 public record ChangeRequest(ConfigurationVersion from, ChangeId changeId, String summary, byte[] canonical) {
-    /** Checks the parts. */
+    /** Creates a request. */
     public ChangeRequest {
         checkNotNull(from, "from");
-        checkNotNull(changeId, "change");
+        checkNotNull(changeId, "changeId");
         checkNotNull(summary, "summary");
         checkNotNull(canonical, "canonical");
     }
--- a/tarragonarch-ctl/src/main/java/org/tarragonarch/ctl/admin/ConfigurationView.java
+++ b/tarragonarch-ctl/src/main/java/org/tarragonarch/ctl/admin/ConfigurationView.java
@@ -5,16 +5,16 @@
 import org.tarragonarch.model.id.ConfigurationVersion;
 
 /**
- * A configuration as a node gives it.
+ * An accepted configuration.
  *
- * @param version its version; 0 where the node has none
+ * @param version its version; 0 if there is none
  * @param canonical its canonical text; callers must not change it
  */
 public record ConfigurationView(ConfigurationVersion version, byte[] canonical) {
-    /** Stands for no accepted configuration. */
+    /** No configuration: version 0 and an empty text. */
     public static final ConfigurationView NONE = new ConfigurationView(ConfigurationVersion.NONE, new byte[0]);
 
-    /** Checks the parts. */
+    /** Creates a view. */
     public ConfigurationView {
         checkNotNull(version, "version");
         checkNotNull(canonical, "canonical");
--- a/tarragonarch-ctl/src/main/java/org/tarragonarch/ctl/admin/EndpointView.java
+++ b/tarragonarch-ctl/src/main/java/org/tarragonarch/ctl/admin/EndpointView.java
@@ -1,21 +1,21 @@
 package org.tarragonarch.ctl.admin;
 
 /**
- * What a node says of an endpoint.
+ * An endpoint as seen by a node.
  *
  * @param endpoint the endpoint's id
- * @param domain the failure domain it stands in
- * @param address where it listens
- * @param slots how many tasks it runs at once
- * @param inFlight tasks of the node that were sent and have not ended
+ * @param domain its failure domain
+ * @param address its address
+ * @param slots the number of tasks it runs concurrently
+ * @param inFlight the number of tasks sent by the node that have not ended
  * @param health live, leaving, quarantined or drained
- * @param reason why its health is what it is
+ * @param reason the reason of its health
  */
 public record EndpointView(
         String endpoint, String domain, String address, long slots, long inFlight, String health, String reason) {
     private static final String LIVE = "live";
 
-    /** Returns whether the node sends it tasks. */
+    /** Returns whether the node sends tasks to the endpoint. */
     public boolean isLive() {
         return health.equals(LIVE);
     }
--- a/tarragonarch-ctl/src/main/java/org/tarragonarch/ctl/admin/ItemReader.java
+++ b/tarragonarch-ctl/src/main/java/org/tarragonarch/ctl/admin/ItemReader.java
@@ -1,6 +1,6 @@
 package org.tarragonarch.ctl.admin;
 
-/** Reads one item of a list of an answer. */
+/** Converts an item of a JSON list. */
 @FunctionalInterface
 interface ItemReader<T> {
     T read(JsonReader item) throws AdminException;
--- a/tarragonarch-ctl/src/main/java/org/tarragonarch/ctl/admin/JsonReader.java
+++ b/tarragonarch-ctl/src/main/java/org/tarragonarch/ctl/admin/JsonReader.java
@@ -4,7 +4,7 @@
 import com.google.common.collect.ImmutableList;
 import org.tarragonarch.model.id.Address;
 
-/** Reads the fields of an answer's object; a missing or wrong one is reported with the node and the field. */
+/** Reads the fields of a JSON object; the exception for an invalid field names the node and the field. */
 final class JsonReader {
     private final Address node;
     private final JsonNode object;
@@ -17,7 +17,7 @@
     String text(String field) throws AdminException {
         JsonNode found = object.path(field);
         if (!found.isTextual()) {
-            throw invalidField(field, "a text");
+            throw invalidField(field, "a string");
         }
         return found.textValue();
     }
@@ -54,7 +54,7 @@
         return items.build();
     }
 
-    AdminException invalidField(String field, String due) {
-        return AdminException.unreadable(node, "'" + field + "' is missing or not " + due);
+    AdminException invalidField(String field, String expected) {
+        return AdminException.unreadable(node, "'" + field + "' is missing or not " + expected);
     }
 }
--- a/tarragonarch-ctl/src/main/java/org/tarragonarch/ctl/admin/NodeView.java
+++ b/tarragonarch-ctl/src/main/java/org/tarragonarch/ctl/admin/NodeView.java
@@ -4,17 +4,17 @@
 import org.tarragonarch.model.id.ConfigurationVersion;
 
 /**
- * What a node says of itself.
+ * The status of a node.
  *
- * @param node the node's id
- * @param domain the failure domain it stands in
- * @param phase how far it is on its way
- * @param configuration the version in force there
- * @param submissions submissions that have no answer yet
- * @param endpoints the endpoints it knows
- * @param peers the other nodes it knows
- * @param queues the work of each team at each service
- * @param quotas each team's use of its quota
+ * @param node the id of the node
+ * @param domain its failure domain
+ * @param phase its lifecycle phase
+ * @param configuration the version in force at the node
+ * @param submissions the number of submissions without an answer
+ * @param endpoints the known endpoints
+ * @param peers the known peers
+ * @param queues the tasks of each team at each service
+ * @param quotas the quota use of each team
  */
 public record NodeView(
         String node,
@@ -26,12 +26,12 @@
         ImmutableList<PeerView> peers,
         ImmutableList<QueueView> queues,
         ImmutableList<QuotaView> quotas) {
-    /** Returns how many endpoints it sends tasks to. */
+    /** Returns the number of endpoints to which the node sends tasks. */
     public long liveEndpoints() {
         return endpoints.stream().filter(EndpointView::isLive).count();
     }
 
-    /** Returns of how many peers it has lately had reports. */
+    /** Returns the number of peers from which the node recently received a report. */
     public long livePeers() {
         return peers.stream().filter(PeerView::alive).count();
     }
--- a/tarragonarch-ctl/src/main/java/org/tarragonarch/ctl/admin/PeerView.java
+++ b/tarragonarch-ctl/src/main/java/org/tarragonarch/ctl/admin/PeerView.java
@@ -3,12 +3,12 @@
 import org.tarragonarch.model.id.ConfigurationVersion;
 
 /**
- * What a node says of another.
+ * A peer as seen by a node.
  *
- * @param node the other node's id
- * @param domain the failure domain it stands in
- * @param alive whether a report from it came in lately
- * @param phase the phase it last reported
- * @param configuration the version it last reported in force
+ * @param node the id of the peer
+ * @param domain its failure domain
+ * @param alive whether a report from it was received recently
+ * @param phase the lifecycle phase in its last report
+ * @param configuration the version in force in its last report
  */
 public record PeerView(String node, String domain, boolean alive, String phase, ConfigurationVersion configuration) {}
--- a/tarragonarch-ctl/src/main/java/org/tarragonarch/ctl/change/AdminGateway.java
+++ b/tarragonarch-ctl/src/main/java/org/tarragonarch/ctl/change/AdminGateway.java
@@ -13,11 +13,11 @@
 import org.tarragonarch.model.outcome.StepException;
 import org.tarragonarch.platform.AuditRecord;
 
-/** Reaches the accepted configurations through the administration API of whichever node answers. */
+/** Accesses the accepted configurations through the administration API of the nodes. */
 public final class AdminGateway implements ConfigurationGateway {
     private final AdminNodes nodes;
 
-    /** Creates a gateway over these nodes, which the caller closes. */
+    /** Creates a gateway that calls the given nodes, which the caller must close. */
     public AdminGateway(AdminNodes nodes) {
         this.nodes = nodes;
     }
@@ -25,7 +25,7 @@
     @Override
     public ConfigurationView newest() throws AdminException {
         ImmutableList<AdminResult<ConfigurationView>> answers = nodes.callAll(AdminClient::configuration);
-        // A node that is cut off may still hold an older version, so the newest of all answers counts.
+        // A node without access to the store may have an older version in force.
         return answers.stream()
                 .flatMap(answer -> answer.value().stream())
                 .max(Comparator.comparing(ConfigurationView::version))
@@ -38,8 +38,8 @@
     }
 
     /**
-     * Asks one node after the other until one decides. The change keeps its mark, by which a node that is asked second
-     * sees that the first had it accepted already although the reply was lost.
+     * Calls the nodes in order until one accepts or refuses the change. The change id is the same in every call, so
+     * that a change whose reply was lost is not accepted twice.
      */
     @Override
     public ConfigurationVersion accept(ChangeRequest change) throws StepException {
--- a/tarragonarch-ctl/src/main/java/org/tarragonarch/ctl/change/ChangeApplier.java
+++ b/tarragonarch-ctl/src/main/java/org/tarragonarch/ctl/change/ChangeApplier.java
@@ -13,24 +13,24 @@
 import org.tarragonarch.settings.CatalogReader;
 import org.tarragonarch.settings.SettingsException;
 
-/** Compares a configuration with the accepted one and has the change accepted. */
+/** Compares a configuration with the accepted one and applies the change. */
 public final class ChangeApplier {
-    /** The longest summary that nodes take. */
+    /** The longest summary that nodes accept, in characters. */
     private static final int MAX_SUMMARY = 500;
 
     private final ConfigurationGateway gateway;
 
-    /** Creates one that works through this gateway. */
+    /** Creates an applier that uses the gateway. */
     public ChangeApplier(ConfigurationGateway gateway) {
         this.gateway = gateway;
     }
 
     /**
-     * Returns what accepting this configuration would change.
+     * Returns the change from the accepted configuration to the given one.
      *
-     * @param canonical the configuration's canonical text
-     * @param catalog what it defines
-     * @throws StepException if the accepted configuration cannot be had
+     * @param canonical the canonical text of the configuration
+     * @param catalog the catalog that the text defines
+     * @throws StepException if the accepted configuration cannot be read
      */
     public PlannedChange plan(byte[] canonical, ServiceCatalog catalog) throws StepException {
         ConfigurationView accepted = gateway.newest();
@@ -39,18 +39,18 @@
     }
 
     /**
-     * Has a planned change accepted.
+     * Submits a planned change for acceptance.
      *
-     * @param summary what the audit trail says of it; cut where it is too long
+     * @param summary the summary for the audit trail, truncated if it is too long
      * @return the new version
      * @throws ChangeConflictException if another change was accepted since it was planned
-     * @throws ChangeOutcomeUnknownException if it cannot be said whether it was accepted
-     * @throws StepException if it certainly was not accepted
+     * @throws ChangeOutcomeUnknownException if it is unknown whether the change was accepted
+     * @throws StepException if the change was not accepted
      */
     public ConfigurationVersion apply(PlannedChange planned, String summary) throws StepException {
-        ChangeId mark = new ChangeId(UUID.randomUUID().toString());
-        String cut = Ascii.truncate(summary, MAX_SUMMARY, "...");
-        return gateway.accept(new ChangeRequest(planned.from(), mark, cut, planned.canonical()));
+        ChangeId changeId = new ChangeId(UUID.randomUUID().toString());
+        String truncated = Ascii.truncate(summary, MAX_SUMMARY, "...");
+        return gateway.accept(new ChangeRequest(planned.from(), changeId, truncated, planned.canonical()));
     }
 
     private static Optional<ServiceCatalog> catalogOf(ConfigurationView view) throws SettingsException {
--- a/tarragonarch-ctl/src/main/java/org/tarragonarch/ctl/change/ChangeConflictException.java
+++ b/tarragonarch-ctl/src/main/java/org/tarragonarch/ctl/change/ChangeConflictException.java
@@ -3,11 +3,11 @@
 import org.tarragonarch.model.outcome.Step;
 import org.tarragonarch.model.outcome.StepException;
 
-/** Another operator's change was accepted first, so this one was not. */
+/** Thrown when a change is not accepted because another one was accepted first. */
 public final class ChangeConflictException extends StepException {
     private static final long serialVersionUID = 1L;
 
-    /** Creates an error whose message names the change that won. */
+    /** Creates an exception; the message describes the conflict. */
     public ChangeConflictException(String peer, String message) {
         super(Step.CONFIGURE, peer, message);
     }
--- a/tarragonarch-ctl/src/main/java/org/tarragonarch/ctl/change/ChangeOutcomeUnknownException.java
+++ b/tarragonarch-ctl/src/main/java/org/tarragonarch/ctl/change/ChangeOutcomeUnknownException.java
@@ -4,16 +4,16 @@
 import org.tarragonarch.model.outcome.Step;
 import org.tarragonarch.model.outcome.StepException;
 
-/** It cannot be said yet whether a change was accepted. */
+/** Thrown when it is unknown whether a change was accepted. */
 public final class ChangeOutcomeUnknownException extends StepException {
     private static final long serialVersionUID = 1L;
 
-    /** Creates an error that names the change, by which it can be found in the audit trail. */
+    /** Creates an exception that names the change id, to look up in the audit trail. */
     public ChangeOutcomeUnknownException(ChangeId change, StepException cause) {
         super(
                 Step.CONFIGURE,
                 cause.peer(),
-                "it cannot be said yet whether change " + change + " was accepted: " + cause.getMessage(),
+                "it is unknown whether change " + change + " was accepted: " + cause.getMessage(),
                 cause);
     }
 }
--- a/tarragonarch-ctl/src/main/java/org/tarragonarch/ctl/change/DomainRollout.java
+++ b/tarragonarch-ctl/src/main/java/org/tarragonarch/ctl/change/DomainRollout.java
@@ -5,10 +5,10 @@
 import com.google.common.collect.ImmutableList;
 
 /**
- * How far a version has come in one failure domain.
+ * The rollout of a version in one failure domain.
  *
  * @param domain the failure domain
- * @param inForce the nodes that have it in force
+ * @param inForce the nodes that have the version or a newer one in force
  * @param outdated the nodes that have an older version in force
  * @param unreachable the nodes that cannot be reached
  */
@@ -17,15 +17,15 @@
         ImmutableList<String> inForce,
         ImmutableList<String> outdated,
         ImmutableList<String> unreachable) {
-    /** Checks the parts. */
+    /** Creates a domain rollout. */
     public DomainRollout {
         checkNotNull(domain, "domain");
         checkNotNull(inForce, "inForce");
-        checkNotNull(outdated, "notYet");
+        checkNotNull(outdated, "outdated");
         checkNotNull(unreachable, "unreachable");
     }
 
-    /** Returns how far the version has come. */
+    /** Returns the state of the rollout. */
     public RolloutState state() {
         if (!outdated.isEmpty()) {
             return RolloutState.NOT_YET;
@@ -33,15 +33,15 @@
         return unreachable.isEmpty() ? RolloutState.IN_FORCE : RolloutState.CANNOT_BE_REACHED;
     }
 
-    /** Returns how many nodes the domain has, as far as they are known. */
+    /** Returns the number of known nodes in the domain. */
     public int nodeCount() {
         return inForce.size() + outdated.size() + unreachable.size();
     }
 
-    /** Returns in words which nodes lack the version; empty where none does. */
+    /** Returns a description of the nodes without the version, or an empty string if there are none. */
     public String describeMissing() {
         String older = outdated.isEmpty() ? "" : "an older version on " + String.join(", ", outdated);
-        String silent = unreachable.isEmpty() ? "" : "no word from " + String.join(", ", unreachable);
-        return older.isEmpty() || silent.isEmpty() ? older + silent : older + "; " + silent;
+        String unreached = unreachable.isEmpty() ? "" : "cannot reach " + String.join(", ", unreachable);
+        return older.isEmpty() || unreached.isEmpty() ? older + unreached : older + "; " + unreached;
     }
 }
--- a/tarragonarch-ctl/src/main/java/org/tarragonarch/ctl/change/PlannedChange.java
+++ b/tarragonarch-ctl/src/main/java/org/tarragonarch/ctl/change/PlannedChange.java
@@ -6,14 +6,14 @@
 import org.tarragonarch.settings.CatalogDifference;
 
 /**
- * A change that could be made.
+ * A change that is not submitted yet.
  *
- * @param from the accepted version that it was compared with
- * @param difference what it changes
- * @param canonical the new configuration's canonical text; callers must not change it
+ * @param from the accepted version that the change replaces
+ * @param difference the difference from the accepted version
+ * @param canonical the canonical text of the new configuration; callers must not change it
  */
 public record PlannedChange(ConfigurationVersion from, CatalogDifference difference, byte[] canonical) {
-    /** Checks the parts. */
+    /** Creates a planned change. */
     public PlannedChange {
         checkNotNull(from, "from");
         checkNotNull(difference, "difference");
--- a/tarragonarch-ctl/src/main/java/org/tarragonarch/ctl/change/Rollout.java
+++ b/tarragonarch-ctl/src/main/java/org/tarragonarch/ctl/change/Rollout.java
@@ -17,50 +17,50 @@
 import org.tarragonarch.model.id.ConfigurationVersion;
 
 /**
- * How far a version has come in every failure domain, as some nodes tell of themselves and of their peers.
+ * The rollout of a version in every failure domain, from the status of some nodes and their view of their peers.
  *
- * <p>What a node says of itself counts over what peers say of it. A node that was not asked, or did not answer, counts
- * as reached if any peer had a report of it lately; so a few administration addresses show the whole system.
+ * <p>A node's own status takes precedence over what peers report of it. A node that was not called or did not answer
+ * counts as reachable if any peer recently received a report from it, so that a few administration addresses are
+ * enough to see the whole system.
  *
  * @param version the version
- * @param domains the failure domains, by name
- * @param failures why addresses that were asked did not answer
+ * @param domains the failure domains, sorted by name
+ * @param failures a message for each address that did not answer
  */
 public record Rollout(
         ConfigurationVersion version, ImmutableList<DomainRollout> domains, ImmutableList<String> failures) {
     private static final String LEFT = "left";
 
-    /** Checks the parts. */
+    /** Creates a rollout. */
     public Rollout {
         checkNotNull(version, "version");
         checkNotNull(domains, "domains");
-        checkNotNull(failures, "silent");
+        checkNotNull(failures, "failures");
     }
 
-    /** Returns how far the version has come according to these answers. */
+    /** Returns the rollout of a version according to the status of some nodes. */
     public static Rollout of(ConfigurationVersion version, List<AdminResult<NodeView>> answers) {
-        Map<String, Sighting> sightings = new TreeMap<>();
+        Map<String, NodeState> states = new TreeMap<>();
         for (AdminResult<NodeView> answer : answers) {
             answer.value()
                     .ifPresent(view -> view.peers().stream()
                             .filter(peer -> !peer.phase().equals(LEFT))
-                            .forEach(peer -> sightings.merge(peer.node(), Sighting.of(peer), Sighting::better)));
+                            .forEach(peer -> states.merge(peer.node(), NodeState.of(peer), NodeState::preferred)));
         }
         for (AdminResult<NodeView> answer : answers) {
-            answer.value().ifPresent(view -> sightings.put(view.node(), Sighting.of(view)));
+            answer.value().ifPresent(view -> states.put(view.node(), NodeState.of(view)));
         }
-        ImmutableList<String> silent = answers.stream()
+        ImmutableList<String> failures = answers.stream()
                 .flatMap(answer -> answer.failure().stream())
                 .map(AdminException::getMessage)
                 .collect(ImmutableList.toImmutableList());
-        return new Rollout(version, domains(version, sightings), silent);
+        return new Rollout(version, domains(version, states), failures);
     }
 
     /**
-     * Returns whether the version is in force everywhere, as far as can be known: every address that was asked
-     * answered, and every node known has the version.
+     * Returns whether the version is in force at every known node and every address answered.
      *
-     * <p>An address that does not answer may be that of a node that no peer knows yet; it would be missed.
+     * <p>An address that does not answer may belong to a node that no peer knows yet.
      */
     public boolean isComplete() {
         return failures.isEmpty()
@@ -68,54 +68,54 @@
                 && domains.stream().allMatch(domain -> domain.state() == RolloutState.IN_FORCE);
     }
 
-    /** Returns one line of progress, such as {@code hobart 2/2, devonport 0/1}. */
+    /** Returns the progress as one line, such as {@code hobart 2/2, devonport 0/1}. */
     public String progress() {
-        String reached = domains.stream()
+        String inForce = domains.stream()
                 .map(domain -> domain.domain() + " " + domain.inForce().size() + "/" + domain.nodeCount())
                 .collect(Collectors.joining(", "));
         String missing = failures.isEmpty() ? "" : "no answer from " + failures.size() + " address(es)";
-        return reached.isEmpty() || missing.isEmpty() ? reached + missing : reached + ", " + missing;
+        return inForce.isEmpty() || missing.isEmpty() ? inForce + missing : inForce + ", " + missing;
     }
 
-    private static ImmutableList<DomainRollout> domains(ConfigurationVersion version, Map<String, Sighting> sightings) {
-        ImmutableSortedSet<String> names = sightings.values().stream()
-                .map(Sighting::domain)
+    private static ImmutableList<DomainRollout> domains(ConfigurationVersion version, Map<String, NodeState> states) {
+        ImmutableSortedSet<String> names = states.values().stream()
+                .map(NodeState::domain)
                 .collect(ImmutableSortedSet.toImmutableSortedSet(Comparator.naturalOrder()));
         return names.stream()
                 .map(name -> new DomainRollout(
                         name,
-                        nodes(sightings, name, sighting -> sighting.reached() && sighting.has(version)),
-                        nodes(sightings, name, sighting -> sighting.reached() && !sighting.has(version)),
-                        nodes(sightings, name, sighting -> !sighting.reached())))
+                        nodes(states, name, state -> state.reachable() && state.has(version)),
+                        nodes(states, name, state -> state.reachable() && !state.has(version)),
+                        nodes(states, name, state -> !state.reachable())))
                 .collect(ImmutableList.toImmutableList());
     }
 
     private static ImmutableList<String> nodes(
-            Map<String, Sighting> sightings, String domain, Predicate<Sighting> condition) {
-        return sightings.entrySet().stream()
+            Map<String, NodeState> states, String domain, Predicate<NodeState> condition) {
+        return states.entrySet().stream()
                 .filter(entry -> entry.getValue().domain().equals(domain))
                 .filter(entry -> condition.test(entry.getValue()))
                 .map(Map.Entry::getKey)
                 .collect(ImmutableList.toImmutableList());
     }
 
-    /** What is known of one node. */
-    private record Sighting(String domain, boolean reached, ConfigurationVersion configuration) {
-        static Sighting of(NodeView view) {
-            return new Sighting(view.domain(), true, view.configuration());
+    /** The latest known state of a node. */
+    private record NodeState(String domain, boolean reachable, ConfigurationVersion configuration) {
+        static NodeState of(NodeView view) {
+            return new NodeState(view.domain(), true, view.configuration());
         }
 
-        static Sighting of(PeerView peer) {
-            return new Sighting(peer.domain(), peer.alive(), peer.configuration());
+        static NodeState of(PeerView peer) {
+            return new NodeState(peer.domain(), peer.alive(), peer.configuration());
         }
 
         boolean has(ConfigurationVersion version) {
             return !version.newerThan(configuration);
         }
 
-        Sighting better(Sighting other) {
-            if (reached != other.reached) {
-                return reached ? this : other;
+        NodeState preferred(NodeState other) {
+            if (reachable != other.reachable) {
+                return reachable ? this : other;
             }
             return other.configuration.newerThan(configuration) ? other : this;
         }
--- a/tarragonarch-ctl/src/main/java/org/tarragonarch/ctl/change/RolloutWatch.java
+++ b/tarragonarch-ctl/src/main/java/org/tarragonarch/ctl/change/RolloutWatch.java
@@ -6,7 +6,7 @@
 import org.tarragonarch.ctl.admin.AdminNodes;
 import org.tarragonarch.model.id.ConfigurationVersion;
 
-/** Waits until a version is in force everywhere, or a time has passed. */
+/** Waits until a version is in force everywhere. */
 public final class RolloutWatch {
     private static final Duration POLL_INTERVAL = Duration.ofMillis(200);
 
@@ -16,8 +16,8 @@
     /**
      * Creates a watch.
      *
-     * @param nodes the nodes asked
-     * @param progress takes a line each time that something has changed
+     * @param nodes the nodes to poll for their status
+     * @param progress receives a line whenever the progress changes
      */
     public RolloutWatch(AdminNodes nodes, Consumer<String> progress) {
         this.nodes = nodes;
@@ -25,21 +25,21 @@
     }
 
     /**
-     * Blocks until the version is in force everywhere, or the time has passed; asks at least once.
+     * Blocks until the version is in force everywhere or the timeout expires; polls at least once.
      *
      * @throws InterruptedException if the thread is interrupted
      */
-    public Rollout await(ConfigurationVersion version, Duration atMost) throws InterruptedException {
+    public Rollout await(ConfigurationVersion version, Duration timeout) throws InterruptedException {
         long started = System.nanoTime();
-        String told = "";
+        String lastReported = "";
         while (true) {
             Rollout rollout = Rollout.of(version, nodes.callAll(AdminClient::status));
-            if (!rollout.progress().equals(told)) {
-                told = rollout.progress();
-                progress.accept("version " + version + " in force: " + told);
+            if (!rollout.progress().equals(lastReported)) {
+                lastReported = rollout.progress();
+                progress.accept("version " + version + " in force: " + lastReported);
             }
-            Duration spent = Duration.ofNanos(System.nanoTime() - started);
-            if (rollout.isComplete() || spent.compareTo(atMost) >= 0) {
+            Duration elapsed = Duration.ofNanos(System.nanoTime() - started);
+            if (rollout.isComplete() || elapsed.compareTo(timeout) >= 0) {
                 return rollout;
             }
             Thread.sleep(POLL_INTERVAL.toMillis());
--- a/tarragonarch-ctl/src/main/java/org/tarragonarch/ctl/change/StoreGateway.java
+++ b/tarragonarch-ctl/src/main/java/org/tarragonarch/ctl/change/StoreGateway.java
@@ -15,9 +15,9 @@
 import org.tarragonarch.platform.ConfigurationStore;
 import org.tarragonarch.platform.PlatformException;
 
-/** Reaches the accepted configurations straight at the platform, for the first one and where no node answers. */
+/** Accesses the accepted configurations directly at the platform, for the first one or when no node answers. */
 public final class StoreGateway implements ConfigurationGateway {
-    private static final int SEARCHED_RECORDS = 10_000;
+    private static final int MAX_SEARCHED_RECORDS = 10_000;
 
     private final ConfigurationStore store;
     private final OperatorName operator;
@@ -26,9 +26,9 @@
     /**
      * Creates a gateway.
      *
-     * @param store the platform's configurations
-     * @param operator the name that the audit trail shows
-     * @param clock the time that the audit trail shows
+     * @param store the configuration store of the platform
+     * @param operator the operator recorded in the audit trail
+     * @param clock the source of the times in the audit trail
      */
     public StoreGateway(ConfigurationStore store, OperatorName operator, Clock clock) {
         this.store = store;
@@ -47,7 +47,7 @@
 
     @Override
     public ConfigurationView load(ConfigurationVersion version) throws PlatformException {
-        for (AuditRecord record : store.history(SEARCHED_RECORDS)) {
+        for (AuditRecord record : store.history(MAX_SEARCHED_RECORDS)) {
             if (record.version().equals(version)) {
                 return new ConfigurationView(version, store.load(record.digest()));
             }
--- a/tarragonarch-ctl/src/main/java/org/tarragonarch/ctl/change/package-info.java
+++ b/tarragonarch-ctl/src/main/java/org/tarragonarch/ctl/change/package-info.java
@@ -1,2 +1,2 @@
-/** Changes of the configuration: acceptance, conflicts, and the way into force in every failure domain. */
+/** Configuration changes: acceptance, conflicts, and rollout in every failure domain. */
 package org.tarragonarch.ctl.change;
--- a/tarragonarch-ctl/src/main/java/org/tarragonarch/ctl/command/ApplyCommand.java
+++ b/tarragonarch-ctl/src/main/java/org/tarragonarch/ctl/command/ApplyCommand.java
@@ -13,13 +13,12 @@
 import picocli.CommandLine.Mixin;
 import picocli.CommandLine.Option;
 
-/** Makes a folder the configuration. */
+/** Applies a configuration folder. */
 @Command(
         name = "apply",
-        description = "Makes a folder the configuration, and waits until it is in force in every failure domain.",
-        footer =
-                "A node without a configuration knows no operator, so the first one goes straight to the platform: give"
-                        + " --platform and --operator.")
+        description = "Applies a configuration folder and waits until it is in force in every failure domain.",
+        footer = "A node without a configuration knows no operators, so apply the first one directly at the platform,"
+                + " with --platform and --operator.")
 final class ApplyCommand extends ChangeCommand {
     @Mixin
     private FolderArgument folder;
@@ -27,13 +26,13 @@
     @Option(
             names = "--from",
             paramLabel = "VERSION",
-            description = "Apply only if this is the accepted version: the one that your folder was made from.")
+            description = "Apply only if this version, on which your folder is based, is still the accepted one.")
     private ConfigurationVersion from;
 
     @Option(
             names = {"-m", "--summary"},
             paramLabel = "TEXT",
-            description = "What the audit trail says of the change; what changes, unless stated.")
+            description = "Summary for the audit trail; the default lists the changed definitions.")
     private String summary;
 
     @Override
@@ -45,15 +44,16 @@
 
     private int apply(Connection connection, ConfigurationGateway gateway, CheckedConfiguration checked)
             throws Exception {
-        ChangeApplier maker = new ChangeApplier(gateway);
-        PlannedChange planned = maker.plan(checked.canonical(), checked.catalog());
+        ChangeApplier applier = new ChangeApplier(gateway);
+        PlannedChange planned = applier.plan(checked.canonical(), checked.catalog());
         if (from != null && !from.equals(planned.from())) {
             throw new ChangeConflictException(
                     folder.toString(),
-                    "your folder was made from version " + from + ", but version " + planned.from() + " is accepted");
+                    "your folder is based on version " + from + ", but version " + planned.from()
+                            + " is the accepted one");
         }
         if (planned.difference().isEmpty()) {
-            return tellNoChange(planned);
+            return printNoChange(planned);
         }
         if (!output().isJson()) {
             output().printLine("against version " + planned.from() + ":");
@@ -61,19 +61,19 @@
         }
         return applyAndWait(
                 connection,
-                maker,
+                applier,
                 planned,
                 summary == null ? planned.difference().summary() : summary);
     }
 
-    private int tellNoChange(PlannedChange planned) {
+    private int printNoChange(PlannedChange planned) {
         if (output().isJson()) {
             output().printJson(JsonNodeFactory.instance
                     .objectNode()
                     .put("version", planned.from().value())
                     .put("changed", false));
         } else {
-            output().printLine("nothing to change: version " + planned.from() + " says the same");
+            output().printLine("nothing to change: version " + planned.from() + " is the same");
         }
         return ExitCode.OK.number();
     }
--- a/tarragonarch-ctl/src/main/java/org/tarragonarch/ctl/command/AuditCommand.java
+++ b/tarragonarch-ctl/src/main/java/org/tarragonarch/ctl/command/AuditCommand.java
@@ -8,11 +8,8 @@
 import picocli.CommandLine.Mixin;
 import picocli.CommandLine.Option;
 
-/** Prints the audit trail whole. */
-@Command(
-        name = "audit",
-        description = "Prints the audit trail whole, the newest change first: version, the one it replaced, change id,"
-                + " digest, operator.")
+/** Prints the audit trail. */
+@Command(name = "audit", description = "Prints the audit trail with change ids and digests, the newest change first.")
 final class AuditCommand extends ConnectedCommand {
     @Mixin
     private LimitOption limit;
@@ -36,7 +33,7 @@
                             record.summary());
                 }
             }
-            output().printTable(table, "no such change");
+            output().printTable(table, "no matching change");
             return ExitCode.OK.number();
         });
     }
--- a/tarragonarch-ctl/src/main/java/org/tarragonarch/ctl/command/ChangeCommand.java
+++ b/tarragonarch-ctl/src/main/java/org/tarragonarch/ctl/command/ChangeCommand.java
@@ -20,35 +20,36 @@
 
 /** A command that changes the configuration and waits until the change is in force everywhere. */
 abstract class ChangeCommand extends ConnectedCommand {
-    /** One look at the nodes must be short, so that a domain that is cut off does not hold up the rest of the wait. */
-    private static final Duration LONGEST_LOOK = Duration.ofSeconds(1);
+    /** The longest timeout of a status call, so that an unreachable domain does not delay the others. */
+    private static final Duration MAX_POLL_TIMEOUT = Duration.ofSeconds(1);
 
     @Mixin
     private RolloutOptions rolloutOptions;
 
-    /** Has the change accepted, waits, and prints how far it came. */
-    final int applyAndWait(Connection connection, ChangeApplier maker, PlannedChange planned, String summary)
+    /** Applies the change, waits for the rollout, prints it, and returns the exit status. */
+    final int applyAndWait(Connection connection, ChangeApplier applier, PlannedChange planned, String summary)
             throws Exception {
-        ConfigurationVersion version = accepted(maker, planned, summary);
+        ConfigurationVersion version = submit(applier, planned, summary);
         if (!output().isJson()) {
             output().printLine("accepted as version " + version + ", in place of version " + planned.from());
         }
-        boolean nodesKnown = !connection.adminAddresses().isEmpty()
+        boolean canWatch = !connection.adminAddresses().isEmpty()
                 && connection.operatorToken().isPresent();
-        if (!nodesKnown) {
-            return tellUnwatched(version, planned);
+        if (!canWatch) {
+            return printUnwatched(version, planned);
         }
-        Duration look = connection.timeout().compareTo(LONGEST_LOOK) < 0 ? connection.timeout() : LONGEST_LOOK;
-        try (AdminNodes nodes = nodes(connection, look)) {
+        Duration pollTimeout =
+                connection.timeout().compareTo(MAX_POLL_TIMEOUT) < 0 ? connection.timeout() : MAX_POLL_TIMEOUT;
+        try (AdminNodes nodes = nodes(connection, pollTimeout)) {
             Rollout rollout = new RolloutWatch(nodes, output()::printNote).await(version, rolloutOptions.timeout());
-            return tell(rollout, planned);
+            return printRollout(rollout, planned);
         }
     }
 
-    private ConfigurationVersion accepted(ChangeApplier maker, PlannedChange planned, String summary)
+    private ConfigurationVersion submit(ChangeApplier applier, PlannedChange planned, String summary)
             throws StepException {
         try {
-            return maker.apply(planned, summary);
+            return applier.apply(planned, summary);
         } catch (ChangeConflictException | ChangeOutcomeUnknownException e) {
             throw e;
         } catch (StepException e) {
@@ -57,16 +58,16 @@
         }
     }
 
-    private int tellUnwatched(ConfigurationVersion version, PlannedChange planned) {
+    private int printUnwatched(ConfigurationVersion version, PlannedChange planned) {
         if (output().isJson()) {
             output().printJson(json(version, planned));
         } else {
-            output().printNote("no --admin address and operator token: not watched into force");
+            output().printNote("no --admin address or no operator token: did not wait until the change is in force");
         }
         return ExitCode.OK.number();
     }
 
-    private int tell(Rollout rollout, PlannedChange planned) {
+    private int printRollout(Rollout rollout, PlannedChange planned) {
         Table table = Table.of("domain", "state", "in-force", "nodes", "missing");
         for (DomainRollout domain : rollout.domains()) {
             table.row(
@@ -83,7 +84,7 @@
             json.set("domains", table.toJson());
             output().printJson(json);
         } else {
-            output().printTable(table, "no node answers, so it cannot be said where the version is in force");
+            output().printTable(table, "no node answers, so it is unknown where the version is in force");
         }
         return rollout.isComplete() ? ExitCode.OK.number() : ExitCode.NOT_IN_FORCE.number();
     }
--- a/tarragonarch-ctl/src/main/java/org/tarragonarch/ctl/command/CheckCommand.java
+++ b/tarragonarch-ctl/src/main/java/org/tarragonarch/ctl/command/CheckCommand.java
@@ -12,8 +12,8 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Mixin;
 
-/** Checks a folder without calling anything. */
-@Command(name = "check", description = "Finds every mistake of a configuration folder; calls no node.")
+/** Checks a configuration folder without calling a node. */
+@Command(name = "check", description = "Reports every mistake in a configuration folder; calls no node.")
 final class CheckCommand implements Callable<Integer> {
     @Mixin
     private FolderArgument folder;
@@ -24,7 +24,7 @@
     @Override
     public Integer call() throws SettingsException {
         try {
-            tell(folder.read());
+            printSummary(folder.read());
             return ExitCode.OK.number();
         } catch (SettingsException e) {
             if (!output.isJson()) {
@@ -35,13 +35,13 @@
         }
     }
 
-    private void tell(CheckedConfiguration checked) {
+    private void printSummary(CheckedConfiguration checked) {
         ServiceCatalog catalog = checked.catalog();
         if (output.isJson()) {
             output.printJson(JsonNodeFactory.instance.arrayNode());
             return;
         }
-        output.printLine(checked.files().size() + " file(s) without a mistake: " + String.join(", ", checked.files()));
+        output.printLine(checked.files().size() + " file(s) without mistakes: " + String.join(", ", checked.files()));
         output.printLine(
                 catalog.services().size() + " service(s), " + catalog.teams().size() + " team(s), "
                         + catalog.callers().size() + " caller(s), "
--- a/tarragonarch-ctl/src/main/java/org/tarragonarch/ctl/command/CompletionCommand.java
+++ b/tarragonarch-ctl/src/main/java/org/tarragonarch/ctl/command/CompletionCommand.java
@@ -8,10 +8,10 @@
 import picocli.CommandLine.Model.CommandSpec;
 import picocli.CommandLine.Spec;
 
-/** Prints a completion script. */
+/** Prints a shell completion script. */
 @Command(
         name = "completion",
-        description = "Prints a completion script for bash and zsh; source it from your shell's start file.")
+        description = "Prints a completion script for bash and zsh; source it in the startup file of your shell.")
 final class CompletionCommand implements Callable<Integer> {
     @Spec
     private CommandSpec command;
--- a/tarragonarch-ctl/src/main/java/org/tarragonarch/ctl/command/ConnectedCommand.java
+++ b/tarragonarch-ctl/src/main/java/org/tarragonarch/ctl/command/ConnectedCommand.java
@@ -39,14 +39,14 @@
         return connectionOptions.read();
     }
 
-    /** Returns the nodes of a connection; the caller closes them. */
+    /** Returns the nodes of a connection, which the caller must close. */
     final AdminNodes nodes(Connection connection) {
         return nodes(connection, connection.timeout());
     }
 
     final AdminNodes nodes(Connection connection, Duration timeout) {
         if (connection.adminAddresses().isEmpty()) {
-            throw usage("no node is named: give --admin IP:PORT, or admin-addresses in a --settings file");
+            throw usage("no administration address: give --admin IP:PORT, or admin-addresses in a --settings file");
         }
         if (connection.operatorToken().isEmpty()) {
             throw usage("no operator token: give --token-file FILE, token-file in a --settings file, or the"
@@ -56,24 +56,24 @@
     }
 
     /**
-     * Works on the accepted configurations: through nodes, or straight at the platform where the command line names it
-     * or no node is known.
+     * Runs an action with access to the accepted configurations, and returns its exit status. Access is through nodes,
+     * or directly at the platform if the command line names it or no administration address is known.
      */
-    final int withGateway(Connection connection, GatewayAction work) throws Exception {
+    final int withGateway(Connection connection, GatewayAction action) throws Exception {
         boolean onlyPlatformKnown = connection.adminAddresses().isEmpty()
                 && connection.platformAddress().isPresent();
         if (!connectionOptions.hasPlatformOption() && !onlyPlatformKnown) {
             try (AdminNodes nodes = nodes(connection)) {
-                return work.run(new AdminGateway(nodes));
+                return action.run(new AdminGateway(nodes));
             }
         }
         Address platform = connection.platformAddress().orElseThrow();
         OperatorName operator = connection
                 .operator()
-                .orElseThrow(() -> usage(
-                        "a change straight at the platform needs --operator NAME, which the audit trail will show"));
+                .orElseThrow(() ->
+                        usage("access at the platform needs --operator NAME, which is recorded in the audit trail"));
         try (PlatformClient client = PlatformClient.create(platform, connection.timeout())) {
-            return work.run(new StoreGateway(client.configurationStore(), operator, Clock.systemUTC()));
+            return action.run(new StoreGateway(client.configurationStore(), operator, Clock.systemUTC()));
         }
     }
 
@@ -85,7 +85,7 @@
         return new ParameterException(command.commandLine(), message);
     }
 
-    /** Work on the accepted configurations that ends with an exit status. */
+    /** An action on the accepted configurations that returns an exit status. */
     @FunctionalInterface
     interface GatewayAction {
         int run(ConfigurationGateway gateway) throws Exception;
--- a/tarragonarch-ctl/src/main/java/org/tarragonarch/ctl/command/DiffCommand.java
+++ b/tarragonarch-ctl/src/main/java/org/tarragonarch/ctl/command/DiffCommand.java
@@ -23,7 +23,7 @@
             if (!output().isJson()) {
                 output().printLine(
                                 planned.difference().isEmpty()
-                                        ? folder + " says the same as version " + planned.from()
+                                        ? folder + " is the same as version " + planned.from()
                                         : "against version " + planned.from() + ":");
             }
             DifferenceTable.print(planned.difference(), output());
--- a/tarragonarch-ctl/src/main/java/org/tarragonarch/ctl/command/DifferenceTable.java
+++ b/tarragonarch-ctl/src/main/java/org/tarragonarch/ctl/command/DifferenceTable.java
@@ -5,11 +5,11 @@
 import org.tarragonarch.settings.CatalogDifference;
 import org.tarragonarch.settings.DefinitionChange;
 
-/** Prints what a change of the configuration does. */
+/** Prints the difference between two configurations. */
 final class DifferenceTable {
     private DifferenceTable() {}
 
-    /** Prints one line for each definition and, indented, one for each key. */
+    /** Prints a line for each definition, followed by an indented line for each key. */
     static void print(CatalogDifference difference, Output output) {
         if (output.isJson()) {
             output.printJson(table(difference).toJson());
--- a/tarragonarch-ctl/src/main/java/org/tarragonarch/ctl/command/DomainCommand.java
+++ b/tarragonarch-ctl/src/main/java/org/tarragonarch/ctl/command/DomainCommand.java
@@ -5,10 +5,10 @@
 import picocli.CommandLine.ParameterException;
 import picocli.CommandLine.Spec;
 
-/** Holds the commands that take a failure domain out of use and back. */
+/** The group of commands that drain and undrain failure domains. */
 @Command(
         name = "domain",
-        description = "Drains a failure domain, or takes it back into use.",
+        description = "Drains a failure domain, or ends its drain.",
         subcommands = {DrainDomainCommand.class, UndrainDomainCommand.class})
 final class DomainCommand implements Runnable {
     @Spec
@@ -16,6 +16,6 @@
 
     @Override
     public void run() {
-        throw new ParameterException(command.commandLine(), "say what to do with the domain: drain or undrain");
+        throw new ParameterException(command.commandLine(), "missing subcommand: drain or undrain");
     }
 }
--- a/tarragonarch-ctl/src/main/java/org/tarragonarch/ctl/command/DomainDrainCommand.java
+++ b/tarragonarch-ctl/src/main/java/org/tarragonarch/ctl/command/DomainDrainCommand.java
@@ -12,15 +12,15 @@
 import org.tarragonarch.settings.SettingsException;
 import picocli.CommandLine.Parameters;
 
-/** A command that changes which failure domains the accepted configuration drains. */
+/** A command that edits the drained failure domains of the accepted configuration. */
 abstract class DomainDrainCommand extends ChangeCommand {
     @Parameters(paramLabel = "DOMAIN", description = "The name of the failure domain.")
     private FailureDomain domain;
 
-    /** Returns the canonical text of the accepted configuration after the change. */
+    /** Returns the edited canonical text of the accepted configuration. */
     abstract byte[] edit(byte[] canonical, FailureDomain changed) throws SettingsException;
 
-    /** Returns what the audit trail says of the change. */
+    /** Returns the summary for the audit trail. */
     abstract String summary(FailureDomain changed);
 
     @Override
@@ -32,19 +32,18 @@
     private int change(Connection connection, ConfigurationGateway gateway) throws Exception {
         ConfigurationView accepted = gateway.newest();
         if (accepted.version().equals(ConfigurationVersion.NONE)) {
-            output().printNote("no configuration was accepted yet; apply one first");
+            output().printNote("no configuration is accepted yet; apply one first");
             return ExitCode.FAILED.number();
         }
         byte[] edited = edit(accepted.canonical(), domain);
-        ChangeApplier maker = new ChangeApplier(gateway);
-        PlannedChange planned = maker.plan(edited, CatalogReader.read(accepted.version(), edited));
+        ChangeApplier applier = new ChangeApplier(gateway);
+        PlannedChange planned = applier.plan(edited, CatalogReader.read(accepted.version(), edited));
         if (planned.difference().isEmpty()) {
-            output().printNote("nothing to change: version " + planned.from() + " says the same");
+            output().printNote("nothing to change: version " + planned.from() + " is the same");
             return ExitCode.OK.number();
         }
-        int status = applyAndWait(connection, maker, planned, summary(domain));
-        output().printNote(
-                        "Your folder does not say so yet: change 'drained-domains' there before it is applied again.");
+        int status = applyAndWait(connection, applier, planned, summary(domain));
+        output().printNote("Update 'drained-domains' in your folder too before you apply it again.");
         return status;
     }
 }
--- a/tarragonarch-ctl/src/main/java/org/tarragonarch/ctl/command/DrainCommand.java
+++ b/tarragonarch-ctl/src/main/java/org/tarragonarch/ctl/command/DrainCommand.java
@@ -5,10 +5,10 @@
 import picocli.CommandLine.ParameterException;
 import picocli.CommandLine.Spec;
 
-/** Holds the commands that take something out of use. */
+/** The group of commands that drain nodes and endpoints. */
 @Command(
         name = "drain",
-        description = "Takes a node or an endpoint out of use, without interrupting what runs.",
+        description = "Drains a node or an endpoint without interrupting running tasks.",
         subcommands = {DrainNodeCommand.class, DrainEndpointCommand.class})
 final class DrainCommand implements Runnable {
     @Spec
@@ -16,6 +16,6 @@
 
     @Override
     public void run() {
-        throw new ParameterException(command.commandLine(), "name what to drain: node or endpoint");
+        throw new ParameterException(command.commandLine(), "missing subcommand: node or endpoint");
     }
 }
--- a/tarragonarch-ctl/src/main/java/org/tarragonarch/ctl/command/DrainDomainCommand.java
+++ b/tarragonarch-ctl/src/main/java/org/tarragonarch/ctl/command/DrainDomainCommand.java
@@ -8,8 +8,9 @@
 /** Drains a failure domain. */
 @Command(
         name = "drain",
-        description = "Has no task started on the endpoints of a failure domain; what runs there ends as usual."
-                + " Its nodes go on serving callers, whose tasks run in other domains. 'rollback' undoes it.")
+        description =
+                "Drains a failure domain: no task is started on its endpoints, and running tasks complete. Its nodes"
+                        + " still serve callers, whose tasks run in other domains. Undo with 'rollback'.")
 final class DrainDomainCommand extends DomainDrainCommand {
     @Override
     byte[] edit(byte[] canonical, FailureDomain changed) throws SettingsException {
--- a/tarragonarch-ctl/src/main/java/org/tarragonarch/ctl/command/DrainEndpointCommand.java
+++ b/tarragonarch-ctl/src/main/java/org/tarragonarch/ctl/command/DrainEndpointCommand.java
@@ -5,11 +5,11 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Parameters;
 
-/** Has every node asked give an endpoint no new task. */
+/** Drains an endpoint at every given node. */
 @Command(
         name = "endpoint",
-        description = "Has every node asked give an endpoint no new task; tasks that run there end as usual."
-                + " A node that is not asked, or starts later, does not know of it.")
+        description = "Drains an endpoint: the given nodes send it no new tasks, and running tasks complete."
+                + " Nodes that are not given or start later still use the endpoint.")
 final class DrainEndpointCommand extends ConnectedCommand {
     @Parameters(paramLabel = "ENDPOINT", description = "The endpoint's name; see 'tarragonctl endpoints'.")
     private EndpointId endpoint;
--- a/tarragonarch-ctl/src/main/java/org/tarragonarch/ctl/command/DrainNodeCommand.java
+++ b/tarragonarch-ctl/src/main/java/org/tarragonarch/ctl/command/DrainNodeCommand.java
@@ -15,24 +15,25 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 
-/** Takes a node out of use. */
+/** Drains a node. */
 @Command(
         name = "node",
-        description =
-                "Has a node leave: it tells the balancer, takes work a little longer, finishes what it has, exits.")
+        description = "Drains a node: it becomes unready, accepts work for a short delay, completes it, and exits.")
 final class DrainNodeCommand extends ConnectedCommand {
     private static final Duration POLL_INTERVAL = Duration.ofMillis(200);
     private static final String GONE = "gone";
 
-    @Parameters(paramLabel = "NODE", description = "The node's name; its address must be among those given.")
+    @Parameters(
+            paramLabel = "NODE",
+            description = "The node's name; its address must be one of the administration addresses.")
     private String node;
 
     @Option(
             names = "--wait",
             paramLabel = "DURATION",
             defaultValue = "40s",
-            description = "How long to wait until the node is gone; ${DEFAULT-VALUE} unless stated, 0s not to wait.")
-    private Duration atMost;
+            description = "How long to wait until the node is gone, 0s not to wait; the default is ${DEFAULT-VALUE}.")
+    private Duration timeout;
 
     @Override
     public Integer call() throws Exception {
@@ -52,7 +53,7 @@
                 .map(AdminResult::node)
                 .findFirst()
                 .orElseThrow(() -> usage(
-                        "none of the nodes that answer is '" + node + "'; give its administration address by --admin"));
+                        "no node that answers is named '" + node + "'; give its administration address with --admin"));
         return nodes.clients().stream()
                 .filter(client -> client.address().equals(found))
                 .findFirst()
@@ -61,11 +62,11 @@
 
     private int watch(AdminClient client) throws InterruptedException {
         long started = System.nanoTime();
-        String told = "asked to leave";
-        while (Duration.ofNanos(System.nanoTime() - started).compareTo(atMost) < 0) {
+        String lastState = "asked to leave";
+        while (Duration.ofNanos(System.nanoTime() - started).compareTo(timeout) < 0) {
             String state = state(client);
-            if (!state.equals(told)) {
-                told = state;
+            if (!state.equals(lastState)) {
+                lastState = state;
                 output().printNote(node + ": " + state);
             }
             if (state.equals(GONE)) {
@@ -73,12 +74,12 @@
             }
             Thread.sleep(POLL_INTERVAL.toMillis());
         }
-        output().printTable(Table.of("node", "state").row(node, told), "");
-        if (told.equals(GONE)) {
-            output().printNote("take " + client.address()
-                    + " out of your admin-addresses, unless the node is started again");
+        output().printTable(Table.of("node", "state").row(node, lastState), "");
+        if (lastState.equals(GONE)) {
+            output().printNote("remove " + client.address()
+                    + " from your admin-addresses, unless the node is started again");
         }
-        return told.equals(GONE) || atMost.isZero() ? ExitCode.OK.number() : ExitCode.FAILED.number();
+        return lastState.equals(GONE) || timeout.isZero() ? ExitCode.OK.number() : ExitCode.FAILED.number();
     }
 
     private String state(AdminClient client) {
@@ -86,7 +87,7 @@
             NodeView view = client.status();
             return view.phase() + ", " + view.submissions() + " open submission(s)";
         } catch (AdminException e) {
-            // Only a node that no longer listens is gone; one that is slow or refuses is still there.
+            // Only a refused connection shows that the node is gone; a slow node may only time out.
             return e.getCause() instanceof ConnectException ? GONE : "does not answer";
         }
     }
--- a/tarragonarch-ctl/src/main/java/org/tarragonarch/ctl/command/EndpointDrainAction.java
+++ b/tarragonarch-ctl/src/main/java/org/tarragonarch/ctl/command/EndpointDrainAction.java
@@ -11,7 +11,7 @@
 import org.tarragonarch.ctl.output.Table;
 import org.tarragonarch.model.id.EndpointId;
 
-/** Asks every node to drain or undrain an endpoint, and reports what each answered. */
+/** Drains or undrains an endpoint at every given node, and prints the results. */
 final class EndpointDrainAction {
     private final EndpointId endpoint;
     private final boolean drain;
@@ -22,19 +22,19 @@
     }
 
     int run(AdminNodes nodes, Output output) {
-        ImmutableList<AdminResult<String>> answers = nodes.callAll(this::ask);
+        ImmutableList<AdminResult<String>> results = nodes.callAll(this::call);
         Table table = Table.of("address", "answer");
-        for (AdminResult<String> answer : answers) {
-            String words = answer.value()
-                    .orElseGet(() -> answer.failure().orElseThrow().getMessage());
-            table.row(answer.node(), words);
+        for (AdminResult<String> result : results) {
+            String text = result.value()
+                    .orElseGet(() -> result.failure().orElseThrow().getMessage());
+            table.row(result.node(), text);
         }
         output.printTable(table, "");
-        boolean everywhere = answers.stream().allMatch(answer -> answer.value().isPresent());
-        return everywhere ? ExitCode.OK.number() : ExitCode.FAILED.number();
+        boolean succeeded = results.stream().allMatch(result -> result.value().isPresent());
+        return succeeded ? ExitCode.OK.number() : ExitCode.FAILED.number();
     }
 
-    private String ask(AdminClient client) throws AdminException {
+    private String call(AdminClient client) throws AdminException {
         if (drain) {
             client.drainEndpoint(endpoint);
         } else {
--- a/tarragonarch-ctl/src/main/java/org/tarragonarch/ctl/command/EndpointsCommand.java
+++ b/tarragonarch-ctl/src/main/java/org/tarragonarch/ctl/command/EndpointsCommand.java
@@ -12,13 +12,14 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 
-/** Shows the endpoints, one line for each health that nodes see. */
+/** Prints the endpoints, with one row for each health that nodes report. */
 @Command(
         name = "endpoints",
-        description = "Shows the endpoints: health and why, slots, and the tasks in flight of the nodes that see it so."
-                + " An endpoint that nodes see differently has several lines.")
+        description =
+                "Prints the endpoints: health with its reason, slots, and tasks in flight. An endpoint has several"
+                        + " rows if nodes report different health.")
 final class EndpointsCommand extends NodeTableCommand {
-    @Option(names = "--not-live", description = "Only endpoints that get no work, and why.")
+    @Option(names = "--not-live", description = "Only endpoints that get no tasks.")
     private boolean notLive;
 
     @Option(names = "--domain", paramLabel = "DOMAIN", description = "Only endpoints of this failure domain.")
@@ -26,12 +27,12 @@
 
     @Override
     Table table(ImmutableList<NodeView> views) {
-        Map<String, List<Sighting>> sightings = views.stream()
-                .flatMap(view -> view.endpoints().stream().map(endpoint -> new Sighting(view.node(), endpoint)))
-                .filter(sighting -> shown(sighting.endpoint()))
-                .collect(Collectors.groupingBy(Sighting::key, TreeMap::new, Collectors.toList()));
+        Map<String, List<Observation>> observations = views.stream()
+                .flatMap(view -> view.endpoints().stream().map(endpoint -> new Observation(view.node(), endpoint)))
+                .filter(observation -> isIncluded(observation.endpoint()))
+                .collect(Collectors.groupingBy(Observation::key, TreeMap::new, Collectors.toList()));
         Table table = Table.of("endpoint", "domain", "health", "slots", "in-flight", "seen-by", "why");
-        sightings.values().forEach(same -> row(table, same, views.size()));
+        observations.values().forEach(same -> addRow(table, same, views.size()));
         return table;
     }
 
@@ -40,31 +41,31 @@
         return notLive ? "every endpoint is live" : "no endpoint";
     }
 
-    private boolean shown(EndpointView endpoint) {
+    private boolean isIncluded(EndpointView endpoint) {
         boolean inDomain = domain == null || domain.equals(endpoint.domain());
         return inDomain && !(notLive && endpoint.isLive());
     }
 
-    private void row(Table table, Collection<Sighting> same, int nodes) {
+    private void addRow(Table table, Collection<Observation> same, int nodes) {
         EndpointView endpoint = same.iterator().next().endpoint();
-        // A program needs the names also where all see the same; a person does not.
+        // JSON output always lists the node names; text output shortens the full list.
         String seenBy = same.size() == nodes && !output().isJson()
                 ? "all " + nodes
-                : same.stream().map(Sighting::node).collect(Collectors.joining(" "));
+                : same.stream().map(Observation::node).collect(Collectors.joining(" "));
         table.row(
                 endpoint.endpoint(),
                 endpoint.domain(),
                 endpoint.health(),
                 endpoint.slots(),
                 same.stream()
-                        .mapToLong(sighting -> sighting.endpoint().inFlight())
+                        .mapToLong(observation -> observation.endpoint().inFlight())
                         .sum(),
                 seenBy,
                 endpoint.reason());
     }
 
-    /** One node's view of one endpoint. */
-    private record Sighting(String node, EndpointView endpoint) {
+    /** An endpoint as seen by a node. */
+    private record Observation(String node, EndpointView endpoint) {
         String key() {
             return endpoint.endpoint() + " " + endpoint.health() + " " + endpoint.reason();
         }
--- a/tarragonarch-ctl/src/main/java/org/tarragonarch/ctl/command/ExplainCommand.java
+++ b/tarragonarch-ctl/src/main/java/org/tarragonarch/ctl/command/ExplainCommand.java
@@ -15,18 +15,18 @@
 import picocli.CommandLine.Mixin;
 import picocli.CommandLine.Parameters;
 
-/** Says what happened to one job, from the logs of the nodes; calls nothing. */
+/** Explains from the logs of nodes what happened to a job; calls no node. */
 @Command(
         name = "explain",
-        description = "Reads the logs of nodes on the users' platform and says what happened to a job and why.")
+        description = "Explains from the logs of nodes on the users' platform what happened to a job and why.")
 final class ExplainCommand implements Callable<Integer> {
-    @Parameters(index = "0", paramLabel = "ID", description = "The id that the client chose for its job.")
+    @Parameters(index = "0", paramLabel = "ID", description = "The id of the job, chosen by the client.")
     private String job;
 
     @Parameters(
             index = "1..*",
             paramLabel = "FILE",
-            description = "Logs, of all nodes if they can be had; '-' or none for the standard input.")
+            description = "Log files, preferably of all nodes; '-' or none for the standard input.")
     private List<Path> files = new ArrayList<>();
 
     @Mixin
--- a/tarragonarch-ctl/src/main/java/org/tarragonarch/ctl/command/FolderArgument.java
+++ b/tarragonarch-ctl/src/main/java/org/tarragonarch/ctl/command/FolderArgument.java
@@ -6,11 +6,11 @@
 import org.tarragonarch.settings.SettingsException;
 import picocli.CommandLine.Parameters;
 
-/** The argument that names the folder of configuration files. */
+/** The command line argument for the configuration folder. */
 final class FolderArgument {
     @Parameters(
             paramLabel = "FOLDER",
-            description = "Folder of *.json and *.jsonc files, merged in the order of their names.")
+            description = "Folder with *.json and *.jsonc files, merged in the order of their names.")
     private Path folder;
 
     CheckedConfiguration read() throws SettingsException {
--- a/tarragonarch-ctl/src/main/java/org/tarragonarch/ctl/command/HistoryCommand.java
+++ b/tarragonarch-ctl/src/main/java/org/tarragonarch/ctl/command/HistoryCommand.java
@@ -7,7 +7,7 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Mixin;
 
-/** Lists the accepted versions. */
+/** Lists the accepted versions of the configuration. */
 @Command(name = "history", description = "Lists the accepted versions, the newest first: who changed what, and when.")
 final class HistoryCommand extends ConnectedCommand {
     @Mixin
@@ -24,7 +24,7 @@
                         record.operator(),
                         record.summary());
             }
-            output().printTable(table, "no configuration was accepted yet");
+            output().printTable(table, "no configuration is accepted yet");
             return ExitCode.OK.number();
         });
     }
--- a/tarragonarch-ctl/src/main/java/org/tarragonarch/ctl/command/LimitOption.java
+++ b/tarragonarch-ctl/src/main/java/org/tarragonarch/ctl/command/LimitOption.java
@@ -5,9 +5,9 @@
 import picocli.CommandLine.ParameterException;
 import picocli.CommandLine.Spec;
 
-/** The option that says how many changes are listed. */
+/** The option that limits the number of listed changes. */
 final class LimitOption {
-    /** The most that a node lists. */
+    /** The most changes that a node lists. */
     private static final int MAX_LIMIT = 1_000;
 
     @Spec(Spec.Target.MIXEE)
@@ -17,12 +17,12 @@
             names = {"-n", "--limit"},
             paramLabel = "N",
             defaultValue = "20",
-            description = "The most changes looked at, from 1 to " + MAX_LIMIT + "; ${DEFAULT-VALUE} unless stated.")
+            description = "How many changes to read, from 1 to " + MAX_LIMIT + "; the default is ${DEFAULT-VALUE}.")
     private int limit;
 
     int limit() {
         if (limit < 1 || limit > MAX_LIMIT) {
-            throw new ParameterException(command.commandLine(), "--limit is not from 1 to " + MAX_LIMIT);
+            throw new ParameterException(command.commandLine(), "--limit must be from 1 to " + MAX_LIMIT);
         }
         return limit;
     }
--- a/tarragonarch-ctl/src/main/java/org/tarragonarch/ctl/command/NodeTableCommand.java
+++ b/tarragonarch-ctl/src/main/java/org/tarragonarch/ctl/command/NodeTableCommand.java
@@ -9,7 +9,7 @@
 import org.tarragonarch.ctl.admin.NodeView;
 import org.tarragonarch.ctl.output.Table;
 
-/** A command that asks every node for its status and prints one table of the answers. */
+/** A command that reads the status of every node and prints the answers as a table. */
 abstract class NodeTableCommand extends ConnectedCommand {
     @Override
     public Integer call() throws Exception {
@@ -24,16 +24,16 @@
                 .map(AdminException::getMessage)
                 .forEach(output()::printNote);
         if (views.isEmpty()) {
-            output().printNote("failed: none of the nodes asked gave an answer");
+            output().printNote("failed: no node answered");
             return ExitCode.FAILED.number();
         }
         output().printTable(table(views), emptyMessage());
         return views.size() == answers.size() ? ExitCode.OK.number() : ExitCode.FAILED.number();
     }
 
-    /** Returns the table of what the nodes say; never called without a node. */
+    /** Returns the table for the status of the nodes, at least one. */
     abstract Table table(ImmutableList<NodeView> views);
 
-    /** Returns what to say in place of an empty table. */
+    /** Returns the message printed instead of an empty table. */
     abstract String emptyMessage();
 }
--- a/tarragonarch-ctl/src/main/java/org/tarragonarch/ctl/command/NodesCommand.java
+++ b/tarragonarch-ctl/src/main/java/org/tarragonarch/ctl/command/NodesCommand.java
@@ -8,11 +8,10 @@
 import org.tarragonarch.ctl.output.Table;
 import picocli.CommandLine.Command;
 
-/** Shows every node that those asked know of. */
+/** Prints every node known to the nodes that are called. */
 @Command(
         name = "nodes",
-        description =
-                "Shows every node that the nodes asked know of. 'heard' says whether any of them heard of it late.")
+        description = "Prints every known node. 'heard' tells whether any node recently received a report from it.")
 final class NodesCommand extends NodeTableCommand {
     @Override
     Table table(ImmutableList<NodeView> views) {
--- a/tarragonarch-ctl/src/main/java/org/tarragonarch/ctl/command/QueuesCommand.java
+++ b/tarragonarch-ctl/src/main/java/org/tarragonarch/ctl/command/QueuesCommand.java
@@ -5,8 +5,8 @@
 import org.tarragonarch.ctl.output.Table;
 import picocli.CommandLine.Command;
 
-/** Shows the work that waits and runs. */
-@Command(name = "queues", description = "Shows the tasks that wait and run, per node, service and team.")
+/** Prints the waiting and running tasks. */
+@Command(name = "queues", description = "Prints the waiting and running tasks per node, service and team.")
 final class QueuesCommand extends NodeTableCommand {
     @Override
     Table table(ImmutableList<NodeView> views) {
@@ -21,6 +21,6 @@
 
     @Override
     String emptyMessage() {
-        return "no task waits or runs";
+        return "no waiting or running tasks";
     }
 }
--- a/tarragonarch-ctl/src/main/java/org/tarragonarch/ctl/command/QuotasCommand.java
+++ b/tarragonarch-ctl/src/main/java/org/tarragonarch/ctl/command/QuotasCommand.java
@@ -5,11 +5,11 @@
 import org.tarragonarch.ctl.output.Table;
 import picocli.CommandLine.Command;
 
-/** Shows how much of their quotas the teams use. */
+/** Prints the quota use of the teams. */
 @Command(
         name = "quotas",
-        description = "Shows each team's running tasks on a node, the node's share of its quota, and the quota of the"
-                + " failure domain.")
+        description = "Prints the running tasks of each team on a node, the node's share of its quota, and the quota of"
+                + " the failure domain.")
 final class QuotasCommand extends NodeTableCommand {
     @Override
     Table table(ImmutableList<NodeView> views) {
@@ -24,6 +24,6 @@
 
     @Override
     String emptyMessage() {
-        return "no team runs a task";
+        return "no running tasks";
     }
 }
--- a/tarragonarch-ctl/src/main/java/org/tarragonarch/ctl/command/RollbackCommand.java
+++ b/tarragonarch-ctl/src/main/java/org/tarragonarch/ctl/command/RollbackCommand.java
@@ -12,11 +12,8 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Parameters;
 
-/** Makes an earlier configuration the newest again. */
-@Command(
-        name = "rollback",
-        description =
-                "Makes what an earlier version said the configuration again, as a new version; versions only go up.")
+/** Applies an earlier version of the configuration again. */
+@Command(name = "rollback", description = "Applies the content of an earlier version again, as a new version.")
 final class RollbackCommand extends ChangeCommand {
     @Parameters(paramLabel = "VERSION", description = "The version to go back to; see 'tarragonctl history'.")
     private ConfigurationVersion target;
@@ -30,10 +27,10 @@
     private int rollBack(Connection connection, ConfigurationGateway gateway) throws Exception {
         ConfigurationView earlier = gateway.load(target);
         ServiceCatalog catalog = CatalogReader.read(target, earlier.canonical());
-        ChangeApplier maker = new ChangeApplier(gateway);
-        PlannedChange planned = maker.plan(earlier.canonical(), catalog);
+        ChangeApplier applier = new ChangeApplier(gateway);
+        PlannedChange planned = applier.plan(earlier.canonical(), catalog);
         if (planned.difference().isEmpty()) {
-            output().printNote("nothing to change: version " + planned.from() + " says the same as version " + target);
+            output().printNote("nothing to change: version " + planned.from() + " is the same as version " + target);
             return ExitCode.OK.number();
         }
         if (!output().isJson()) {
@@ -42,8 +39,8 @@
         }
         String summary =
                 "rolled back to version " + target + ": " + planned.difference().summary();
-        int status = applyAndWait(connection, maker, planned, summary);
-        output().printNote("Your folder may still say what was undone: mend it before it is applied again.");
+        int status = applyAndWait(connection, applier, planned, summary);
+        output().printNote("Your folder may still contain the change: update it before you apply it again.");
         return status;
     }
 }
--- a/tarragonarch-ctl/src/main/java/org/tarragonarch/ctl/command/SharesCommand.java
+++ b/tarragonarch-ctl/src/main/java/org/tarragonarch/ctl/command/SharesCommand.java
@@ -13,17 +13,15 @@
 import picocli.CommandLine.Mixin;
 import picocli.CommandLine.Option;
 
-/** The subcommand that prints the state of the shares at each holder. */
-@Command(
-        name = "shares",
-        description = "Reads the metrics of nodes on the users' platform and prints the shares of those that have any.")
+/** Prints the state of the shares at each holder. */
+@Command(name = "shares", description = "Prints the shares of nodes on the users' platform, read from their metrics.")
 final class SharesCommand implements Callable<Integer> {
     @Option(
             names = "--metrics",
             required = true,
             arity = "1..*",
             paramLabel = "ADDRESS",
-            description = "Where nodes serve their metrics, as ip:port.")
+            description = "Metrics addresses of nodes, as ip:port.")
     private List<String> nodes;
 
     @Mixin
@@ -32,17 +30,17 @@
     @Override
     public Integer call() {
         Table table = Table.of("node", "priority", "allotted", "used", "lent", "waiting", "refused", "elsewhere");
-        boolean allRead = true;
+        boolean allSucceeded = true;
         for (String node : nodes) {
             try {
                 addRows(table, node, MetricsPage.read(Address.parse(node)));
             } catch (IOException | IllegalArgumentException e) {
                 output.printNote(node + ": cannot be read: " + e.getMessage());
-                allRead = false;
+                allSucceeded = false;
             }
         }
-        output.printTable(table, "no node that was read has shares");
-        return allRead ? ExitCode.OK.number() : ExitCode.FAILED.number();
+        output.printTable(table, "no shares");
+        return allSucceeded ? ExitCode.OK.number() : ExitCode.FAILED.number();
     }
 
     private static void addRows(Table table, String node, MetricsPage page) {
@@ -50,16 +48,16 @@
             table.row(
                     node,
                     priority,
-                    figure(page, priority, "allotted_cores"),
-                    figure(page, priority, "used_cores"),
-                    figure(page, priority, "lent_cores"),
-                    figure(page, priority, "waiting_cores"),
-                    figure(page, priority, "jobs_refused_total"),
-                    figure(page, priority, "used_elsewhere_cores"));
+                    value(page, priority, "allotted_cores"),
+                    value(page, priority, "used_cores"),
+                    value(page, priority, "lent_cores"),
+                    value(page, priority, "waiting_cores"),
+                    value(page, priority, "jobs_refused_total"),
+                    value(page, priority, "used_elsewhere_cores"));
         }
     }
 
-    private static long figure(MetricsPage page, int priority, String name) {
+    private static long value(MetricsPage page, int priority, String name) {
         Double value = page.values().get(priority, name);
         return value == null ? 0 : Math.round(value);
     }
--- a/tarragonarch-ctl/src/main/java/org/tarragonarch/ctl/command/StatusCommand.java
+++ b/tarragonarch-ctl/src/main/java/org/tarragonarch/ctl/command/StatusCommand.java
@@ -5,11 +5,11 @@
 import org.tarragonarch.ctl.output.Table;
 import picocli.CommandLine.Command;
 
-/** Shows each node that is asked. */
+/** Prints the status of each node that is called. */
 @Command(
         name = "status",
-        description = "Shows each node asked: its failure domain, phase, version in force, open submissions, and how"
-                + " many of its endpoints and peers it counts as live.")
+        description = "Prints the status of each node: failure domain, phase, version in force, open submissions, and"
+                + " live endpoints and peers.")
 final class StatusCommand extends NodeTableCommand {
     @Override
     Table table(ImmutableList<NodeView> views) {
--- a/tarragonarch-ctl/src/main/java/org/tarragonarch/ctl/command/SubmissionCommand.java
+++ b/tarragonarch-ctl/src/main/java/org/tarragonarch/ctl/command/SubmissionCommand.java
@@ -22,11 +22,11 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 
-/** A command that submits something and prints its answer. */
+/** A command that submits a request or job and prints its answer. */
 abstract class SubmissionCommand extends ConnectedCommand {
     static final JsonMapper MAPPER = JsonMapper.builder().build();
 
-    private static final String FILE_MARK = "@";
+    private static final String FILE_PREFIX = "@";
 
     @Parameters(index = "0", paramLabel = "SERVICE", description = "The service.")
     private ServiceName service;
@@ -37,26 +37,26 @@
     @Option(
             names = "--caller",
             paramLabel = "IP:PORT",
-            description = "Caller address of a node; without it, caller-address of the --settings file.")
+            description = "Caller address of a node; the default is caller-address of the --settings file.")
     private Address callerAddress;
 
     @Option(
             names = "--caller-token-file",
             paramLabel = "FILE",
-            description = "File that holds the caller's token; without it, caller-token-file of the --settings file or"
-                    + " the environment variable TARRAGONCTL_CALLER_TOKEN.")
+            description = "File with the caller's token; the default is the environment variable"
+                    + " TARRAGONCTL_CALLER_TOKEN or caller-token-file of the --settings file.")
     private Path callerTokenFile;
 
     @Option(
             names = "--idempotency-key",
             paramLabel = "KEY",
-            description = "Makes sending it again harmless: the same key and content is one submission.")
+            description = "Key that makes retries safe: the same key and content are one submission.")
     private String idempotencyKey;
 
-    @Option(names = "--time-allowed", paramLabel = "DURATION", description = "When to give up on it, such as 5s.")
+    @Option(names = "--time-allowed", paramLabel = "DURATION", description = "Time allowed for the answer, such as 5s.")
     private Duration timeAllowed;
 
-    @Option(names = "--request-id", paramLabel = "TEXT", description = "Your own mark, which the answer repeats.")
+    @Option(names = "--request-id", paramLabel = "TEXT", description = "Id of your choice, returned in the answer.")
     private String requestId;
 
     @Override
@@ -72,21 +72,21 @@
                 Optional.ofNullable(requestId));
         CallerClient client = new CallerClient(address(connection), token(connection), connection.timeout());
         CallerAnswer answer = client.submit(submission);
-        tell(answer);
+        printAnswer(answer);
         return answer.isComplete() ? ExitCode.OK.number() : ExitCode.FAILED.number();
     }
 
-    /** Returns the resource that takes the submission. */
+    /** Returns the resource of the caller API, {@code requests} or {@code jobs}. */
     abstract String resource();
 
-    /** Returns the message. */
+    /** Returns the JSON body of the submission. */
     abstract JsonNode body();
 
-    /** Reads a JSON value that is given as text, or as {@code @FILE}. */
+    /** Parses a JSON value, or the content of the file given as {@code @FILE}. */
     final JsonNode json(String argument) {
         try {
-            String text = argument.startsWith(FILE_MARK)
-                    ? Files.readString(Path.of(argument.substring(FILE_MARK.length())))
+            String text = argument.startsWith(FILE_PREFIX)
+                    ? Files.readString(Path.of(argument.substring(FILE_PREFIX.length())))
                     : argument;
             return MAPPER.readTree(text);
         } catch (NoSuchFileException e) {
@@ -115,7 +115,7 @@
                         + " --settings file, or the environment variable TARRAGONCTL_CALLER_TOKEN"));
     }
 
-    private void tell(CallerAnswer answer) {
+    private void printAnswer(CallerAnswer answer) {
         Output output = output();
         if (output.isJson()) {
             output.printJson(answer.body());
@@ -135,7 +135,7 @@
         output.printLine(
                 "code " + answer.text("code") + ", step " + answer.text("step") + ", peer " + answer.text("peer"));
         if (answer.body().has("retry-after-ms")) {
-            output.printLine("come back in " + answer.text("retry-after-ms") + " ms");
+            output.printLine("retry after " + answer.text("retry-after-ms") + " ms");
         }
     }
 }
--- a/tarragonarch-ctl/src/main/java/org/tarragonarch/ctl/command/SubmitCommand.java
+++ b/tarragonarch-ctl/src/main/java/org/tarragonarch/ctl/command/SubmitCommand.java
@@ -5,10 +5,10 @@
 import picocli.CommandLine.ParameterException;
 import picocli.CommandLine.Spec;
 
-/** Holds the commands that try a service. */
+/** The group of commands that try out a service. */
 @Command(
         name = "submit",
-        description = "Tries a service through the caller API, and prints the answer.",
+        description = "Submits to a service through the caller API, and prints the answer.",
         subcommands = {SubmitRequestCommand.class, SubmitJobCommand.class})
 final class SubmitCommand implements Runnable {
     @Spec
@@ -16,6 +16,6 @@
 
     @Override
     public void run() {
-        throw new ParameterException(command.commandLine(), "name what to submit: request or job");
+        throw new ParameterException(command.commandLine(), "missing subcommand: request or job");
     }
 }
--- a/tarragonarch-ctl/src/main/java/org/tarragonarch/ctl/command/SubmitJobCommand.java
+++ b/tarragonarch-ctl/src/main/java/org/tarragonarch/ctl/command/SubmitJobCommand.java
@@ -6,14 +6,14 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 
-/** Tries one job. */
-@Command(name = "job", description = "Submits one job of several tasks, which is answered whole.")
+/** Submits a job. */
+@Command(name = "job", description = "Submits a job of one or more tasks, which has one answer.")
 final class SubmitJobCommand extends SubmissionCommand {
     @Option(
             names = "--inputs",
             paramLabel = "JSON",
             required = true,
-            description = "The tasks' inputs: a JSON list with one value for each task, or @FILE that holds one.")
+            description = "Inputs of the tasks: a JSON list with one value for each task, or @FILE.")
     private String inputs;
 
     @Override
--- a/tarragonarch-ctl/src/main/java/org/tarragonarch/ctl/command/SubmitRequestCommand.java
+++ b/tarragonarch-ctl/src/main/java/org/tarragonarch/ctl/command/SubmitRequestCommand.java
@@ -4,14 +4,10 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 
-/** Tries one request. */
-@Command(name = "request", description = "Submits one request.")
+/** Submits a request. */
+@Command(name = "request", description = "Submits a request.")
 final class SubmitRequestCommand extends SubmissionCommand {
-    @Option(
-            names = "--input",
-            paramLabel = "JSON",
-            required = true,
-            description = "The input: any JSON value, or @FILE that holds one.")
+    @Option(names = "--input", paramLabel = "JSON", required = true, description = "Input: any JSON value, or @FILE.")
     private String input;
 
     @Override
--- a/tarragonarch-ctl/src/main/java/org/tarragonarch/ctl/command/TarragonCtl.java
+++ b/tarragonarch-ctl/src/main/java/org/tarragonarch/ctl/command/TarragonCtl.java
@@ -7,21 +7,21 @@
 import picocli.CommandLine.ScopeType;
 import picocli.CommandLine.Spec;
 
-/** The operator program itself, which only holds the commands. */
+/** The top-level command of the operator program. */
 @Command(
         name = "tarragonctl",
-        description = "Checks, applies and undoes configurations of tarragonarch, and looks after its nodes.",
+        description = "Checks, applies and rolls back configurations of tarragonarch, and operates its nodes.",
         mixinStandardHelpOptions = true,
         versionProvider = VersionProvider.class,
         scope = ScopeType.INHERIT,
         sortOptions = false,
         exitCodeListHeading = "Exit status:%n",
         exitCodeList = {
-            "0:all that was asked for was done",
+            "0:success",
             "1:failed; the message names the step and the peer",
-            "2:wrong usage, or mistakes in settings or configuration files",
+            "2:invalid usage, or mistakes in settings or configuration files",
             "3:conflict: another operator's change was accepted first",
-            "4:accepted, but not in force everywhere in the time allowed"
+            "4:accepted, but not in force everywhere within the timeout"
         },
         subcommands = {
             CheckCommand.class,
@@ -50,6 +50,6 @@
 
     @Override
     public void run() {
-        throw new ParameterException(command.commandLine(), "name a command");
+        throw new ParameterException(command.commandLine(), "missing command");
     }
 }
--- a/tarragonarch-ctl/src/main/java/org/tarragonarch/ctl/command/TokenCommand.java
+++ b/tarragonarch-ctl/src/main/java/org/tarragonarch/ctl/command/TokenCommand.java
@@ -11,12 +11,11 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Mixin;
 
-/** Makes a token for a caller or an operator. */
+/** Creates a token for a caller or an operator. */
 @Command(
         name = "token",
-        description =
-                "Prints a new random token and its SHA-256 digest. Give the token to its holder, and write only the"
-                        + " digest into the configuration.")
+        description = "Prints a new random token and its SHA-256 digest. Give the token to its owner, and put only the"
+                + " digest in the configuration.")
 final class TokenCommand implements Callable<Integer> {
     private static final int TOKEN_BYTES = 32;
 
--- a/tarragonarch-ctl/src/main/java/org/tarragonarch/ctl/command/UndrainCommand.java
+++ b/tarragonarch-ctl/src/main/java/org/tarragonarch/ctl/command/UndrainCommand.java
@@ -5,10 +5,10 @@
 import picocli.CommandLine.ParameterException;
 import picocli.CommandLine.Spec;
 
-/** Holds the command that takes an endpoint back into use; a node that drains exits and is started again. */
+/** The group of commands that end a drain; a drained node exits and must be started again. */
 @Command(
         name = "undrain",
-        description = "Takes an endpoint back into use. A drained node cannot be: it exits, and is started again.",
+        description = "Ends the drain of an endpoint. A drained node exits and must be started again.",
         subcommands = {UndrainEndpointCommand.class})
 final class UndrainCommand implements Runnable {
     @Spec
@@ -16,6 +16,6 @@
 
     @Override
     public void run() {
-        throw new ParameterException(command.commandLine(), "name what to take back: endpoint");
+        throw new ParameterException(command.commandLine(), "missing subcommand: endpoint");
     }
 }
--- a/tarragonarch-ctl/src/main/java/org/tarragonarch/ctl/command/UndrainDomainCommand.java
+++ b/tarragonarch-ctl/src/main/java/org/tarragonarch/ctl/command/UndrainDomainCommand.java
@@ -5,8 +5,8 @@
 import org.tarragonarch.settings.SettingsException;
 import picocli.CommandLine.Command;
 
-/** Takes a drained failure domain back into use. */
-@Command(name = "undrain", description = "Has tasks started on the endpoints of a drained failure domain again.")
+/** Ends the drain of a failure domain. */
+@Command(name = "undrain", description = "Ends the drain of a failure domain.")
 final class UndrainDomainCommand extends DomainDrainCommand {
     @Override
     byte[] edit(byte[] canonical, FailureDomain changed) throws SettingsException {
@@ -15,6 +15,6 @@
 
     @Override
     String summary(FailureDomain changed) {
-        return "took failure domain " + changed + " back into use";
+        return "undrained failure domain " + changed;
     }
 }
--- a/tarragonarch-ctl/src/main/java/org/tarragonarch/ctl/command/UndrainEndpointCommand.java
+++ b/tarragonarch-ctl/src/main/java/org/tarragonarch/ctl/command/UndrainEndpointCommand.java
@@ -5,8 +5,8 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Parameters;
 
-/** Has every node asked give an endpoint tasks again. */
-@Command(name = "endpoint", description = "Has every node asked give an endpoint tasks again.")
+/** Ends the drain of an endpoint at every given node. */
+@Command(name = "endpoint", description = "Ends the drain of an endpoint at the given nodes.")
 final class UndrainEndpointCommand extends ConnectedCommand {
     @Parameters(paramLabel = "ENDPOINT", description = "The endpoint's name; see 'tarragonctl endpoints'.")
     private EndpointId endpoint;
--- a/tarragonarch-ctl/src/main/java/org/tarragonarch/ctl/command/package-info.java
+++ b/tarragonarch-ctl/src/main/java/org/tarragonarch/ctl/command/package-info.java
@@ -1,2 +1,2 @@
-/** The commands of the operator program, one type each. */
+/** The commands of the operator program, one class each. */
 package org.tarragonarch.ctl.command;
--- a/tarragonarch-ctl/src/main/java/org/tarragonarch/ctl/connection/Connection.java
+++ b/tarragonarch-ctl/src/main/java/org/tarragonarch/ctl/connection/Connection.java
@@ -9,15 +9,15 @@
 import org.tarragonarch.model.id.OperatorName;
 
 /**
- * Where the operator program finds the system, and in whose name it calls.
+ * The addresses and credentials that the operator program uses.
  *
- * @param adminAddresses the administration ports of some nodes, best of each failure domain
- * @param platformAddress the platform, to change the configuration where no node has one yet
- * @param operator the name that the audit trail shows for a change made through the platform
- * @param operatorToken the operator's secret token for the administration API
- * @param callerAddress the caller port that {@code submit} uses
- * @param callerToken the caller's secret token
- * @param timeout how long one call may take
+ * @param adminAddresses the administration addresses of some nodes, preferably in each failure domain
+ * @param platformAddress the address of the platform, for configuration changes without a node
+ * @param operator the operator recorded in the audit trail for changes made at the platform
+ * @param operatorToken the secret token for the administration API
+ * @param callerAddress the caller address of a node, used by {@code submit}
+ * @param callerToken the secret token of the caller
+ * @param timeout the timeout of a call
  */
 public record Connection(
         ImmutableList<Address> adminAddresses,
@@ -27,7 +27,7 @@
         Optional<Address> callerAddress,
         Optional<String> callerToken,
         Duration timeout) {
-    /** Checks the parts. */
+    /** Creates a connection. */
     public Connection {
         checkNotNull(adminAddresses, "adminAddresses");
         checkNotNull(platformAddress, "platformAddress");
@@ -38,7 +38,7 @@
         checkNotNull(timeout, "timeout");
     }
 
-    /** Returns a text without the tokens. */
+    /** Returns a description without the tokens. */
     @Override
     public String toString() {
         return "Connection[admin " + adminAddresses + ", platform " + platformAddress + ", caller " + callerAddress
--- a/tarragonarch-ctl/src/main/java/org/tarragonarch/ctl/connection/ConnectionOptions.java
+++ b/tarragonarch-ctl/src/main/java/org/tarragonarch/ctl/connection/ConnectionOptions.java
@@ -14,7 +14,7 @@
 import picocli.CommandLine.Spec;
 
 /**
- * The options that say where the system is; each goes before the same key of the settings file.
+ * The options for the connection; each takes precedence over the corresponding key of the settings file.
  *
  * <p>Tokens come from files or the environment and never from the command line, where other users of the machine could
  * read them.
@@ -37,37 +37,36 @@
             names = "--admin",
             paramLabel = "IP:PORT",
             split = ",",
-            description = "Administration addresses of nodes, best some of each failure domain.")
+            description = "Administration addresses of nodes, preferably some in each failure domain.")
     private List<Address> adminAddresses;
 
     @Option(names = "--platform", paramLabel = "IP:PORT", description = "Address of the platform.")
     private Address platformAddress;
 
-    @Option(names = "--operator", paramLabel = "NAME", description = "Your name, for changes through the platform.")
+    @Option(
+            names = "--operator",
+            paramLabel = "NAME",
+            description = "Your operator name, for changes made at the platform.")
     private OperatorName operator;
 
     @Option(
             names = "--token-file",
             paramLabel = "FILE",
-            description =
-                    "File that holds your operator token; without it, the environment variable TARRAGONCTL_TOKEN.")
+            description = "File with your operator token; the default is the environment variable TARRAGONCTL_TOKEN.")
     private Path tokenFile;
 
-    @Option(
-            names = "--timeout",
-            paramLabel = "DURATION",
-            description = "How long one call may take, such as 3s, which it is unless stated.")
+    @Option(names = "--timeout", paramLabel = "DURATION", description = "Timeout of a call; the default is 3s.")
     private Duration timeout;
 
-    /** Returns whether the platform was named on the command line, so that nodes are passed by. */
+    /** Returns whether the command line has a platform address, in which case nodes are not called. */
     public boolean hasPlatformOption() {
         return platformAddress != null;
     }
 
     /**
-     * Returns the connection that the options, the settings file and the environment make together.
+     * Returns the connection defined by the options, the settings file and the environment.
      *
-     * @throws SettingsException if the settings file holds mistakes
+     * @throws SettingsException if the settings file has mistakes
      */
     public Connection read() throws SettingsException {
         ConnectionSettings settings =
--- a/tarragonarch-ctl/src/main/java/org/tarragonarch/ctl/connection/ConnectionSettings.java
+++ b/tarragonarch-ctl/src/main/java/org/tarragonarch/ctl/connection/ConnectionSettings.java
@@ -14,12 +14,12 @@
 import org.tarragonarch.settings.SourceLocation;
 
 /**
- * The operator program's settings file.
+ * The settings file of the operator program.
  *
  * @param adminAddresses key {@code admin-addresses}
  * @param platformAddress key {@code platform-address}
  * @param operator key {@code operator}
- * @param tokenFile key {@code token-file}; a relative path starts at the settings file's folder
+ * @param tokenFile key {@code token-file}; a relative path is resolved against the folder of the settings file
  * @param callerAddress key {@code caller-address}
  * @param callerTokenFile key {@code caller-token-file}
  * @param timeout key {@code timeout}
--- a/tarragonarch-ctl/src/main/java/org/tarragonarch/ctl/connection/TokenFile.java
+++ b/tarragonarch-ctl/src/main/java/org/tarragonarch/ctl/connection/TokenFile.java
@@ -7,16 +7,16 @@
 import picocli.CommandLine;
 import picocli.CommandLine.ParameterException;
 
-/** A file that holds one secret token. */
+/** Reads files that contain a secret token. */
 public final class TokenFile {
     private TokenFile() {}
 
     /**
-     * Returns the token, without the white space around it.
+     * Reads a token, without surrounding white space.
      *
-     * @param file the file
+     * @param file the path of the file
      * @param command the command that needs the token
-     * @throws ParameterException if there is no token to be read; the message never holds any of the file
+     * @throws ParameterException if the file is missing, unreadable or empty; the message never contains its content
      */
     public static String read(Path file, CommandLine command) {
         try {
--- a/tarragonarch-ctl/src/main/java/org/tarragonarch/ctl/connection/package-info.java
+++ b/tarragonarch-ctl/src/main/java/org/tarragonarch/ctl/connection/package-info.java
@@ -1,2 +1,2 @@
-/** Where the operator program finds nodes and the platform, and in whose name it calls them. */
+/** Addresses and credentials for the calls of the operator program. */
 package org.tarragonarch.ctl.connection;
--- a/tarragonarch-ctl/src/main/java/org/tarragonarch/ctl/explain/EntryDescriptions.java
+++ b/tarragonarch-ctl/src/main/java/org/tarragonarch/ctl/explain/EntryDescriptions.java
@@ -1,6 +1,6 @@
 package org.tarragonarch.ctl.explain;
 
-/** Puts an entry into words. */
+/** Describes log entries in plain text. */
 final class EntryDescriptions {
     private EntryDescriptions() {}
 
@@ -12,30 +12,32 @@
                 "offered it to %s of another failure domain, as its own could not start it at once"
                         .formatted(entry.text("holder"));
             case JOB_MOVED_BACK ->
-                "had it back from %s, which could not start it at once".formatted(entry.text("holder"));
+                "received it back from %s, which could not start it at once".formatted(entry.text("holder"));
             case RUN_ENDED_BADLY -> badRun(entry);
             case JOB_CANCELLED ->
                 entry.text("here").equals("true")
                         ? "cancelled the job for its client"
-                        : "passed the client's cancelling on to its peers";
+                        : "passed the cancellation on to its peers";
             case QUEUE_UNKNOWN ->
-                "knew no queue for %s%s and said %s; configuration %s from %s, confirmed %s ms before"
+                "had no queue for %s%s and answered %s; configuration %s from %s, confirmed %s ms before"
                         .formatted(
                                 entry.text("host"),
                                 entry.text("path"),
-                                entry.text("result").equals("UNCERTAIN") ? "to come back" : "that there is none",
+                                entry.text("result").equals("UNCERTAIN")
+                                        ? "that the client should retry"
+                                        : "that there is none",
                                 entry.text("configuration"),
                                 entry.text("source"),
                                 entry.text("configuration-age-ms"));
             case DOMAIN_DRAINED ->
-                "heard that failure domain %s is drained, from %s at version %s"
+                "learned that failure domain %s is drained, from %s at version %s"
                         .formatted(entry.text("domain"), entry.text("source"), entry.text("store-version"));
-            case SHARE_LIMITED -> "wanted more than its allotment, " + describeShare(entry);
+            case SHARE_LIMITED -> "needed more than its allotment, " + describeShare(entry);
             case PEER_LOST ->
                 "lost " + entry.text("peer")
                         + (entry.text("reason").equals("silent")
-                                ? ", which had said nothing for too long"
-                                : ", whose connections broke");
+                                ? ", which sent no report in time"
+                                : ", whose connections closed");
             default -> entry.event().word();
         };
     }
@@ -52,18 +54,18 @@
     }
 
     private static String declined(LogEntry entry) {
-        return "did not take it: %d of %d places free, %d job(s) waiting, so %d ms to wait and %d to run"
+        return "declined it: %d of %d slots free, %d job(s) waiting, expected wait %d ms and run %d ms"
                         .formatted(
                                 entry.number("free-places"),
                                 entry.number("places"),
                                 entry.number("waiting-jobs"),
                                 entry.number("wait-ms"),
                                 entry.number("expected-run-ms"))
-                + " against %d ms left".formatted(entry.number("in-time-within-ms"))
+                + ", %d ms left".formatted(entry.number("in-time-within-ms"))
                 + (entry.hasShare() ? "; " + describeShare(entry) : "");
     }
 
-    /** Says how the share that decided stood. */
+    /** Describes the state of the share named in an entry. */
     static String describeShare(LogEntry entry) {
         return "share of priority %d of %s: %d of %d millicores allotted in use, %d waiting"
                 .formatted(
@@ -75,7 +77,7 @@
     }
 
     private static String badRun(LogEntry entry) {
-        return "saw run %d of task %s end %s on endpoint %s"
+        return "reported that run %d of task %s ended as %s on endpoint %s"
                 .formatted(entry.number("run"), entry.text("task"), entry.text("how"), entry.text("endpoint"));
     }
 }
--- a/tarragonarch-ctl/src/main/java/org/tarragonarch/ctl/explain/JobHistory.java
+++ b/tarragonarch-ctl/src/main/java/org/tarragonarch/ctl/explain/JobHistory.java
@@ -9,36 +9,37 @@
 import org.tarragonarch.model.log.NodeEvent;
 import org.tarragonarch.model.task.JobOutcome;
 
-/** What the logs tell of one job, and the cause of its outcome. */
+/** The log entries about a job, and the cause of its outcome. */
 final class JobHistory {
     /**
-     * How long before an answer the loss of its holder may have been noted. A lost holder's runs last a second, and the
-     * job waits for them where no other holder may have it sooner.
+     * How long before the answer the loss of the holder may have been logged. Runs of a lost holder may go on for a
+     * second, and the job waits for them unless another holder may take it sooner.
      */
-    private static final Duration LOSS_COUNTS_FOR = Duration.ofMillis(1_500);
+    private static final Duration MAX_LOSS_AGE = Duration.ofMillis(1_500);
 
-    /** Clocks of two nodes may differ by some of this. */
+    /** Tolerated difference between the clocks of two nodes. */
     private static final Duration CLOCK_SLACK = Duration.ofMillis(100);
 
     private final String job;
-    private final ImmutableList<LogEntry> all;
-    private final ImmutableList<LogEntry> own;
+    private final ImmutableList<LogEntry> allEntries;
+    private final ImmutableList<LogEntry> jobEntries;
     private final Optional<LogEntry> answer;
 
-    private JobHistory(String job, ImmutableList<LogEntry> all) {
+    private JobHistory(String job, ImmutableList<LogEntry> allEntries) {
         this.job = job;
-        this.all = all;
-        this.own = all.stream().filter(entry -> entry.isAbout(job)).collect(ImmutableList.toImmutableList());
-        this.answer = own.stream()
+        this.allEntries = allEntries;
+        this.jobEntries =
+                allEntries.stream().filter(entry -> entry.isAbout(job)).collect(ImmutableList.toImmutableList());
+        this.answer = jobEntries.stream()
                 .filter(entry -> entry.event() == NodeEvent.JOB_ANSWERED)
                 .reduce((earlier, later) -> later);
     }
 
     /**
-     * Returns the story of a job.
+     * Returns the history of a job.
      *
-     * @param job the id that its client chose
-     * @param entries the entries of all logs, the earliest first
+     * @param job the id chosen by the client
+     * @param entries the entries of all logs, sorted by time
      */
     static JobHistory of(String job, ImmutableList<LogEntry> entries) {
         return new JobHistory(job, entries);
@@ -48,48 +49,48 @@
         return job;
     }
 
-    /** Returns the entries that tell of the job. */
+    /** Returns the entries about the job, sorted by time. */
     ImmutableList<LogEntry> entries() {
-        return own;
+        return jobEntries;
     }
 
-    /** Returns the entries that tell of the job and those on the loss or drain that explains its outcome, in order. */
+    /** Returns the entries about the job and about the loss or drain that explains its outcome, sorted by time. */
     ImmutableList<LogEntry> entriesWithContext() {
-        return all.stream()
+        return allEntries.stream()
                 .filter(entry -> entry.isAbout(job) || isLossOfHolder(entry) || isDrainInForce(entry))
                 .collect(ImmutableList.toImmutableList());
     }
 
-    /** Returns the outcome that the client was given. */
+    /** Returns the outcome in the logged answer. */
     Optional<JobOutcome> outcome() {
         return answer.map(entry -> JobOutcome.valueOf(entry.text("outcome")));
     }
 
-    /** Returns why the job ended as it did. */
+    /** Returns the cause of the outcome. */
     Cause cause() {
         if (answer.isEmpty() && !of(NodeEvent.QUEUE_UNKNOWN).isEmpty()) {
             return Cause.UNKNOWN_QUEUE;
         }
         if (answer.isEmpty()) {
-            return nodeStopped() ? Cause.NODE_STOPPED : Cause.NOT_LOGGED;
+            return isOriginStopped() ? Cause.NODE_STOPPED : Cause.NOT_LOGGED;
         }
         return switch (outcome().orElseThrow()) {
             case DONE -> Cause.SERVED;
             case CANCELLED -> Cause.CANCELLED;
             case REFUSED -> causeOfRefusal();
             case FAILED -> failingEndpoints().size() == 1 ? Cause.BAD_ENDPOINT : Cause.BAD_WORK;
-            case GIVEN_UP -> causeOfGivingUp();
+            case GIVEN_UP -> causeOfGiveUp();
         };
     }
 
-    /** Returns the endpoints on which a run of the job did not do its work. */
+    /** Returns the endpoints on which a run of the job ended badly. */
     ImmutableSet<EndpointId> failingEndpoints() {
         return of(NodeEvent.RUN_ENDED_BADLY).stream()
                 .map(entry -> EndpointId.of(entry.text("endpoint")))
                 .collect(ImmutableSet.toImmutableSet());
     }
 
-    /** Returns the line of the last holder that refused the job within a share, if one did. */
+    /** Returns the last entry of a holder that declined the job because of a share, if the job was refused. */
     Optional<LogEntry> shareRefusal() {
         boolean isRefused = cause() == Cause.NO_ROOM;
         return of(NodeEvent.JOB_DECLINED).stream()
@@ -102,15 +103,15 @@
         if (declined.isEmpty()) {
             return Cause.NO_HOLDER;
         }
-        boolean anyPlace = declined.stream().anyMatch(entry -> entry.number("places") > 0);
-        if (anyPlace) {
+        boolean hasSlots = declined.stream().anyMatch(entry -> entry.number("places") > 0);
+        if (hasSlots) {
             return Cause.NO_ROOM;
         }
-        return all.stream().anyMatch(this::isDrainInForce) ? Cause.DRAINED : Cause.NO_ENDPOINTS;
+        return allEntries.stream().anyMatch(this::isDrainInForce) ? Cause.DRAINED : Cause.NO_ENDPOINTS;
     }
 
-    private Cause causeOfGivingUp() {
-        if (all.stream().anyMatch(this::isLossOfHolder)) {
+    private Cause causeOfGiveUp() {
+        if (allEntries.stream().anyMatch(this::isLossOfHolder)) {
             return Cause.HOLDER_LOST;
         }
         if (!failingEndpoints().isEmpty()) {
@@ -120,26 +121,26 @@
     }
 
     private ImmutableList<LogEntry> of(NodeEvent event) {
-        return own.stream().filter(entry -> entry.event() == event).collect(ImmutableList.toImmutableList());
+        return jobEntries.stream().filter(entry -> entry.event() == event).collect(ImmutableList.toImmutableList());
     }
 
-    /** Returns whether the entry says that the node that answered lost the job's holder while that had the job. */
+    /** Returns whether the entry reports that the answering node lost the holder while it had the job. */
     private boolean isLossOfHolder(LogEntry entry) {
         if (answer.isEmpty() || entry.event() != NodeEvent.PEER_LOST) {
             return false;
         }
         LogEntry answered = answer.get();
         Instant arrived = answered.time().minusMillis(answered.number("after-ms"));
-        Instant earliest = arrived.isAfter(answered.time().minus(LOSS_COUNTS_FOR))
+        Instant earliest = arrived.isAfter(answered.time().minus(MAX_LOSS_AGE))
                 ? arrived
-                : answered.time().minus(LOSS_COUNTS_FOR);
+                : answered.time().minus(MAX_LOSS_AGE);
         return entry.node().equals(answered.node())
                 && entry.text("peer").equals(answered.text("holder"))
                 && !entry.time().isBefore(earliest)
                 && !entry.time().isAfter(answered.time());
     }
 
-    /** Returns whether the entry says that a domain was drained, at a node that declined the job while it was. */
+    /** Returns whether the entry reports a drain that was in force when the node declined the job. */
     private boolean isDrainInForce(LogEntry entry) {
         return entry.event() == NodeEvent.DOMAIN_DRAINED
                 && of(NodeEvent.JOB_DECLINED).stream()
@@ -149,7 +150,7 @@
     }
 
     private boolean isUndrainedBetween(LogEntry drained, Instant until) {
-        return all.stream()
+        return allEntries.stream()
                 .anyMatch(entry -> entry.event() == NodeEvent.DOMAIN_UNDRAINED
                         && entry.node().equals(drained.node())
                         && entry.text("domain").equals(drained.text("domain"))
@@ -157,17 +158,18 @@
                         && entry.time().isBefore(until));
     }
 
-    /** Returns whether a node that is known to have had the job ended after the last line about it. */
-    private boolean nodeStopped() {
-        ImmutableSet<String> askers = own.stream()
+    /** Returns whether an origin of the job started or stopped after the last entry about the job. */
+    private boolean isOriginStopped() {
+        ImmutableSet<String> origins = jobEntries.stream()
                 .map(entry -> entry.text("origin"))
                 .filter(origin -> !origin.isEmpty())
                 .collect(ImmutableSet.toImmutableSet());
-        Instant last =
-                own.isEmpty() ? Instant.MAX : own.get(own.size() - 1).time().minus(CLOCK_SLACK);
-        return all.stream()
+        Instant last = jobEntries.isEmpty()
+                ? Instant.MAX
+                : jobEntries.get(jobEntries.size() - 1).time().minus(CLOCK_SLACK);
+        return allEntries.stream()
                 .filter(entry -> entry.event() == NodeEvent.NODE_STARTED || entry.event() == NodeEvent.NODE_STOPPED)
                 .anyMatch(entry ->
-                        askers.contains(entry.node().value()) && entry.time().isAfter(last));
+                        origins.contains(entry.node().value()) && entry.time().isAfter(last));
     }
 }
--- a/tarragonarch-ctl/src/main/java/org/tarragonarch/ctl/explain/LogEntry.java
+++ b/tarragonarch-ctl/src/main/java/org/tarragonarch/ctl/explain/LogEntry.java
@@ -12,12 +12,12 @@
 import org.tarragonarch.model.log.NodeEvent;
 
 /**
- * One line of a node's log.
+ * A line in the log of a node.
  *
- * @param time when it was written, on the node's clock
- * @param node the node that wrote it
- * @param event what it reports
- * @param fields its other fields
+ * @param time the time of the entry, by the clock of the node
+ * @param node the node that logged it
+ * @param event the event
+ * @param fields all fields of the line
  */
 record LogEntry(Instant time, NodeId node, NodeEvent event, JsonNode fields) {
     private static final ObjectMapper JSON = new ObjectMapper();
@@ -29,7 +29,7 @@
         checkNotNull(fields, "fields");
     }
 
-    /** Returns the entry that stands in a line; nothing where the line is cut, or not of a node's log. */
+    /** Parses a line; empty if the line is truncated or was not logged by a node. */
     static Optional<LogEntry> parse(String line) {
         try {
             JsonNode fields = JSON.readTree(line);
@@ -45,22 +45,22 @@
         }
     }
 
-    /** Returns the text of a field, empty where the line has none. */
+    /** Returns a field as text, or an empty string if it is missing. */
     String text(String field) {
         return fields.path(field).asText();
     }
 
-    /** Returns the number in a field, 0 where the line has none. */
+    /** Returns a field as a number, or 0 if it is missing. */
     long number(String field) {
         return fields.path(field).asLong();
     }
 
-    /** Returns whether the line names a share. */
+    /** Returns whether the entry names a share. */
     boolean hasShare() {
         return fields.has("share-priority");
     }
 
-    /** Returns whether the line is about this job, or of a run of one of its tasks. */
+    /** Returns whether the entry is about the job or one of its tasks. */
     boolean isAbout(String job) {
         return text("job").equals(job) || text("task").startsWith(job + ".");
     }
--- a/tarragonarch-ctl/src/main/java/org/tarragonarch/ctl/explain/LogFiles.java
+++ b/tarragonarch-ctl/src/main/java/org/tarragonarch/ctl/explain/LogFiles.java
@@ -16,19 +16,19 @@
 import java.util.Optional;
 
 /**
- * Reads the entries of several logs, in the order of their times.
+ * Reads the entries of several logs and sorts them by time.
  *
- * <p>Logs come as they are: the last line of a killed process is cut, and a runtime writes lines of its own between.
- * Such lines are passed over and counted.
+ * <p>Lines that are not entries are skipped and counted: the last line of a killed process may be truncated, and the
+ * runtime may write its own messages.
  */
 public final class LogFiles {
     private final List<LogEntry> entries = new ArrayList<>();
     private int skippedLines;
 
-    /** Creates a reader that has read nothing. */
+    /** Creates a reader without entries. */
     public LogFiles() {}
 
-    /** Reads a file, or the standard input where the path is {@code -}. */
+    /** Reads a file, or the standard input if the path is {@code -}. */
     public void read(Path file) throws IOException {
         if (file.toString().equals("-")) {
             read(new BufferedReader(reader(System.in)));
@@ -41,23 +41,23 @@
 
     void read(BufferedReader lines) throws IOException {
         try {
-            lines.lines().forEach(this::take);
+            lines.lines().forEach(this::addLine);
         } catch (UncheckedIOException e) {
             throw e.getCause();
         }
     }
 
-    /** Returns every entry, the earliest first. */
+    /** Returns all entries, the earliest first. */
     ImmutableList<LogEntry> entries() {
         return ImmutableList.sortedCopyOf(Comparator.comparing(LogEntry::time), entries);
     }
 
-    /** Returns how many lines were passed over. */
+    /** Returns the number of skipped lines. */
     int skippedLines() {
         return skippedLines;
     }
 
-    private void take(String line) {
+    private void addLine(String line) {
         Optional<LogEntry> entry = LogEntry.parse(line);
         if (entry.isPresent()) {
             entries.add(entry.get());
@@ -66,7 +66,7 @@
         }
     }
 
-    /** A log that was cut in the middle of a character is still worth reading. */
+    /** Returns a reader that replaces malformed input, since a log may be truncated within a character. */
     private static InputStreamReader reader(InputStream in) {
         return new InputStreamReader(
                 in,
--- a/tarragonarch-ctl/src/main/java/org/tarragonarch/ctl/explain/package-info.java
+++ b/tarragonarch-ctl/src/main/java/org/tarragonarch/ctl/explain/package-info.java
@@ -1,2 +1,2 @@
-/** Reads the logs of several nodes and says what happened to one job, and why. */
+/** Explains from the logs of several nodes what happened to a job and why. */
 package org.tarragonarch.ctl.explain;
--- a/tarragonarch-ctl/src/main/java/org/tarragonarch/ctl/output/Output.java
+++ b/tarragonarch-ctl/src/main/java/org/tarragonarch/ctl/output/Output.java
@@ -6,7 +6,7 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Spec;
 
-/** Prints results to the standard output, and progress and notes to the standard error. */
+/** Prints results to the standard output, and notes and progress to the standard error. */
 public final class Output {
     @Spec(Spec.Target.MIXEE)
     private CommandSpec command;
@@ -15,7 +15,7 @@
             names = {"-o", "--output"},
             paramLabel = "FORMAT",
             defaultValue = "text",
-            description = "How results are printed: ${COMPLETION-CANDIDATES}; ${DEFAULT-VALUE} unless stated.")
+            description = "Output format: ${COMPLETION-CANDIDATES}; the default is ${DEFAULT-VALUE}.")
     private OutputFormat format;
 
     /** Returns whether results are printed as JSON. */
@@ -23,29 +23,29 @@
         return format == OutputFormat.JSON;
     }
 
-    /** Prints a table, or a sentence in its place where it has no row. */
-    public void printTable(Table table, String sentenceIfEmpty) {
+    /** Prints a table; as text, prints the message instead if the table has no rows. */
+    public void printTable(Table table, String emptyMessage) {
         if (isJson()) {
             printJson(table.toJson());
         } else if (table.isEmpty()) {
-            printLine(sentenceIfEmpty);
+            printLine(emptyMessage);
         } else {
             table.lines().forEach(this::printLine);
         }
     }
 
-    /** Prints one JSON value. */
+    /** Prints a JSON value. */
     public void printJson(JsonNode value) {
         printLine(value.toPrettyString());
     }
 
-    /** Prints one line of a result. */
+    /** Prints a line of the result. */
     public void printLine(String text) {
         out().println(text);
         out().flush();
     }
 
-    /** Prints one line of progress, or a note, that is no part of the result. */
+    /** Prints a line that is not part of the result, such as progress, to the standard error. */
     public void printNote(String text) {
         PrintWriter err = command.commandLine().getErr();
         err.println(text);
--- a/tarragonarch-ctl/src/main/java/org/tarragonarch/ctl/output/OutputFormat.java
+++ b/tarragonarch-ctl/src/main/java/org/tarragonarch/ctl/output/OutputFormat.java
@@ -1,8 +1,8 @@
 package org.tarragonarch.ctl.output;
 
-/** How results are printed. */
+/** The format in which results are printed. */
 public enum OutputFormat {
-    /** Aligned tables and sentences. */
+    /** Aligned tables and plain text. */
     TEXT("text"),
     /** One JSON value. */
     JSON("json");
@@ -13,7 +13,7 @@
         this.word = word;
     }
 
-    /** Returns the word that the command line takes for this. */
+    /** Returns the word used on the command line. */
     @Override
     public String toString() {
         return word;
--- a/tarragonarch-ctl/src/main/java/org/tarragonarch/ctl/output/Table.java
+++ b/tarragonarch-ctl/src/main/java/org/tarragonarch/ctl/output/Table.java
@@ -12,9 +12,9 @@
 import java.util.Locale;
 
 /**
- * Rows under named columns, printed aligned or as a JSON list of objects.
+ * A table with named columns, printed as aligned text or as a JSON list of objects.
  *
- * <p>Numbers are aligned to the right. Not safe for use by several threads.
+ * <p>Columns of numbers are aligned to the right. Not thread-safe.
  */
 public final class Table {
     private static final String GAP = "  ";
@@ -26,24 +26,24 @@
         this.columns = columns;
     }
 
-    /** Returns an empty table; the column names are in lower case, with dashes between words. */
+    /** Returns an empty table; the column names are in lower case, with hyphens between words. */
     public static Table of(String... columns) {
         return new Table(ImmutableList.copyOf(columns));
     }
 
-    /** Adds a row; numbers stay numbers in JSON, all else is printed as text. */
+    /** Adds a row. Numbers and booleans keep their type in JSON; other cells are converted to strings. */
     public Table row(Object... cells) {
         checkArgument(cells.length == columns.size(), "%s cells for %s columns", cells.length, columns.size());
         rows.add(ImmutableList.copyOf(cells));
         return this;
     }
 
-    /** Returns whether there is no row. */
+    /** Returns whether the table has no rows. */
     public boolean isEmpty() {
         return rows.isEmpty();
     }
 
-    /** Returns the table as aligned lines, the first of which names the columns. */
+    /** Returns the table as aligned lines, starting with the column headings. */
     public ImmutableList<String> lines() {
         ImmutableList.Builder<String> lines = ImmutableList.builder();
         lines.add(line(columns.stream().map(Table::heading).collect(ImmutableList.toImmutableList())));
@@ -51,7 +51,7 @@
         return lines.build();
     }
 
-    /** Returns the rows as a list of objects whose keys are the columns. */
+    /** Returns the rows as a list of objects whose keys are the column names. */
     public ArrayNode toJson() {
         ArrayNode list = JsonNodeFactory.instance.arrayNode();
         for (ImmutableList<Object> row : rows) {
@@ -66,8 +66,8 @@
     private static void putCell(ObjectNode object, String column, Object cell) {
         if (cell instanceof Number number) {
             object.put(column, number.longValue());
-        } else if (cell instanceof Boolean truth) {
-            object.put(column, truth);
+        } else if (cell instanceof Boolean bool) {
+            object.put(column, bool);
         } else {
             object.put(column, cell.toString());
         }
--- a/tarragonarch-ctl/src/main/java/org/tarragonarch/ctl/output/package-info.java
+++ b/tarragonarch-ctl/src/main/java/org/tarragonarch/ctl/output/package-info.java
@@ -1,2 +1,2 @@
-/** What the operator program prints: aligned tables for people, JSON for programs. */
+/** The output of the operator program: aligned tables or JSON. */
 package org.tarragonarch.ctl.output;
--- a/tarragonarch-ctl/src/main/java/org/tarragonarch/ctl/package-info.java
+++ b/tarragonarch-ctl/src/main/java/org/tarragonarch/ctl/package-info.java
@@ -1,2 +1,2 @@
-/** The operator program {@code tarragonctl}: checks, applies and undoes configurations, and looks after nodes. */
+/** The operator program {@code tarragonctl}: checks, applies and rolls back configurations, and operates nodes. */
 package org.tarragonarch.ctl;
--- a/tarragonarch-ctl/src/main/java/org/tarragonarch/ctl/share/MetricsPage.java
+++ b/tarragonarch-ctl/src/main/java/org/tarragonarch/ctl/share/MetricsPage.java
@@ -14,7 +14,7 @@
 import okhttp3.ResponseBody;
 import org.tarragonarch.model.id.Address;
 
-/** The share metrics of one node, parsed from its Prometheus page: a table by priority and metric. */
+/** The share metrics of a node, parsed from its Prometheus page. */
 public final class MetricsPage {
     private static final Duration TIMEOUT = Duration.ofSeconds(2);
     private static final Pattern SHARE_LINE =
@@ -22,12 +22,12 @@
 
     private final ImmutableTable<Integer, String, Double> values;
 
-    private MetricsPage(ImmutableTable<Integer, String, Double> figures) {
-        this.values = figures;
+    private MetricsPage(ImmutableTable<Integer, String, Double> values) {
+        this.values = values;
     }
 
     /**
-     * Reads the page of a node.
+     * Reads the metrics page of a node.
      *
      * @throws IOException if there is no answer within two seconds, or its status is not 2xx
      */
@@ -52,16 +52,16 @@
         }
     }
 
-    /** Parses a page; lines of other metrics are skipped. */
+    /** Parses a metrics page; other metrics are skipped. */
     static MetricsPage parse(String text) {
-        ImmutableTable.Builder<Integer, String, Double> figures = ImmutableTable.builder();
+        ImmutableTable.Builder<Integer, String, Double> values = ImmutableTable.builder();
         text.lines().forEach(line -> {
             Matcher matcher = SHARE_LINE.matcher(line);
             if (matcher.matches()) {
-                figures.put(Integer.valueOf(matcher.group(2)), matcher.group(1), Double.valueOf(matcher.group(3)));
+                values.put(Integer.valueOf(matcher.group(2)), matcher.group(1), Double.valueOf(matcher.group(3)));
             }
         });
-        return new MetricsPage(figures.buildOrThrow());
+        return new MetricsPage(values.buildOrThrow());
     }
 
     /** Returns the values by priority and metric name, without the prefix {@code tarragonarch_share_}. */
--- a/tarragonarch-ctl/src/main/java/org/tarragonarch/ctl/share/package-info.java
+++ b/tarragonarch-ctl/src/main/java/org/tarragonarch/ctl/share/package-info.java
@@ -1,2 +1,2 @@
-/** The shares of nodes on the users' platform, as their metrics show them. */
+/** The share metrics of nodes on the users' platform. */
 package org.tarragonarch.ctl.share;
--- a/tarragonarch-ctl/src/main/java/org/tarragonarch/ctl/submit/CallerAnswer.java
+++ b/tarragonarch-ctl/src/main/java/org/tarragonarch/ctl/submit/CallerAnswer.java
@@ -8,12 +8,12 @@
  * The answer to a submission.
  *
  * @param status the HTTP status
- * @param body the answer's JSON
+ * @param body the JSON body
  */
 public record CallerAnswer(int status, JsonNode body) {
     private static final String COMPLETE = "complete";
 
-    /** Checks the parts. */
+    /** Creates an answer. */
     public CallerAnswer {
         checkNotNull(body, "body");
     }
@@ -23,7 +23,7 @@
         return text("outcome").equals(COMPLETE);
     }
 
-    /** Returns a field of the answer as text; empty where it is missing. */
+    /** Returns a field of the body as text, or an empty string if it is missing. */
     public String text(String field) {
         return body.path(field).asText("");
     }
--- a/tarragonarch-ctl/src/main/java/org/tarragonarch/ctl/submit/CallerClient.java
+++ b/tarragonarch-ctl/src/main/java/org/tarragonarch/ctl/submit/CallerClient.java
@@ -18,7 +18,7 @@
 import org.tarragonarch.model.outcome.Step;
 import org.tarragonarch.model.outcome.StepException;
 
-/** Sends one submission to a caller port and waits for its answer. */
+/** A blocking client of the caller API of a node. */
 public final class CallerClient {
     private static final JsonMapper MAPPER = JsonMapper.builder().build();
     private static final MediaType JSON = MediaType.get("application/json");
@@ -30,9 +30,9 @@
     /**
      * Creates a client.
      *
-     * @param node the caller port
-     * @param token the caller's token
-     * @param connectTimeout how long a connection may take; the answer may take as long as the submission is allowed to
+     * @param node the caller address of the node
+     * @param token the token of the caller
+     * @param connectTimeout the timeout for connecting; there is no timeout for the answer
      */
     public CallerClient(Address node, String token, Duration connectTimeout) {
         this.node = node;
@@ -40,16 +40,16 @@
         this.client = new OkHttpClient.Builder()
                 .connectTimeout(connectTimeout)
                 .readTimeout(Duration.ZERO)
-                // A submission without a key that is sent again would be a second submission.
+                // A retry of a submission without an idempotency key would be a second submission.
                 .retryOnConnectionFailure(false)
                 .proxy(Proxy.NO_PROXY)
                 .build();
     }
 
     /**
-     * Submits and waits for the answer, whatever its outcome.
+     * Sends a submission and waits for its answer, whatever its outcome.
      *
-     * @throws StepException if no answer came, so that the submission may have run
+     * @throws StepException if there is no valid answer; unless the connection failed, the submission may have run
      */
     public CallerAnswer submit(Submission submission) throws StepException {
         try (Response response = client.newCall(request(submission)).execute()) {
--- a/tarragonarch-ctl/src/main/java/org/tarragonarch/ctl/submit/Submission.java
+++ b/tarragonarch-ctl/src/main/java/org/tarragonarch/ctl/submit/Submission.java
@@ -9,15 +9,15 @@
 import org.tarragonarch.model.id.ServiceName;
 
 /**
- * A request or a job that is to be tried.
+ * A request or job to submit.
  *
  * @param service the service
- * @param resource the resource, {@code requests} or {@code jobs}
+ * @param resource the resource of the caller API, {@code requests} or {@code jobs}
  * @param kind the kind
- * @param body the message
- * @param idempotencyKey makes sending it again harmless
- * @param timeAllowed after which it is given up on
- * @param requestId the caller's own mark
+ * @param body the JSON body
+ * @param idempotencyKey the key that makes a repeated submission harmless
+ * @param timeAllowed the time allowed for the answer
+ * @param requestId an id chosen by the caller, returned in the answer
  */
 public record Submission(
         ServiceName service,
@@ -27,10 +27,10 @@
         Optional<String> idempotencyKey,
         Optional<Duration> timeAllowed,
         Optional<String> requestId) {
-    /** Checks the parts. */
+    /** Creates a submission. */
     public Submission {
         checkNotNull(service, "service");
-        checkNotNull(resource, "form");
+        checkNotNull(resource, "resource");
         checkNotNull(kind, "kind");
         checkNotNull(body, "body");
         checkNotNull(idempotencyKey, "idempotencyKey");
--- a/tarragonarch-ctl/src/main/java/org/tarragonarch/ctl/submit/package-info.java
+++ b/tarragonarch-ctl/src/main/java/org/tarragonarch/ctl/submit/package-info.java
@@ -1,2 +1,2 @@
-/** A client of the caller API, for trying a service. */
+/** A client of the caller API, for trying out a service. */
 package org.tarragonarch.ctl.submit;
--- a/tarragonarch-ctl/src/test/java/org/tarragonarch/ctl/CtlMainTest.java
+++ b/tarragonarch-ctl/src/test/java/org/tarragonarch/ctl/CtlMainTest.java
@@ -82,11 +82,11 @@
     public void testApply_unchanged() {
         connected("apply", folder.toString());
         assertEquals(connected("apply", folder.toString()), ExitCode.OK.number());
-        assertTrue(out().contains("nothing to change: version 1 says the same"), out());
+        assertTrue(out().contains("nothing to change: version 1 is the same"), out());
         assertEquals(system.newest(), 1);
     }
 
-    /** Guards against a change that undoes another operator's, or a conflict that does not name it. */
+    /** Guards against a change that overwrites another operator's, or a conflict that does not name it. */
     @Test
     public void testApply_conflict() throws IOException {
         connected("apply", folder.toString());
@@ -107,7 +107,7 @@
         assertEquals(system.newest(), 1);
     }
 
-    /** Guards against a change in force that is reported as failed, or as a conflict when sent anew. */
+    /** Guards against an accepted change that is reported as failed or as a conflict after its reply was lost. */
     @Test
     public void testApply_replyLost() {
         hobart.repliesToDrop.set(1);
@@ -115,20 +115,20 @@
         assertEquals(system.newest(), 1);
     }
 
-    /** Guards against a change that stands and is reported as not made since every reply was lost. */
+    /** Guards against an accepted change that is reported as not made because every reply was lost. */
     @Test
     public void testApply_everyReplyLost() {
         hobart.repliesToDrop.set(1);
         devonport.repliesToDrop.set(1);
         assertEquals(connected("apply", folder.toString()), ExitCode.FAILED.number());
         String change = system.records().get(0).change().value();
-        assertTrue(err().contains("it cannot be said yet whether change " + change + " was accepted"), err());
+        assertTrue(err().contains("it is unknown whether change " + change + " was accepted"), err());
         assertFalse(err().contains("nothing was changed"), err());
         connected("audit");
         assertTrue(out().contains(change), out());
     }
 
-    /** The platform's store is out, as each node says: the change certainly was not accepted. */
+    /** Guards against a change that is reported as uncertain although every node refused it without a store. */
     @Test
     public void testApply_storeUnavailable() {
         system.storeUnavailable = true;
@@ -220,7 +220,7 @@
         assertTrue(out().contains("outcome not-run (status 404)"), out());
     }
 
-    /** Guards against a file of inputs that the command line library expands to further arguments. */
+    /** Guards against an input file that picocli expands to further arguments. */
     @Test
     public void testSubmit_inputsFromFile() throws IOException {
         Path inputs = Files.createTempFile("inputs", ".json");
--- a/tarragonarch-ctl/src/test/java/org/tarragonarch/ctl/FakeNode.java
+++ b/tarragonarch-ctl/src/test/java/org/tarragonarch/ctl/FakeNode.java
@@ -15,15 +15,15 @@
 import java.util.concurrent.ConcurrentHashMap;
 import java.util.concurrent.atomic.AtomicInteger;
 
-/** A node's administration and caller API, as far as the operator program uses them. */
+/** A fake node with the parts of the administration and caller API that the operator program uses. */
 final class FakeNode implements AutoCloseable {
     private static final JsonMapper MAPPER = JsonMapper.builder().build();
     private static final int CONFLICT = 409;
 
-    /** How many looks at the node pass before it adopts the newest configuration. */
+    /** The number of status calls after which the node adopts the newest configuration. */
     final AtomicInteger statusCallsUntilAdopted = new AtomicInteger();
 
-    /** How many changes are accepted without a reply. */
+    /** The number of changes to accept without a reply. */
     final AtomicInteger repliesToDrop = new AtomicInteger();
 
     final Set<String> drained = ConcurrentHashMap.newKeySet();
@@ -74,7 +74,7 @@
     }
 
     private void adopt() {
-        if (statusCallsUntilAdopted.getAndUpdate(looks -> Math.max(0, looks - 1)) == 0) {
+        if (statusCallsUntilAdopted.getAndUpdate(calls -> Math.max(0, calls - 1)) == 0) {
             inForce = system.newest();
         }
     }
--- a/tarragonarch-ctl/src/test/java/org/tarragonarch/ctl/FakeSystem.java
+++ b/tarragonarch-ctl/src/test/java/org/tarragonarch/ctl/FakeSystem.java
@@ -9,11 +9,11 @@
 import org.tarragonarch.model.id.OperatorName;
 import org.tarragonarch.platform.AuditRecord;
 
-/** What the platform would keep for some fake nodes: the accepted configurations, one after the other. */
+/** The accepted configurations that fake nodes share, in place of the platform. */
 final class FakeSystem {
     static final String TOKEN = "a-secret-token";
 
-    /** Whether no change can be accepted. */
+    /** Whether nodes refuse changes because the store is unavailable. */
     volatile boolean storeUnavailable;
 
     private final List<AuditRecord> records = new ArrayList<>();
@@ -31,7 +31,7 @@
         return List.copyOf(records);
     }
 
-    /** Accepts a change, or finds it accepted already; returns the version, or 0 for a conflict. */
+    /** Accepts a change unless its id was accepted last; returns the version, or 0 for a conflict. */
     synchronized int accept(int from, String change, String summary, String text) {
         if (newest() > 0 && records.get(newest() - 1).change().value().equals(change)) {
             return newest();
--- a/tarragonarch-ctl/src/test/java/org/tarragonarch/ctl/OuterNamesTest.java
+++ b/tarragonarch-ctl/src/test/java/org/tarragonarch/ctl/OuterNamesTest.java
@@ -9,7 +9,7 @@
 import org.tarragonarch.ctl.output.OutputFormat;
 import org.testng.annotations.Test;
 
-/** Guards against a change of printed words and exit codes through the rename of a Java name. */
+/** Guards against a rename in Java that changes printed words or exit codes. */
 public final class OuterNamesTest {
     @Test
     public void testExitCode_numbers() {
--- a/tarragonarch-ctl/src/test/java/org/tarragonarch/ctl/change/RolloutTest.java
+++ b/tarragonarch-ctl/src/test/java/org/tarragonarch/ctl/change/RolloutTest.java
@@ -26,21 +26,21 @@
         assertEquals(rollout.progress(), "devonport 1/1, hobart 2/2");
     }
 
-    /** Guards against a rollout that waits for a version that the node itself already reports. */
+    /** Guards against a rollout that waits for a node that reports the version, because a peer has an older report. */
     @Test
     public void testOf_ownStatusOverridesPeers() {
         assertTrue(rollout(node("hobart-1", NEW, peer("hobart-2", true, OLD)), node("hobart-2", NEW))
                 .isComplete());
     }
 
-    /** Guards against a domain that cannot be reached and is reported as lagging, or as done. */
+    /** Guards against an unreachable domain that is reported as outdated or as complete. */
     @Test
     public void testOf_unreachableDomain() {
         Rollout rollout = rollout(node("hobart-1", NEW, peer("devonport-1", false, OLD)));
         assertFalse(rollout.isComplete());
         DomainRollout devonport = rollout.domains().get(0);
         assertEquals(devonport.state(), RolloutState.CANNOT_BE_REACHED);
-        assertEquals(devonport.describeMissing(), "no word from devonport-1");
+        assertEquals(devonport.describeMissing(), "cannot reach devonport-1");
         assertEquals(rollout.domains().get(1).state(), RolloutState.IN_FORCE);
     }
 
--- a/tarragonarch-ctl/src/test/java/org/tarragonarch/ctl/change/StoreGatewayTest.java
+++ b/tarragonarch-ctl/src/test/java/org/tarragonarch/ctl/change/StoreGatewayTest.java
@@ -62,13 +62,13 @@
         assertThrows(ChangeConflictException.class, () -> gateway.accept(change(0)));
     }
 
-    /** The platform has no reply for a write that may stand; the operator must not read that nothing was changed. */
+    /** Guards against a lost reply of the store that is reported as a change that was not made. */
     @Test
     public void testAccept_replyLost() {
         store.failure = new PlatformException("table service", "no reply", true, null);
         ChangeOutcomeUnknownException unsettled =
                 expectThrows(ChangeOutcomeUnknownException.class, () -> gateway.accept(change(0)));
-        assertEquals(unsettled.getMessage(), "it cannot be said yet whether change c0 was accepted: no reply");
+        assertEquals(unsettled.getMessage(), "it is unknown whether change c0 was accepted: no reply");
     }
 
     @Test
@@ -81,7 +81,7 @@
         return new ChangeRequest(ConfigurationVersion.of(from), new ChangeId("c" + from), "the first", TEXT);
     }
 
-    /** Keeps changes in memory. */
+    /** A store that keeps changes in memory. */
     private static final class FakeStore implements ConfigurationStore {
         private final List<AuditRecord> records = new ArrayList<>();
         private PlatformException failure;
--- a/tarragonarch-ctl/src/test/java/org/tarragonarch/ctl/command/CommandNamesTest.java
+++ b/tarragonarch-ctl/src/test/java/org/tarragonarch/ctl/command/CommandNamesTest.java
@@ -15,7 +15,7 @@
 import picocli.CommandLine.Model.OptionSpec;
 import picocli.CommandLine.Model.PositionalParamSpec;
 
-/** Guards against a change of a command, option, argument or exit code through a change of a Java name. */
+/** Guards against a rename in Java that changes a command, option, argument or exit code. */
 public final class CommandNamesTest {
     private static final Joiner LINES = Joiner.on('\n');
 
@@ -46,7 +46,7 @@
                 .build();
     }
 
-    /** Returns the label of the value, how many there may be, and the words that are accepted where they are fixed. */
+    /** Returns the label, the arity, and the accepted words if they are fixed. */
     private static String form(ArgSpec argument) {
         String label = argument.arity().max() == 0 ? "" : " " + argument.paramLabel();
         String required = argument.required() ? " required" : "";
--- a/tarragonarch-ctl/src/test/java/org/tarragonarch/ctl/explain/ExplanationTest.java
+++ b/tarragonarch-ctl/src/test/java/org/tarragonarch/ctl/explain/ExplanationTest.java
@@ -8,7 +8,7 @@
 import java.io.StringReader;
 import org.testng.annotations.Test;
 
-/** From a job's id and the logs of several nodes to the cause; the lines are those of real runs. */
+/** Tests for {@link Explanation} with log lines as nodes write them. */
 public final class ExplanationTest {
     private static final String REFUSED = """
             {"time":"2026-05-04T12:00:06.409Z","node":"front-hobart-1","event":"job-declined","job":"535f8b75492e838d",\
@@ -78,7 +78,7 @@
         return Explanation.of(job, files);
     }
 
-    /** Guards against a refusal in a drained failure domain that looks like a loss of all endpoints. */
+    /** Guards against a refusal in a drained failure domain that is explained as a loss of all endpoints. */
     @Test
     public void testLines_refusedInDrainedDomain() throws IOException {
         Explanation explanation = explain("77cc0f1d5e2ab904", DRAINED, HOLDER_LOST);
@@ -87,13 +87,13 @@
                 "cause: drained, no holder had an endpoint that could take it, and a failure domain was drained");
         assertEquals(
                 explanation.lines().get(2),
-                "  2026-05-04T12:00:03.101Z front-hobart-1 heard that failure domain hobart is drained, from store at"
+                "  2026-05-04T12:00:03.101Z front-hobart-1 learned that failure domain hobart is drained, from store at"
                         + " version 812");
         Explanation later = explain("77cc0f1d5e2ab904", DRAINED, UNDRAINED);
         assertFalse(later.lines().get(1).contains("drained"), later.lines().toString());
     }
 
-    /** A caller got 503 in a burst. Two holders had no place free and too many jobs waiting. */
+    /** Guards against a 503 in a burst that is not explained: no holder had free capacity. */
     @Test
     public void testLines_refusedUnderLoad() throws IOException {
         Explanation explanation = explain("535f8b75492e838d", REFUSED, BAD_ENDPOINT, HOLDER_LOST);
@@ -101,12 +101,12 @@
         assertEquals(explanation.lines().get(1), "cause: no-room, no holder had room for it in time");
         assertEquals(
                 explanation.lines().get(2),
-                "  2026-05-04T12:00:06.061Z front-launceston-1 did not take it: 0 of 26 places"
-                        + " free, 13 job(s) waiting, so 172 ms to wait and 34 to run against 114 ms left");
+                "  2026-05-04T12:00:06.061Z front-launceston-1 declined it: 0 of 26 slots"
+                        + " free, 13 job(s) waiting, expected wait 172 ms and run 34 ms, 114 ms left");
         assertEquals(explanation.lines().size(), 5);
     }
 
-    /** A caller got 503 at once while other kinds were served: the explanation must name the share that was full. */
+    /** Guards against a 503 because of a full share whose explanation does not name the share. */
     @Test
     public void testLines_refusedInShare() throws IOException {
         Explanation explanation = explain("3f0a9d2c55e1b784", REFUSED_IN_SHARE);
@@ -117,7 +117,7 @@
         assertEquals(explanation.toJson().path("share").path("priority").asInt(), 2);
     }
 
-    /** A caller got 504 near its deadline. One endpoint answers all calls and lets tasks stand still. */
+    /** Guards against a 504 whose cause, an endpoint that answers calls but does not run tasks, is not named. */
     @Test
     public void testLines_givenUpAfterFailingEndpoint() throws IOException {
         Explanation explanation = explain("d8b174c21d8c731b", HOLDER_LOST, BAD_ENDPOINT);
@@ -133,21 +133,19 @@
         assertEquals(explanation.lines().get(1), "cause: holder-lost, " + Cause.HOLDER_LOST.meaning());
         assertEquals(
                 explanation.lines().get(2),
-                "  2026-05-04T12:00:34.234Z front-hobart-2 lost front-launceston-1,"
-                        + " which had said nothing for too long");
+                "  2026-05-04T12:00:34.234Z front-hobart-2 lost front-launceston-1," + " which sent no report in time");
     }
 
-    /** A killed node's log ends in the middle of a line, and its runtime wrote a warning of its own. */
+    /** Guards against logs that cannot be read: the last line is truncated, and the runtime logged a warning. */
     @Test
     public void testLines_truncatedAndUnrelatedLines() throws IOException {
         String cut = BAD_ENDPOINT + "WARNING: something of the runtime\n{\"time\":\"2026-05-04T12:00:13.4";
         Explanation explanation = explain("d8b174c21d8c731b", cut);
-        assertEquals(
-                explanation.lines().get(0), "job d8b174c21d8c731b: GIVEN_UP (2 line(s) of another kind passed over)");
+        assertEquals(explanation.lines().get(0), "job d8b174c21d8c731b: GIVEN_UP (2 other line(s) skipped)");
         assertEquals(explanation.toJson().path("lines-passed-over").asInt(), 2);
     }
 
-    /** The node with the caller's connection died: a holder knows the job, nobody logged an answer. */
+    /** Guards against a job without an explanation because its origin stopped before it logged the answer. */
     @Test
     public void testLines_originStopped() throws IOException {
         String log = REFUSED.substring(0, REFUSED.lastIndexOf("{\"time"))
@@ -163,14 +161,14 @@
         assertEquals(explanation.lines().get(1), "cause: unknown-queue, " + Cause.UNKNOWN_QUEUE.meaning());
         assertEquals(
                 explanation.lines().get(2),
-                "  2026-05-04T12:00:14.318Z front-espoo-a-3 knew no queue for a.example/q/15789369e5db4e3d"
-                        + " and said that there is none; configuration 9 from store, confirmed 10297 ms before");
+                "  2026-05-04T12:00:14.318Z front-espoo-a-3 had no queue for a.example/q/15789369e5db4e3d"
+                        + " and answered that there is none; configuration 9 from store, confirmed 10297 ms before");
     }
 
     @Test
     public void testLines_unknownJob() throws IOException {
         Explanation explanation = explain("0000000000000000", REFUSED);
         assertFalse(explanation.found());
-        assertEquals(explanation.lines().get(0), "no line tells of job 0000000000000000");
+        assertEquals(explanation.lines().get(0), "no line is about job 0000000000000000");
     }
 }
--- a/tarragonarch-ctl/src/test/java/org/tarragonarch/ctl/explain/OuterNamesTest.java
+++ b/tarragonarch-ctl/src/test/java/org/tarragonarch/ctl/explain/OuterNamesTest.java
@@ -14,7 +14,7 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** Guards against a change of the words that 'explain' reads and prints through the rename of a Java name. */
+/** Guards against a rename in Java that changes words that 'explain' reads or prints. */
 public final class OuterNamesTest {
     @Test
     public void testCause_wordsAndMeanings() {
@@ -42,9 +42,9 @@
     }
 
     /**
-     * The outcome in a log, which is printed as it stands, and the cause that is found with no other line.
+     * Returns the outcomes as logged and printed, each with the cause found if there are no other entries.
      *
-     * <p>They stand in a resource, as a rename over the Java sources would change them here too.
+     * <p>They are read from a resource, because a rename in the Java sources would change them here too.
      */
     @DataProvider
     public Object[][] outcomes() throws IOException {
--- a/tarragonarch-ctl/src/test/java/org/tarragonarch/ctl/share/MetricsPageTest.java
+++ b/tarragonarch-ctl/src/test/java/org/tarragonarch/ctl/share/MetricsPageTest.java
@@ -5,7 +5,7 @@
 import org.testng.annotations.Test;
 
 public final class MetricsPageTest {
-    /** Guards against figures of other metrics, or none, that break the table of shares. */
+    /** Guards against lines of other metrics that break the table of shares. */
     @Test
     public void testParse_skipsOtherLines() {
         MetricsPage page = MetricsPage.parse("""
--- a/tarragonarch-settings/src/main/java/org/tarragonarch/settings/CanonicalText.java
+++ b/tarragonarch-settings/src/main/java/org/tarragonarch/settings/CanonicalText.java
@@ -10,14 +10,14 @@
 import org.tarragonarch.settings.SettingsValue.ObjectValue;
 import org.tarragonarch.settings.SettingsValue.ScalarValue;
 
-/** Writes an object in the one form that its digest is taken of: sorted keys, two spaces a level, no comments. */
+/** Formats an object in its canonical form, from which the digest is computed: sorted keys, no comments. */
 final class CanonicalText {
     private static final JsonMapper MAPPER = JsonMapper.builder().build();
 
     private CanonicalText() {}
 
     static byte[] of(ObjectValue root) {
-        // The pretty form of JsonNode.toPrettyString uses the line end of the JVM's platform, so lines are made alike.
+        // JsonNode.toPrettyString ends lines as the operating system does, which would change the digest.
         String text = toNode(root).toPrettyString().replace("\r\n", "\n");
         return (text + "\n").getBytes(StandardCharsets.UTF_8);
     }
--- a/tarragonarch-settings/src/main/java/org/tarragonarch/settings/CatalogBuilder.java
+++ b/tarragonarch-settings/src/main/java/org/tarragonarch/settings/CatalogBuilder.java
@@ -24,9 +24,9 @@
 import org.tarragonarch.model.service.ServiceObjective;
 import org.tarragonarch.model.service.TeamDefinition;
 
-/** Builds the catalog that a merged configuration defines, recording every mistake in ranges, words and references. */
+/** Builds a catalog from a merged configuration, and records invalid values and references to unknown names. */
 final class CatalogBuilder {
-    /** The key that lists the failure domains in which no task is started. */
+    /** The key that lists the failure domains on whose endpoints no task is started. */
     static final String DRAINED_DOMAINS = "drained-domains";
 
     static final int MAX_TASKS = 1_000_000;
@@ -48,7 +48,7 @@
         this.root = root;
     }
 
-    /** Returns the catalog; it may be used only if no mistake was recorded. */
+    /** Returns the catalog, which is valid only if no mistake was recorded. */
     ServiceCatalog build(ConfigurationVersion version, ContentDigest digest) {
         ImmutableMap<TeamName, TeamDefinition> teams = teams();
         ImmutableMap<CallerName, CallerDefinition> callers = callers(teams);
@@ -65,7 +65,7 @@
             try {
                 domains.add(FailureDomain.of(text));
             } catch (IllegalArgumentException e) {
-                root.addMistake(DRAINED_DOMAINS, "names '" + text + "', which no failure domain can be called");
+                root.addMistake(DRAINED_DOMAINS, "contains '" + text + "', which is not a valid name");
             }
         }
         return domains.build();
@@ -85,11 +85,11 @@
 
     private ImmutableMap<CallerName, CallerDefinition> callers(ImmutableMap<TeamName, TeamDefinition> teams) {
         ImmutableMap.Builder<CallerName, CallerDefinition> callers = ImmutableMap.builder();
-        Map<ContentDigest, String> holders = new HashMap<>();
+        Map<ContentDigest, String> owners = new HashMap<>();
         root.objects("callers").forEach((text, settings) -> {
             CallerName name = CallerName.of(text);
             TeamName team = team(settings, teams);
-            ContentDigest token = token(settings, holders);
+            ContentDigest token = token(settings, owners);
             settings.reportUnknownKeys();
             callers.put(name, new CallerDefinition(name, team, token));
         });
@@ -98,31 +98,32 @@
 
     private static TeamName team(SettingsObject settings, ImmutableMap<TeamName, TeamDefinition> teams) {
         String text = settings.text("team");
-        Optional<TeamName> named = teams.keySet().stream()
+        Optional<TeamName> found = teams.keySet().stream()
                 .filter(team -> team.value().equals(text))
                 .findFirst();
-        if (named.isEmpty() && !text.isEmpty()) {
-            settings.addMistake("team", "names the team '" + text + "', which is not defined", near(text, teams));
+        if (found.isEmpty() && !text.isEmpty()) {
+            settings.addMistake(
+                    "team", "refers to the team '" + text + "', which is not defined", suggest(text, teams));
         }
-        return named.orElse(TeamName.of("unknown"));
+        return found.orElse(TeamName.of("unknown"));
     }
 
     private ImmutableMap<OperatorName, OperatorDefinition> operators() {
         ImmutableMap.Builder<OperatorName, OperatorDefinition> operators = ImmutableMap.builder();
-        Map<ContentDigest, String> holders = new HashMap<>();
+        Map<ContentDigest, String> owners = new HashMap<>();
         root.objects("operators").forEach((text, settings) -> {
             OperatorName name = OperatorName.of(text);
             OperatorRole role = settings.choice(
                     "role", ImmutableList.copyOf(OperatorRole.values()), OperatorRole::word, Optional.empty());
-            ContentDigest token = token(settings, holders);
+            ContentDigest token = token(settings, owners);
             settings.reportUnknownKeys();
             operators.put(name, new OperatorDefinition(name, role, token));
         });
         return operators.buildOrThrow();
     }
 
-    /** Reads the digest of a token; one token for two holders would let one act in the other's name. */
-    private static ContentDigest token(SettingsObject settings, Map<ContentDigest, String> holders) {
+    /** Reads the digest of a token, which must be unique: a shared token would let one owner act as the other. */
+    private static ContentDigest token(SettingsObject settings, Map<ContentDigest, String> owners) {
         String key = "token-sha256";
         String text = settings.text(key);
         ContentDigest digest;
@@ -132,13 +133,14 @@
             if (!text.isEmpty()) {
                 settings.addMistake(
                         key,
-                        "is not a SHA-256 digest of 64 lower-case hexadecimal digits; 'tarragonctl token' makes one");
+                        "is not a SHA-256 digest of 64 lower-case hexadecimal digits; create one with"
+                                + " 'tarragonctl token'");
             }
             return ContentDigest.of(new byte[0]);
         }
-        String earlier = holders.putIfAbsent(digest, settings.path());
+        String earlier = owners.putIfAbsent(digest, settings.path());
         if (earlier != null) {
-            settings.addMistake(key, "is the same as that of " + earlier + "; each needs a token of its own");
+            settings.addMistake(key, "is the same as that of " + earlier + "; tokens must be unique");
         }
         return digest;
     }
@@ -173,7 +175,7 @@
             } else {
                 settings.addMistake(
                         "callers",
-                        "names the caller '" + text + "', which is not defined",
+                        "refers to the caller '" + text + "', which is not defined",
                         SpellingSuggestion.of(text, known));
             }
         }
@@ -187,7 +189,7 @@
         ImmutableMap.Builder<KindName, KindDefinition> kinds = ImmutableMap.builder();
         ImmutableMap<String, SettingsObject> named = service.objects("kinds");
         if (named.isEmpty()) {
-            service.addMistake("kinds", "names no kind, so the service would accept nothing");
+            service.addMistake("kinds", "defines no kind, so the service would accept no submission");
         }
         named.forEach((text, settings) -> {
             KindName name = KindName.of(text);
@@ -210,12 +212,12 @@
             settings.addMistake(
                     "expected-run-time",
                     DurationText.format(expected) + " is longer than the deadline, " + DurationText.format(deadline)
-                            + ", so no request could end in time");
+                            + ", so no request could complete in time");
         }
         return new KindDefinition(name, idempotent, maxTasks, maxBodyBytes, deadline, expected);
     }
 
-    private static Optional<String> near(String text, ImmutableMap<TeamName, TeamDefinition> teams) {
+    private static Optional<String> suggest(String text, ImmutableMap<TeamName, TeamDefinition> teams) {
         return SpellingSuggestion.of(
                 text, teams.keySet().stream().map(TeamName::value).collect(ImmutableList.toImmutableList()));
     }
--- a/tarragonarch-settings/src/main/java/org/tarragonarch/settings/CatalogDifference.java
+++ b/tarragonarch-settings/src/main/java/org/tarragonarch/settings/CatalogDifference.java
@@ -10,7 +10,7 @@
 import java.util.stream.Collectors;
 import org.tarragonarch.model.service.ServiceCatalog;
 
-/** What a change of the configuration does, per service, team, caller and operator. */
+/** The difference between two catalogs, as one change for each definition that differs. */
 public final class CatalogDifference {
     private final ImmutableList<DefinitionChange> changes;
 
@@ -18,7 +18,7 @@
         this.changes = changes;
     }
 
-    /** Returns what leads from one catalog to the other; without an earlier one, everything is added. */
+    /** Returns the difference between two catalogs; without an earlier one, every definition is added. */
     public static CatalogDifference between(Optional<ServiceCatalog> earlier, ServiceCatalog later) {
         ImmutableMap<String, ImmutableSortedMap<String, String>> before =
                 earlier.map(DefinitionProperties::of).orElse(ImmutableMap.of());
@@ -31,17 +31,17 @@
         return new CatalogDifference(changes.build());
     }
 
-    /** Returns the changes, sorted by what they concern. */
+    /** Returns the changes, sorted by definition. */
     public ImmutableList<DefinitionChange> changes() {
         return changes;
     }
 
-    /** Returns whether the two catalogs define the same. */
+    /** Returns whether the two catalogs have the same definitions. */
     public boolean isEmpty() {
         return changes.isEmpty();
     }
 
-    /** Returns the changes in one line, for the audit trail. */
+    /** Returns the changes as one line for the audit trail. */
     public String summary() {
         if (isEmpty()) {
             return "no change";
@@ -56,10 +56,10 @@
         if (before.equals(after)) {
             return Optional.empty();
         }
-        ChangeType verb =
+        ChangeType type =
                 before.isEmpty() ? ChangeType.ADDED : after.isEmpty() ? ChangeType.REMOVED : ChangeType.CHANGED;
-        if (verb == ChangeType.REMOVED) {
-            return Optional.of(new DefinitionChange(verb, definition, ImmutableList.of()));
+        if (type == ChangeType.REMOVED) {
+            return Optional.of(new DefinitionChange(type, definition, ImmutableList.of()));
         }
         Map<String, String> old = before.orElse(ImmutableSortedMap.of());
         Map<String, String> now = after.orElse(ImmutableSortedMap.of());
@@ -67,7 +67,7 @@
         for (String key : ImmutableSortedSet.copyOf(Sets.union(old.keySet(), now.keySet()))) {
             detail(key, old.get(key), now.get(key)).ifPresent(details::add);
         }
-        return Optional.of(new DefinitionChange(verb, definition, details.build()));
+        return Optional.of(new DefinitionChange(type, definition, details.build()));
     }
 
     private static Optional<String> detail(String key, String before, String after) {
--- a/tarragonarch-settings/src/main/java/org/tarragonarch/settings/CatalogReader.java
+++ b/tarragonarch-settings/src/main/java/org/tarragonarch/settings/CatalogReader.java
@@ -4,16 +4,16 @@
 import org.tarragonarch.model.id.ContentDigest;
 import org.tarragonarch.model.service.ServiceCatalog;
 
-/** Reads the canonical text of a configuration, with the same checks that a folder gets. */
+/** Reads a catalog from the canonical text of a configuration, with the checks made on a folder. */
 public final class CatalogReader {
     private CatalogReader() {}
 
     /**
      * Returns the catalog that the text defines.
      *
-     * @param version the version under which it was accepted
+     * @param version the version of the configuration
      * @param canonical the canonical text
-     * @throws SettingsException that names every mistake; the lines are those of the canonical text
+     * @throws SettingsException if there are mistakes; their lines refer to the canonical text
      */
     public static ServiceCatalog read(ConfigurationVersion version, byte[] canonical) throws SettingsException {
         String source = "configuration " + version;
--- a/tarragonarch-settings/src/main/java/org/tarragonarch/settings/ChangeType.java
+++ b/tarragonarch-settings/src/main/java/org/tarragonarch/settings/ChangeType.java
@@ -1,12 +1,12 @@
 package org.tarragonarch.settings;
 
-/** What a change does to a definition. */
+/** The way in which a change affects a definition. */
 public enum ChangeType {
-    /** It was not there before. */
+    /** The definition is new. */
     ADDED("added"),
-    /** It is gone. */
+    /** The definition no longer exists. */
     REMOVED("removed"),
-    /** Some of its keys differ. */
+    /** Some keys of the definition differ. */
     CHANGED("changed");
 
     private final String word;
@@ -15,7 +15,7 @@
         this.word = word;
     }
 
-    /** Returns the word that stands for this in output. */
+    /** Returns the word printed for this type. */
     public String word() {
         return word;
     }
--- a/tarragonarch-settings/src/main/java/org/tarragonarch/settings/CheckedConfiguration.java
+++ b/tarragonarch-settings/src/main/java/org/tarragonarch/settings/CheckedConfiguration.java
@@ -7,14 +7,14 @@
 import org.tarragonarch.model.service.ServiceCatalog;
 
 /**
- * A configuration that was merged and found without a mistake, not yet accepted.
+ * A merged configuration that passed all checks and is not accepted yet.
  *
- * @param files the names of the files, in the order in which they were merged
+ * @param files the file names, in merge order
  * @param canonical the canonical text; callers must not change it
- * @param catalog what the text defines, under version 0
+ * @param catalog the catalog that the text defines, with version 0
  */
 public record CheckedConfiguration(ImmutableList<String> files, byte[] canonical, ServiceCatalog catalog) {
-    /** Checks the parts. */
+    /** Creates a checked configuration. */
     public CheckedConfiguration {
         checkNotNull(files, "files");
         checkNotNull(canonical, "canonical");
--- a/tarragonarch-settings/src/main/java/org/tarragonarch/settings/ConfigurationFolder.java
+++ b/tarragonarch-settings/src/main/java/org/tarragonarch/settings/ConfigurationFolder.java
@@ -13,27 +13,27 @@
 import org.tarragonarch.model.service.ServiceCatalog;
 import org.tarragonarch.settings.SettingsValue.ObjectValue;
 
-/** Reads a folder of small configuration files, merges them in the order of their names and checks the whole. */
+/** Reads the configuration files of a folder, merges them in the order of their names and checks the result. */
 public final class ConfigurationFolder {
     private ConfigurationFolder() {}
 
     /**
-     * Reads and checks the files of a folder whose names end in {@code .json} or {@code .jsonc}; folders within it and
-     * names that start with a dot are passed over.
+     * Reads and checks the files of a folder whose names end in {@code .json} or {@code .jsonc}. Subfolders and files
+     * whose names start with a dot are skipped.
      *
-     * @throws SettingsException that names every mistake of every file
+     * @throws SettingsException if there are mistakes; it holds those of all files
      */
     public static CheckedConfiguration read(Path folder) throws SettingsException {
         MistakeCollector mistakes = new MistakeCollector();
         ImmutableList<Path> files = files(folder, mistakes);
         mistakes.throwIfAny(folder.toString());
         ObjectValue merged = merge(files, mistakes);
-        // A file that cannot be read leaves gaps, and what refers to them would only repeat the one mistake.
+        // References to definitions of an unreadable file would only be reported as further mistakes.
         mistakes.throwIfAny(folder.toString());
         byte[] canonical = CanonicalText.of(merged);
         SettingsObject root = SettingsObject.of(merged, mistakes);
         ServiceCatalog catalog = new CatalogBuilder(root).build(ConfigurationVersion.NONE, ContentDigest.of(canonical));
-        checkSomeoneMayChange(root, catalog);
+        checkHasChanger(root, catalog);
         mistakes.throwIfAny(folder.toString());
         ImmutableList<String> names =
                 files.stream().map(file -> file.getFileName().toString()).collect(ImmutableList.toImmutableList());
@@ -41,7 +41,7 @@
     }
 
     private static ImmutableList<Path> files(Path folder, MistakeCollector mistakes) {
-        SourceLocation place = new SourceLocation(folder.toString(), 1);
+        SourceLocation location = new SourceLocation(folder.toString(), 1);
         try (Stream<Path> found = Files.list(folder)) {
             ImmutableList<Path> files = found.filter(ConfigurationFolder::isConfigurationFile)
                     .sorted((one, other) -> one.getFileName()
@@ -49,22 +49,22 @@
                             .compareTo(other.getFileName().toString()))
                     .collect(ImmutableList.toImmutableList());
             if (files.isEmpty()) {
-                mistakes.add(place, "folder", "holds no file whose name ends in .json or .jsonc");
+                mistakes.add(location, "folder", "holds no file whose name ends in .json or .jsonc");
             }
             return files;
         } catch (NoSuchFileException e) {
-            mistakes.add(place, "folder", "does not exist");
+            mistakes.add(location, "folder", "does not exist");
             return ImmutableList.of();
         } catch (IOException e) {
-            mistakes.add(place, "folder", "cannot be read: " + e);
+            mistakes.add(location, "folder", "cannot be read: " + e);
             return ImmutableList.of();
         }
     }
 
     private static boolean isConfigurationFile(Path file) {
         String name = file.getFileName().toString();
-        boolean rightEnd = name.endsWith(".json") || name.endsWith(".jsonc");
-        return rightEnd && !name.startsWith(".") && Files.isRegularFile(file);
+        boolean hasExtension = name.endsWith(".json") || name.endsWith(".jsonc");
+        return hasExtension && !name.startsWith(".") && Files.isRegularFile(file);
     }
 
     private static ObjectValue merge(ImmutableList<Path> files, MistakeCollector mistakes) {
@@ -74,9 +74,9 @@
             String name = file.getFileName().toString();
             try {
                 ObjectValue parsed = new SettingsParser(name, mistakes).parse(Files.readAllBytes(file));
-                // The first file too goes through the merge, so that a null in it is noticed.
-                ObjectValue under = merged == null ? new ObjectValue(parsed.location(), ImmutableMap.of()) : merged;
-                merged = merger.merge(under, parsed);
+                // The first file is merged too, so that a null in it is reported.
+                ObjectValue base = merged == null ? new ObjectValue(parsed.location(), ImmutableMap.of()) : merged;
+                merged = merger.merge(base, parsed);
             } catch (IOException e) {
                 mistakes.add(new SourceLocation(name, 1), "file", "cannot be read: " + e);
             }
@@ -84,15 +84,15 @@
         return merged == null ? new ObjectValue(new SourceLocation("", 1), ImmutableMap.of()) : merged;
     }
 
-    /** Guards against locking out every operator, which would show only at the next change. */
-    private static void checkSomeoneMayChange(SettingsObject root, ServiceCatalog catalog) {
-        boolean someone = catalog.operators().values().stream()
+    /** Requires an operator who may change the configuration; without one, no further change could be applied. */
+    private static void checkHasChanger(SettingsObject root, ServiceCatalog catalog) {
+        boolean hasChanger = catalog.operators().values().stream()
                 .anyMatch(operator -> operator.role().mayChange());
-        if (!someone) {
+        if (!hasChanger) {
             root.addMistake(
                     "operators",
-                    "has nobody whose role is '" + OperatorRole.CHANGER.word()
-                            + "', so nobody could change this configuration again");
+                    "defines no operator with the role '" + OperatorRole.CHANGER.word()
+                            + "', so the configuration could not be changed again");
         }
     }
 }
--- a/tarragonarch-settings/src/main/java/org/tarragonarch/settings/ConfigurationMerger.java
+++ b/tarragonarch-settings/src/main/java/org/tarragonarch/settings/ConfigurationMerger.java
@@ -7,9 +7,9 @@
 import org.tarragonarch.settings.SettingsValue.ScalarValue;
 
 /**
- * Merges the objects of several files: objects key by key, a later scalar or list replaces, null removes.
+ * Merges the objects of several files: objects key by key, later scalars and lists replace, null removes.
  *
- * <p>Each key of the result keeps the place it came from last.
+ * <p>Each value of the result has the location of the last file that set it.
  */
 final class ConfigurationMerger {
     private final MistakeCollector mistakes;
@@ -18,22 +18,22 @@
         this.mistakes = mistakes;
     }
 
-    /** Returns the earlier object with the later one laid over it. */
+    /** Returns the earlier object overridden by the later one. */
     ObjectValue merge(ObjectValue earlier, ObjectValue later) {
         return merge(earlier, later, "");
     }
 
     private ObjectValue merge(ObjectValue earlier, ObjectValue later, String path) {
         Map<String, SettingsValue> merged = new LinkedHashMap<>(earlier.children());
-        later.children().forEach((key, value) -> lay(merged, key, value, SettingsObject.join(path, key)));
+        later.children().forEach((key, value) -> mergeEntry(merged, key, value, SettingsObject.join(path, key)));
         return new ObjectValue(later.location(), ImmutableMap.copyOf(merged));
     }
 
-    private void lay(Map<String, SettingsValue> merged, String key, SettingsValue value, String path) {
+    private void mergeEntry(Map<String, SettingsValue> merged, String key, SettingsValue value, String path) {
         SettingsValue earlier = merged.get(key);
         if (value instanceof ScalarValue scalar && scalar.isNull()) {
             if (merged.remove(key) == null) {
-                // A null that removes nothing is most often a mistyped name, and what was to go would stay in force.
+                // A null that removes nothing is probably misspelt, and the key to be removed would stay in force.
                 mistakes.add(
                         value.location(),
                         path,
@@ -41,9 +41,9 @@
                         SpellingSuggestion.of(key, merged.keySet()));
             }
         } else if (value instanceof ObjectValue object) {
-            ObjectValue under =
+            ObjectValue base =
                     earlier instanceof ObjectValue found ? found : new ObjectValue(value.location(), ImmutableMap.of());
-            merged.put(key, merge(under, object, path));
+            merged.put(key, merge(base, object, path));
         } else {
             merged.put(key, value);
         }
--- a/tarragonarch-settings/src/main/java/org/tarragonarch/settings/DefinitionChange.java
+++ b/tarragonarch-settings/src/main/java/org/tarragonarch/settings/DefinitionChange.java
@@ -6,27 +6,27 @@
 import java.util.stream.Collectors;
 
 /**
- * What a change of the configuration does to one definition.
+ * The effect of a configuration change on one definition.
  *
  * @param type whether the definition is added, removed or changed
- * @param definition what it concerns, such as {@code service proof-board}
- * @param details the keys concerned, in words, such as {@code max-running-tasks: 240 -> 120};
- *     none for a removal
+ * @param definition the definition, such as {@code service proof-board}
+ * @param details one text for each key that differs, such as {@code max-running-tasks: 240 -> 120}; empty for a
+ *     removal
  */
 public record DefinitionChange(ChangeType type, String definition, ImmutableList<String> details) {
-    /** Checks the parts. */
+    /** Creates a change. */
     public DefinitionChange {
-        checkNotNull(type, "verb");
+        checkNotNull(type, "type");
         checkNotNull(definition, "definition");
         checkNotNull(details, "details");
     }
 
-    /** Returns the change in a few words, such as {@code changed service proof-board (max-running-tasks)}. */
+    /** Returns a short description, such as {@code changed service proof-board (max-running-tasks)}. */
     public String summary() {
         String keys = details.stream()
                 .map(detail -> detail.substring(0, detail.indexOf(':')))
                 .collect(Collectors.joining(", "));
-        String concerned = type.word() + " " + definition;
-        return type == ChangeType.CHANGED ? concerned + " (" + keys + ")" : concerned;
+        String description = type.word() + " " + definition;
+        return type == ChangeType.CHANGED ? description + " (" + keys + ")" : description;
     }
 }
