--- a/tarragonarch-ctl/src/test/java/org/tarragonarch/ctl/explain/ExplanationTest.java
+++ b/tarragonarch-ctl/src/test/java/org/tarragonarch/ctl/explain/ExplanationTest.java
@@ -133,7 +133,7 @@
         assertEquals(explanation.lines().get(1), "cause: holder-lost, " + Cause.HOLDER_LOST.meaning());
         assertEquals(
                 explanation.lines().get(2),
-                "  2026-05-04T12:00:34.234Z front-hobart-2 lost front-launceston-1," + " which sent no report in time");
+                "  2026-05-04T12:00:34.234Z front-hobart-2 lost front-launceston-1, which sent no report in time");
     }
 
     /** Guards against logs that cannot be read: the last line is truncated, and the runtime logged a warning. */
