--- a/tarragonarch-settings/src/test/java/org/tarragonarch/settings/ConfigurationFolderTest.java
+++ b/tarragonarch-settings/src/test/java/org/tarragonarch/settings/ConfigurationFolderTest.java
@@ -27,19 +27,19 @@
 
 public final class ConfigurationFolderTest {
     private static final String BASE = """
-        { // everyone
-          "teams": { "proofreaders": { "weight": 2, "max-running-tasks": 200 } },
-          "operators": { "ann": { "role": "changer", "token-sha256": "%s" } }
-        }
-        """.formatted("a".repeat(64));
+            { // everyone
+              "teams": { "proofreaders": { "weight": 2, "max-running-tasks": 200 } },
+              "operators": { "ann": { "role": "changer", "token-sha256": "%s" } }
+            }
+            """.formatted("a".repeat(64));
     private static final String MARKET = """
-        {
-          "callers": { "upload-page": { "team": "proofreaders", "token-sha256": "%s" } },
-          "services": { "proof-board": {
-            "favours": "response-time", "callers": ["upload-page"], "max-running-tasks": 240,
-            "kinds": { "word-count": { "idempotent": false, "max-tasks": 110, "deadline": "20s" } } } }
-        }
-        """.formatted("b".repeat(64));
+            {
+              "callers": { "upload-page": { "team": "proofreaders", "token-sha256": "%s" } },
+              "services": { "proof-board": {
+                "favours": "response-time", "callers": ["upload-page"], "max-running-tasks": 240,
+                "kinds": { "word-count": { "idempotent": false, "max-tasks": 110, "deadline": "20s" } } } }
+            }
+            """.formatted("b".repeat(64));
     private static final ServiceName PROOF_BOARD = ServiceName.of("proof-board");
 
     private Path folder;
@@ -59,10 +59,10 @@
     @Test
     public void testRead_mergesInNameOrder() throws Exception {
         write("20-later.jsonc", """
-            { "services": { "proof-board": { "max-running-tasks": 120,
-                "kinds": { "style-check": { "idempotent": true } } } },
-              "teams": { "proofreaders": { "weight": null } } }
-            """);
+                { "services": { "proof-board": { "max-running-tasks": 120,
+                    "kinds": { "style-check": { "idempotent": true } } } },
+                  "teams": { "proofreaders": { "weight": null } } }
+                """);
         write("notes.txt", "not read");
         CheckedConfiguration read = ConfigurationFolder.read(folder);
         ServiceDefinition board = read.catalog().services().get(PROOF_BOARD);
@@ -86,9 +86,9 @@
     public void testRead_digestIgnoresCommentsAndOrder() throws Exception {
         CheckedConfiguration first = ConfigurationFolder.read(folder);
         write("00-base.jsonc", """
-            { "operators": { "ann": { "token-sha256": "%s", "role": "changer" } },
-              "teams": { "proofreaders": { "max-running-tasks": 200, "weight": 2 } } }
-            """.formatted("a".repeat(64)));
+                { "operators": { "ann": { "token-sha256": "%s", "role": "changer" } },
+                  "teams": { "proofreaders": { "max-running-tasks": 200, "weight": 2 } } }
+                """.formatted("a".repeat(64)));
         assertEquals(ConfigurationFolder.read(folder).digest(), first.digest());
     }
 
@@ -110,35 +110,36 @@
     @Test
     public void testRead_reportsAllMistakes() throws Exception {
         write("20-kivilahti.jsonc", """
-            {
-              "callers": { "desk": { "team": "proofreader", "token-sha256": "%s" } },
-              "services": { "registry-gw": {
-                "favours": "few-mesages",
-                "callers": ["desks"],
-                "max-runing-tasks": 240,
-                "kinds": { "renewal": { "idempotent": "no", "max-tasks": 0, "expected-run-time": "40s" } }
-              } }
-            }
-            """.formatted("b".repeat(64)));
+                {
+                  "callers": { "desk": { "team": "proofreader", "token-sha256": "%s" } },
+                  "services": { "registry-gw": {
+                    "favours": "few-mesages",
+                    "callers": ["desks"],
+                    "max-runing-tasks": 240,
+                    "kinds": { "renewal": { "idempotent": "no", "max-tasks": 0, "expected-run-time": "40s" } }
+                  } }
+                }
+                """.formatted("b".repeat(64)));
         SettingsException thrown = expectThrows(SettingsException.class, () -> ConfigurationFolder.read(folder));
         String file = "20-kivilahti.jsonc:";
         assertEquals(
                 thrown.mistakes().stream().map(Mistake::toString).toList(),
                 List.of(
-                        file + "2: callers.desk.team: names the team 'proofreader', which is not defined; did you mean"
-                                + " 'proofreaders'?",
-                        file + "2: callers.desk.token-sha256: is the same as that of callers.upload-page; each needs a"
-                                + " token of its own",
+                        file
+                                + "2: callers.desk.team: refers to the team 'proofreader', which is not defined; did"
+                                + " you mean 'proofreaders'?",
+                        file + "2: callers.desk.token-sha256: is the same as that of callers.upload-page; tokens"
+                                + " must be unique",
                         file + "3: services.registry-gw.max-running-tasks: is missing",
                         file + "4: services.registry-gw.favours: 'few-mesages' is not one of response-time,"
                                 + " few-messages; did you mean 'few-messages'?",
-                        file + "5: services.registry-gw.callers: names the caller 'desks', which is not defined; did"
-                                + " you mean 'desk'?",
+                        file + "5: services.registry-gw.callers: refers to the caller 'desks', which is not defined;"
+                                + " did you mean 'desk'?",
                         file + "6: services.registry-gw.max-runing-tasks: is not a known key; did you mean"
                                 + " 'max-running-tasks'?",
                         file + "7: services.registry-gw.kinds.renewal.expected-run-time: 40s is longer than the"
-                                + " deadline, 30s, so no request could end in time",
-                        file + "7: services.registry-gw.kinds.renewal.idempotent: is a text where true or false is due",
+                                + " deadline, 30s, so no request could complete in time",
+                        file + "7: services.registry-gw.kinds.renewal.idempotent: is a string, expected true or false",
                         file + "7: services.registry-gw.kinds.renewal.max-tasks: 0 is not a whole number from 1 to"
                                 + " 10000"));
     }
@@ -170,9 +171,9 @@
     public void testDifference_perDefinition() throws Exception {
         ServiceCatalog before = ConfigurationFolder.read(folder).catalog();
         write("20-later.jsonc", """
-            { "services": { "proof-board": { "max-running-tasks": 120 } },
-              "teams": { "desks": { "max-running-tasks": 10 } } }
-            """);
+                { "services": { "proof-board": { "max-running-tasks": 120 } },
+                  "teams": { "desks": { "max-running-tasks": 10 } } }
+                """);
         ServiceCatalog after = ConfigurationFolder.read(folder).catalog();
         CatalogDifference difference = CatalogDifference.between(Optional.of(before), after);
         assertEquals(difference.summary(), "changed service proof-board (max-running-tasks), added team desks");
