--- a/tarragonarch-standin/src/test/java/org/tarragonarch/standin/process/ProcessCluster.java
+++ b/tarragonarch-standin/src/test/java/org/tarragonarch/standin/process/ProcessCluster.java
@@ -28,13 +28,13 @@
 import org.tarragonarch.settings.ConfigurationFolder;
 import org.tarragonarch.standin.StandInControl;
 
-/** One failure domain as real processes on loopback: a platform, endpoints and entry nodes. */
+/** One failure domain on loopback: a stand-in platform, stand-in endpoints and entry nodes, each a process. */
 final class ProcessCluster implements AutoCloseable {
     static final Duration DEADLINE = Duration.ofSeconds(20);
 
     private static final String MAIN_PACKAGE = "org.tarragonarch.standin.";
     private static final String DOMAIN = "hobart";
-    private static final int TRIES = 3;
+    private static final int MAX_ATTEMPTS = 3;
 
     private final Ports ports = new Ports();
     private final Path folder;
@@ -48,11 +48,11 @@
 
     private ProcessCluster(Path folder) {
         this.folder = folder;
-        // Were the tests ended from outside, the processes would otherwise stay behind.
+        // Kills the processes even if the test JVM is terminated.
         Runtime.getRuntime().addShutdownHook(cleanUp);
     }
 
-    /** Starts processes and waits until every node is ready and knows every endpoint. */
+    /** Starts a cluster and waits until every node is ready and knows every endpoint. */
     static ProcessCluster start(int nodes, int endpoints, int slots) throws Exception {
         ProcessCluster cluster = new ProcessCluster(Files.createTempDirectory("tarragonarch-test"));
         try {
@@ -76,13 +76,13 @@
         return endpoints.get(index);
     }
 
-    /** Starts a node again on its old addresses after its process has ended, and waits until it is ready for work. */
+    /** Restarts a node whose process has ended, on the same addresses, and waits until it knows every endpoint. */
     void restartNode(int index) throws Exception {
         NodeProcess old = nodes.get(index);
         JvmProcess process = launchNode(old.name());
         NodeProcess restarted = new NodeProcess(old.name(), process, old.caller(), old.admin());
-        if (!ready(restarted, TRIES)) {
-            throw new AssertionError(old.name() + " cannot be started again: " + process.output());
+        if (!awaitReady(restarted, MAX_ATTEMPTS)) {
+            throw new AssertionError(old.name() + " cannot be restarted: " + process.output());
         }
         nodes.set(index, restarted);
         awaitEndpointsKnown();
@@ -96,15 +96,15 @@
         return caller;
     }
 
-    /** Returns every start that the ledgers of the endpoints that can be reached show. */
+    /** Returns the starts in the ledgers of all running endpoints. */
     List<JsonNode> starts() {
         List<JsonNode> starts = new ArrayList<>();
         for (EndpointProcess endpoint : endpoints) {
             try {
                 endpoint.control().get("/ledger").path("starts").forEach(starts::add);
             } catch (Exception e) {
-                // An endpoint that is gone tells nothing; tests read its ledger before they end it.
-                if (endpoint.process().alive()) {
+                // The ledger of a stopped endpoint is not available; tests read it before they stop the endpoint.
+                if (endpoint.process().isAlive()) {
                     throw new AssertionError("the ledger of " + endpoint.name() + " cannot be read", e);
                 }
             }
@@ -112,19 +112,19 @@
         return starts;
     }
 
-    void awaitStarted(String... tags) throws InterruptedException {
+    void awaitTagsStarted(String... tags) throws InterruptedException {
         List<String> wanted = List.of(tags);
         Await.until(
-                wanted + " started",
+                "starts of " + wanted,
                 DEADLINE,
                 () -> startsByTag(starts()).keySet().containsAll(wanted));
     }
 
-    void awaitStarts(int count) throws InterruptedException {
+    void awaitStartCount(int count) throws InterruptedException {
         Await.until(count + " starts", DEADLINE, () -> starts().size() >= count);
     }
 
-    /** Returns how often each tag was started. */
+    /** Returns the number of starts for each tag. */
     static Map<String, Integer> startsByTag(List<JsonNode> starts) {
         Map<String, Integer> counts = new HashMap<>();
         starts.forEach(start -> counts.merge(start.path("tag").asText(), 1, Integer::sum));
@@ -148,11 +148,11 @@
     }
 
     private void startPlatform() throws Exception {
-        for (int tries = 1; platform == null; tries++) {
-            Address address = ports.next();
+        for (int attempt = 1; platform == null; attempt++) {
+            Address address = ports.nextAddress();
             JvmProcess process = launch("platform", "PlatformMain", List.of("--address", address.toString()));
             StandInControl control = StandInControl.of(address);
-            if (up(process, tries, () -> control.get("/vms").has("vms"))) {
+            if (awaitAnswering(process, attempt, () -> control.get("/vms").has("vms"))) {
                 platformAddress = address;
                 platform = control;
             }
@@ -166,7 +166,7 @@
         }
         for (EndpointProcess endpoint : started) {
             EndpointProcess current = endpoint;
-            for (int tries = 1; !up(current, tries); tries++) {
+            for (int attempt = 1; !awaitAnswering(current, attempt); attempt++) {
                 current = startEndpoint(endpoint.name(), slots);
             }
             endpoints.add(current);
@@ -174,7 +174,7 @@
     }
 
     private EndpointProcess startEndpoint(String name, int slots) throws Exception {
-        Address address = ports.next();
+        Address address = ports.nextAddress();
         JvmProcess process = launch(
                 name,
                 "EndpointMain",
@@ -194,10 +194,10 @@
         return new EndpointProcess(name, process, StandInControl.of(address));
     }
 
-    private boolean up(EndpointProcess endpoint, int tries) throws Exception {
-        return up(
+    private boolean awaitAnswering(EndpointProcess endpoint, int attempt) throws Exception {
+        return awaitAnswering(
                 endpoint.process(),
-                tries,
+                attempt,
                 () -> endpoint.control().get("/health").has("state"));
     }
 
@@ -208,22 +208,22 @@
         }
         for (NodeProcess node : started) {
             NodeProcess current = node;
-            for (int tries = 1; !ready(current, tries); tries++) {
+            for (int attempt = 1; !awaitReady(current, attempt); attempt++) {
                 current = startNode(node.name());
             }
             nodes.add(current);
         }
     }
 
-    private boolean ready(NodeProcess node, int tries) throws Exception {
-        return up(node.process(), tries, () -> caller.ready(node));
+    private boolean awaitReady(NodeProcess node, int attempt) throws Exception {
+        return awaitAnswering(node.process(), attempt, () -> caller.isReady(node));
     }
 
-    /** Starts a node and puts it on the platform's list, as the platform does with a new VM. */
+    /** Starts a node and adds it to the platform's VM list, as the platform does for a new VM. */
     private NodeProcess startNode(String name) throws Exception {
-        Address callerAddress = ports.next();
-        Address adminAddress = ports.next();
-        Address peerAddress = ports.next();
+        Address callerAddress = ports.nextAddress();
+        Address adminAddress = ports.nextAddress();
+        Address peerAddress = ports.nextAddress();
         Files.writeString(
                 settings(name), """
                 { "node": "%s", "domain": "%s", "caller-address": "%s", "admin-address": "%s",
@@ -246,12 +246,12 @@
         return folder.resolve(nodeName + ".json");
     }
 
-    /** Nodes read the list now and then: a job that needs every slot must not come before they know them. */
+    /** Waits until every node has read the current VM list, so that it can use the slots of all endpoints. */
     private void awaitEndpointsKnown() throws InterruptedException {
         for (NodeProcess node : nodes) {
             StandInControl admin = StandInControl.of(node.admin());
             Await.until(
-                    node.name() + " knows its endpoints",
+                    node.name() + " to know its endpoints",
                     DEADLINE,
                     () -> endpoints.stream().allMatch(endpoint -> knows(admin, endpoint)));
         }
@@ -267,15 +267,19 @@
         }
     }
 
-    /** Waits until a process answers; false if it ended because another process took its port. */
-    private static boolean up(JvmProcess process, int tries, Probe probe) throws Exception {
-        Await.until("a process answers", DEADLINE, () -> !process.alive() || probe.answers());
-        if (process.alive()) {
+    /**
+     * Waits until a process answers. Returns false if the process ended because its port was taken.
+     *
+     * @throws AssertionError if the process ended for another reason, or its port was taken on the last attempt
+     */
+    private static boolean awaitAnswering(JvmProcess process, int attempt, Probe probe) throws Exception {
+        Await.until("a process to answer", DEADLINE, () -> !process.isAlive() || probe.answers());
+        if (process.isAlive()) {
             return true;
         }
         boolean portTaken = process.output().contains("Address already in use");
-        if (!portTaken || tries >= TRIES) {
-            throw new AssertionError("a process ended at its start: " + process.output());
+        if (!portTaken || attempt >= MAX_ATTEMPTS) {
+            throw new AssertionError("a process failed to start: " + process.output());
         }
         return false;
     }
@@ -311,7 +315,7 @@
         }
     }
 
-    /** Asks a process whether it answers. */
+    /** A check whether a process answers. */
     @FunctionalInterface
     private interface Probe {
         boolean answers() throws Exception;
--- a/tarragonarch-standin/src/test/java/org/tarragonarch/standin/process/TestConfiguration.java
+++ b/tarragonarch-standin/src/test/java/org/tarragonarch/standin/process/TestConfiguration.java
@@ -3,7 +3,7 @@
 import com.google.common.hash.Hashing;
 import java.nio.charset.StandardCharsets;
 
-/** The configuration of the process tests: one service with an idempotent kind and one that must run at most once. */
+/** The configuration of the process tests: one service with an idempotent kind and one that is not. */
 final class TestConfiguration {
     static final String OPERATOR_TOKEN = "token-of-ann";
 
@@ -21,7 +21,7 @@
                         "%s": { "idempotent": false, "max-tasks": 110, "deadline": "15s" },
                         "%s": { "idempotent": true, "max-tasks": 110, "deadline": "15s" } } } } }
                 """.formatted(
-                        sha256(Caller.TOKEN), sha256(OPERATOR_TOKEN), Caller.SERVICE, Caller.ONCE, Caller.IDEMPOTENT);
+                sha256(Caller.TOKEN), sha256(OPERATOR_TOKEN), Caller.SERVICE, Caller.NON_IDEMPOTENT, Caller.IDEMPOTENT);
     }
 
     private static String sha256(String text) {
--- a/tarragonarch-standin/src/test/java/org/tarragonarch/standin/soak/Fault.java
+++ b/tarragonarch-standin/src/test/java/org/tarragonarch/standin/soak/Fault.java
@@ -2,9 +2,9 @@
 
 import java.io.IOException;
 
-/** A fault that the soak brings about, and how it ends. */
+/** A kind of fault that the soak injects. */
 enum Fault {
-    /** A node is killed and started again. */
+    /** A node is killed and later restarted. */
     NODE_KILLED {
         @Override
         void begin(SoakCluster cluster, int target) {
@@ -16,7 +16,7 @@
             cluster.startNode(target);
         }
     },
-    /** A node is told to stop, as before its VM is replaced, and started again. */
+    /** A node is stopped as before its VM is replaced (SIGTERM), and later restarted. */
     NODE_STOPPED {
         @Override
         void begin(SoakCluster cluster, int target) {
@@ -28,19 +28,19 @@
             cluster.startNode(target);
         }
     },
-    /** A node stands still, its connections open, and goes on unaware of it. */
+    /** A node is paused with its connections open, and later resumed. */
     NODE_PAUSED {
         @Override
         void begin(SoakCluster cluster, int target) throws IOException, InterruptedException {
-            cluster.node(target).freeze();
+            cluster.node(target).pause();
         }
 
         @Override
         void end(SoakCluster cluster, int target) throws IOException, InterruptedException {
-            cluster.node(target).thaw();
+            cluster.node(target).resume();
         }
     },
-    /** Every node is killed at once and started again. */
+    /** All nodes are killed at the same time and later restarted. */
     ALL_NODES_KILLED {
         @Override
         void begin(SoakCluster cluster, int target) {
@@ -52,8 +52,8 @@
             cluster.startAllNodes();
         }
     },
-    /** The store turns every call away. */
-    STORE_AWAY {
+    /** The store rejects every call. */
+    STORE_UNAVAILABLE {
         @Override
         void begin(SoakCluster cluster, int target) {
             cluster.store().setUnavailable(true);
@@ -64,8 +64,8 @@
             cluster.store().setUnavailable(false);
         }
     },
-    /** The store takes calls and never answers them; the configuration changes as it comes back. */
-    STORE_SILENT {
+    /** The store accepts calls but does not answer; the configuration changes when it recovers. */
+    STORE_UNRESPONSIVE {
         @Override
         void begin(SoakCluster cluster, int target) {
             cluster.store().setUnresponsive(true);
@@ -77,31 +77,31 @@
             cluster.changeConfiguration();
         }
     },
-    /** One node's way to the store goes silent. */
-    STORE_SILENT_FOR_ONE {
+    /** The link from one node to the store drops all bytes. */
+    STORE_LINK_SILENT {
         @Override
         void begin(SoakCluster cluster, int target) {
-            cluster.storeLink(target).mode(FaultyLink.Mode.SILENT);
+            cluster.storeLink(target).setMode(FaultyLink.Mode.SILENT);
         }
 
         @Override
         void end(SoakCluster cluster, int target) {
-            cluster.storeLink(target).mode(FaultyLink.Mode.CLEAR);
+            cluster.storeLink(target).setMode(FaultyLink.Mode.CLEAR);
         }
     },
-    /** The way to an endpoint goes silent; it runs on. */
+    /** The link to an endpoint drops all bytes; the endpoint keeps running. */
     ENDPOINT_SILENT(FaultyLink.Mode.SILENT),
-    /** Orders reach an endpoint, its answers do not come back. */
+    /** Orders reach an endpoint, but its answers are dropped. */
     ENDPOINT_ONE_WAY(FaultyLink.Mode.ONE_WAY),
-    /** Everything to and from an endpoint is late. */
+    /** Traffic to and from an endpoint is delayed. */
     ENDPOINT_DELAYED(FaultyLink.Mode.DELAYED),
     /** Connections to an endpoint are reset. */
     ENDPOINT_RESET(FaultyLink.Mode.RESET),
-    /** An endpoint leaves some orders without an answer and carries them out seconds later. */
-    ENDPOINT_LATE {
+    /** An endpoint does not answer some orders and executes them seconds later. */
+    ENDPOINT_DELAYS_ORDERS {
         @Override
         void begin(SoakCluster cluster, int target) {
-            cluster.endpoint(target).setDelayedShare(LATE_SHARE);
+            cluster.endpoint(target).setDelayedShare(DELAYED_SHARE);
         }
 
         @Override
@@ -109,23 +109,23 @@
             cluster.endpoint(target).setDelayedShare(0);
         }
     },
-    /** An endpoint crashes, and restarts under another id. */
-    ENDPOINT_CRASHED(FaultyLink.Mode.RESET) {
+    /** An endpoint crashes and restarts with a new id. */
+    ENDPOINT_RESTARTED_WITH_NEW_ID(FaultyLink.Mode.RESET) {
         @Override
         void begin(SoakCluster cluster, int target) throws IOException, InterruptedException {
             super.begin(cluster, target);
-            cluster.restartEndpoint(target);
+            cluster.restartEndpointWithNewId(target);
         }
     },
-    /** An endpoint crashes, and restarts under its id. */
-    ENDPOINT_RESTARTED(FaultyLink.Mode.RESET) {
+    /** An endpoint crashes and restarts with the same id. */
+    ENDPOINT_RESTARTED_WITH_SAME_ID(FaultyLink.Mode.RESET) {
         @Override
         void begin(SoakCluster cluster, int target) throws IOException, InterruptedException {
             super.begin(cluster, target);
-            cluster.restartEndpointUnderId(target);
+            cluster.restartEndpointWithSameId(target);
         }
     },
-    /** The operators change the configuration. */
+    /** The configuration changes twice: when the fault begins and when it ends. */
     CONFIGURATION_CHANGED {
         @Override
         void begin(SoakCluster cluster, int target) {
@@ -138,27 +138,27 @@
         }
     };
 
-    private static final double LATE_SHARE = 0.2;
+    private static final double DELAYED_SHARE = 0.2;
 
-    private final FaultyLink.Mode endpointLink;
+    private final FaultyLink.Mode linkMode;
 
-    /** A fault of its own kind, which brings itself about and ends itself. */
+    /** Creates a fault that overrides {@link #begin} and {@link #end}. */
     Fault() {
         this(FaultyLink.Mode.CLEAR);
     }
 
-    /** A fault of the way to an endpoint. */
-    Fault(FaultyLink.Mode endpointLink) {
-        this.endpointLink = endpointLink;
+    /** Creates a fault of the link to an endpoint. */
+    Fault(FaultyLink.Mode linkMode) {
+        this.linkMode = linkMode;
     }
 
-    /** Brings the fault about. */
+    /** Starts the fault at the node or endpoint with the number {@code target}. */
     void begin(SoakCluster cluster, int target) throws IOException, InterruptedException {
-        cluster.endpointLink(target).mode(endpointLink);
+        cluster.endpointLink(target).setMode(linkMode);
     }
 
-    /** Ends it. */
+    /** Ends the fault. */
     void end(SoakCluster cluster, int target) throws IOException, InterruptedException {
-        cluster.endpointLink(target).mode(FaultyLink.Mode.CLEAR);
+        cluster.endpointLink(target).setMode(FaultyLink.Mode.CLEAR);
     }
 }
--- a/tarragonarch-standin/src/test/java/org/tarragonarch/standin/soak/FaultyLink.java
+++ b/tarragonarch-standin/src/test/java/org/tarragonarch/standin/soak/FaultyLink.java
@@ -12,29 +12,29 @@
 import java.util.concurrent.ExecutorService;
 import java.util.concurrent.Executors;
 
-/** A proxy on loopback that passes bytes on, late, one way, or not at all. */
+/** A TCP proxy on loopback that can delay or drop bytes and reset connections. */
 final class FaultyLink implements AutoCloseable {
-    /** What the link does to the bytes. */
+    /** How a link treats the bytes it receives. */
     enum Mode {
-        /** Passes them on. */
+        /** Forwards them. */
         CLEAR,
-        /** Passes them on late. */
+        /** Forwards them after a delay. */
         DELAYED,
-        /** Passes on what callers send, and nothing that comes back. */
+        /** Forwards bytes from the client and drops those from the server. */
         ONE_WAY,
-        /** Passes nothing on, and tells nobody. */
+        /** Drops them; connections stay open. */
         SILENT,
-        /** Resets every connection. */
+        /** Resets open connections and each new one. */
         RESET;
 
-        boolean passes(boolean forward) {
+        boolean forwards(boolean forward) {
             return this == CLEAR || this == DELAYED || this == ONE_WAY && forward;
         }
     }
 
     private static final int BUFFER_BYTES = 8_192;
 
-    /** Longer than a node waits for the answer to an order. */
+    /** Exceeds the time that a node waits for the answer to an order. */
     private static final long DELAY_MILLIS = 80;
 
     private final int target;
@@ -43,7 +43,7 @@
     private final Set<Socket> sockets = ConcurrentHashMap.newKeySet();
     private volatile Mode mode = Mode.CLEAR;
 
-    /** Starts a link to a port of this machine. */
+    /** Starts a link to a port on loopback. */
     FaultyLink(int target) throws IOException {
         this.target = target;
         this.server = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
@@ -58,8 +58,8 @@
         return "127.0.0.1:" + port();
     }
 
-    /** Changes what the link does; connections that were open go on with it, unless they are reset. */
-    void mode(Mode next) {
+    /** Sets the mode, which also applies to open connections. */
+    void setMode(Mode next) {
         mode = next;
         if (next == Mode.RESET) {
             sockets.forEach(FaultyLink::reset);
@@ -80,7 +80,7 @@
                 threads.execute(() -> connect(from));
             } catch (IOException e) {
                 if (!server.isClosed()) {
-                    throw new IllegalStateException("the proxy cannot accept", e);
+                    throw new IllegalStateException("the proxy cannot accept connections", e);
                 }
             }
         }
@@ -99,7 +99,7 @@
             threads.execute(() -> pump(from, to, true));
             threads.execute(() -> pump(to, from, false));
         } catch (IOException e) {
-            // Nothing listens behind the link; the caller sees what it would see without it.
+            // Nothing listens on the target port, so the client gets a reset.
             reset(from);
         }
     }
@@ -113,13 +113,13 @@
                 if (mode == Mode.DELAYED) {
                     Thread.sleep(DELAY_MILLIS);
                 }
-                if (mode.passes(forward)) {
+                if (mode.forwards(forward)) {
                     out.write(buffer, 0, count);
                 }
                 count = in.read(buffer);
             }
         } catch (IOException e) {
-            // One end is gone; the other learns it below.
+            // One connection is broken; both are reset below.
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         } finally {
@@ -133,7 +133,7 @@
             socket.setSoLinger(true, 0);
             socket.close();
         } catch (IOException e) {
-            // It is closed already.
+            // The socket is already closed.
         }
     }
 }
--- a/tarragonarch-standin/src/test/java/org/tarragonarch/standin/soak/QueueWatcher.java
+++ b/tarragonarch-standin/src/test/java/org/tarragonarch/standin/soak/QueueWatcher.java
@@ -11,31 +11,33 @@
 import org.tarragonarch.adapter.standin.StandInEndpoint;
 
 /**
- * Asks every node in turn for the newest queue, and notes each node that says there is none although it was added long
- * ago. That has to hold under every fault: a node that cannot know may tell its clients to come back.
+ * Asks every node in turn for the newest queue, and records each node that answers 404 although the queue should be in
+ * force.
+ *
+ * <p>This must hold under every fault: a node that may lack the newest configuration can ask clients to retry instead.
  */
 final class QueueWatcher implements Runnable {
-    /** A change is in force within 2 s; the rest is for a machine that is busy. */
+    /** A change is in force within 2 s; one more second allows for a busy machine. */
     private static final long IN_FORCE_MILLIS = 3_000;
 
     private static final int NOT_FOUND = 404;
     private static final long PAUSE_MILLIS = 20;
-    private static final Duration PATIENCE = Duration.ofMillis(500);
+    private static final Duration TIMEOUT = Duration.ofMillis(500);
 
     private final SoakCluster cluster;
     private final HttpClient http =
-            HttpClient.newBuilder().connectTimeout(PATIENCE).build();
-    private final List<String> broken = new CopyOnWriteArrayList<>();
-    private volatile boolean ended;
+            HttpClient.newBuilder().connectTimeout(TIMEOUT).build();
+    private final List<String> violations = new CopyOnWriteArrayList<>();
+    private volatile boolean stopped;
     private volatile int answers;
 
     QueueWatcher(SoakCluster cluster) {
         this.cluster = cluster;
     }
 
-    /** Returns each wrong answer. */
-    List<String> broken() {
-        return broken;
+    /** Returns a description of each wrong answer. */
+    List<String> violations() {
+        return violations;
     }
 
     /** Returns how many requests were answered. */
@@ -43,22 +45,22 @@
         return answers;
     }
 
-    /** Waits until the queue that was added last has been due for as long as one round of all nodes takes. */
-    void awaitLastQueueDue() throws InterruptedException {
-        long round = cluster.nodeCount() * (PATIENCE.toMillis() + PAUSE_MILLIS);
+    /** Waits until the newest queue should be in force and every node has been asked for it once more. */
+    void awaitNewestQueueDue() throws InterruptedException {
+        long round = cluster.nodeCount() * (TIMEOUT.toMillis() + PAUSE_MILLIS);
         long until = cluster.newestQueue().addedAtMillis() + IN_FORCE_MILLIS + round;
         Thread.sleep(Math.max(0, until - StandInEndpoint.clockMillis()));
     }
 
-    /** Asks nothing more. */
-    void end() {
-        ended = true;
+    /** Stops asking. */
+    void stop() {
+        stopped = true;
     }
 
     @Override
     public void run() {
         try {
-            for (int node = 0; !ended; node++) {
+            for (int node = 0; !stopped; node++) {
                 ask(node, cluster.newestQueue());
                 Thread.sleep(PAUSE_MILLIS);
             }
@@ -70,16 +72,16 @@
     private void ask(int node, SoakCluster.AddedQueue queue) throws InterruptedException {
         long sentAt = StandInEndpoint.clockMillis();
         URI uri = URI.create("http://" + cluster.clientAddress(node) + queue.prefix());
-        HttpRequest request = HttpRequest.newBuilder(uri).timeout(PATIENCE).build();
+        HttpRequest request = HttpRequest.newBuilder(uri).timeout(TIMEOUT).build();
         try {
             int status =
                     http.send(request, HttpResponse.BodyHandlers.discarding()).statusCode();
             answers++;
             if (status == NOT_FOUND && sentAt - queue.addedAtMillis() > IN_FORCE_MILLIS) {
-                broken.add("node " + node % cluster.nodeCount() + " knows no " + queue + " at " + sentAt);
+                violations.add("node " + node % cluster.nodeCount() + " does not know " + queue + " at " + sentAt);
             }
         } catch (IOException e) {
-            // A node that is away says nothing wrong.
+            // A node that cannot be reached gives no wrong answer.
         }
     }
 }
--- a/tarragonarch-standin/src/test/java/org/tarragonarch/standin/soak/SentJob.java
+++ b/tarragonarch-standin/src/test/java/org/tarragonarch/standin/soak/SentJob.java
@@ -3,17 +3,17 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** One job of a soak's client, and what the client was told of it. */
+/** A job of a soak's client and the answers that the client received. */
 final class SentJob {
-    /** What one try ended with. */
+    /** The result of one attempt. */
     enum Answer {
         /** Every task is done. */
         DONE,
-        /** A task failed for good. */
+        /** A task failed permanently. */
         FAILED,
-        /** Nothing of it ran. */
+        /** No task ran. */
         REFUSED,
-        /** Nobody knows: no answer, a broken connection, or the word that it was given up. */
+        /** Tasks may have run: no answer, a broken connection, or the job was given up. */
         UNKNOWN
     }
 
@@ -21,7 +21,7 @@
     private final int tasks;
     private final long runMillis;
     private final List<Answer> answers = new ArrayList<>();
-    private volatile long answeredAt = Long.MAX_VALUE;
+    private volatile long answeredAtMillis = Long.MAX_VALUE;
 
     SentJob(String id, int tasks, long runMillis) {
         this.id = id;
@@ -42,22 +42,22 @@
                 + ",\"Cpu\":7000,\"MemMb\":64,\"EstMs\":" + runMillis + "}]}";
     }
 
-    synchronized void answered(Answer answer, long atMillis) {
+    synchronized void recordAnswer(Answer answer, long atMillis) {
         answers.add(answer);
-        answeredAt = atMillis;
+        answeredAtMillis = atMillis;
     }
 
-    /** Returns when the last answer came, on this machine's steady clock. */
-    long answeredAt() {
-        return answeredAt;
+    /** Returns the time of the last answer, on this machine's monotonic clock; the maximum before the first one. */
+    long answeredAtMillis() {
+        return answeredAtMillis;
     }
 
-    synchronized boolean done() {
+    synchronized boolean isDone() {
         return answers.contains(Answer.DONE);
     }
 
-    /** Returns whether the client was told by every try that nothing ran. */
-    synchronized boolean refused() {
+    /** Returns whether every attempt was refused. */
+    synchronized boolean isRefused() {
         return !answers.isEmpty() && answers.stream().allMatch(answer -> answer == Answer.REFUSED);
     }
 }
--- a/tarragonarch-standin/src/test/java/org/tarragonarch/standin/soak/SoakChecks.java
+++ b/tarragonarch-standin/src/test/java/org/tarragonarch/standin/soak/SoakChecks.java
@@ -11,78 +11,78 @@
 import java.util.stream.Collectors;
 import org.tarragonarch.adapter.standin.RunRecord;
 
-/** Holds what clients were told against what endpoints did. */
+/** Compares the answers that clients received with the runs that endpoints recorded. */
 final class SoakChecks {
-    /** Two tasks of 7 cores fit on an endpoint of 16. */
+    /** An endpoint has 16 cores and each task takes 7. */
     private static final int TASKS_PER_ENDPOINT = 2;
 
-    private final List<String> broken = new ArrayList<>();
+    private final List<String> violations = new ArrayList<>();
 
     /**
-     * Returns every promise that was broken.
+     * Returns a description of every violated guarantee.
      *
-     * @param runs the ledger of each endpoint
-     * @param jobs every job that a client sent
+     * @param runs the runs recorded by each endpoint
+     * @param jobs all jobs sent by clients
      */
-    static ImmutableList<String> broken(List<List<RunRecord>> runs, List<SentJob> jobs) {
+    static ImmutableList<String> violations(List<List<RunRecord>> runs, List<SentJob> jobs) {
         SoakChecks checks = new SoakChecks();
-        runs.forEach(checks::checkRoom);
+        runs.forEach(checks::checkCapacity);
         ListMultimap<String, RunRecord> byTask =
                 MultimapBuilder.linkedHashKeys().arrayListValues().build();
         runs.forEach(ledger -> ledger.forEach(run -> byTask.put(run.task(), run)));
-        byTask.asMap().values().forEach(ofTask -> checks.checkNotTwice(List.copyOf(ofTask)));
-        checks.checkAsked(byTask, jobs);
-        jobs.forEach(job -> checks.checkTold(job, byTask));
-        return ImmutableList.copyOf(checks.broken);
+        byTask.asMap().values().forEach(ofTask -> checks.checkNoConcurrentRuns(List.copyOf(ofTask)));
+        checks.checkSubmitted(byTask, jobs);
+        jobs.forEach(job -> checks.checkAnswers(job, byTask));
+        return ImmutableList.copyOf(checks.violations);
     }
 
-    /** No task runs on two endpoints, or twice on one, at the same time. */
-    private void checkNotTwice(List<RunRecord> ofTask) {
+    /** Checks that no task has two runs at the same time. */
+    private void checkNoConcurrentRuns(List<RunRecord> ofTask) {
         List<RunRecord> inOrder = new ArrayList<>(ofTask);
         inOrder.sort(Comparator.comparingLong(RunRecord::startedAt));
         for (int i = 1; i < inOrder.size(); i++) {
             RunRecord earlier = inOrder.get(i - 1);
             RunRecord later = inOrder.get(i);
             if (later.startedAt() < earlier.endedAt()) {
-                broken.add("runs twice at once: " + earlier + " and " + later);
+                violations.add("concurrent runs of one task: " + earlier + " and " + later);
             }
         }
     }
 
-    /** No endpoint is given more than it has room for. */
-    private void checkRoom(List<RunRecord> ledger) {
+    /** Checks that no endpoint runs more tasks than its capacity allows. */
+    private void checkCapacity(List<RunRecord> ledger) {
         for (RunRecord run : ledger) {
-            long beside = ledger.stream()
+            long concurrent = ledger.stream()
                     .filter(other -> other.startedAt() <= run.startedAt() && other.endedAt() > run.startedAt())
                     .count();
-            if (beside > TASKS_PER_ENDPOINT) {
-                broken.add("no room: " + beside + " tasks at the start of " + run);
+            if (concurrent > TASKS_PER_ENDPOINT) {
+                violations.add("over capacity: " + concurrent + " tasks at the start of " + run);
             }
         }
     }
 
-    /** Nothing is started that no client asked for. */
-    private void checkAsked(ListMultimap<String, RunRecord> byTask, List<SentJob> jobs) {
+    /** Checks that every started task belongs to a job that a client sent. */
+    private void checkSubmitted(ListMultimap<String, RunRecord> byTask, List<SentJob> jobs) {
         Map<String, SentJob> byId = jobs.stream().collect(Collectors.toMap(SentJob::id, Function.identity()));
         for (String task : byTask.keySet()) {
             String id = task.substring(0, task.indexOf('.'));
             int index = Integer.parseInt(task.substring(task.lastIndexOf('.') + 1));
             if (!byId.containsKey(id) || index >= byId.get(id).tasks()) {
-                broken.add("nobody asked for " + task);
+                violations.add("not submitted by any client: " + task);
             }
         }
     }
 
-    /** "Refused" means that nothing ran, "done" that every task did its work before. */
-    private void checkTold(SentJob job, ListMultimap<String, RunRecord> byTask) {
+    /** Checks that no task of a refused job ran, and that every task of a done job was done before the answer. */
+    private void checkAnswers(SentJob job, ListMultimap<String, RunRecord> byTask) {
         for (int index = 0; index < job.tasks(); index++) {
             List<RunRecord> runs = byTask.get(job.id() + ".0.0." + index);
-            if (job.refused() && !runs.isEmpty()) {
-                broken.add("refused, and ran: " + job.id() + " " + runs);
+            if (job.isRefused() && !runs.isEmpty()) {
+                violations.add("refused but ran: " + job.id() + " " + runs);
             }
-            boolean done = runs.stream().anyMatch(run -> run.done() && run.endedAt() <= job.answeredAt());
-            if (job.done() && !done) {
-                broken.add("answered as done, and task " + index + " was not: " + job.id() + " " + runs);
+            boolean done = runs.stream().anyMatch(run -> run.done() && run.endedAt() <= job.answeredAtMillis());
+            if (job.isDone() && !done) {
+                violations.add("answered as done but task " + index + " was not done: " + job.id() + " " + runs);
             }
         }
     }
--- a/tarragonarch-standin/src/test/java/org/tarragonarch/standin/soak/SoakClient.java
+++ b/tarragonarch-standin/src/test/java/org/tarragonarch/standin/soak/SoakClient.java
@@ -12,19 +12,19 @@
 import org.tarragonarch.adapter.standin.StandInEndpoint;
 
 /**
- * A client that sends one job after the other over a connection that it keeps.
+ * A client that sends one job after another over a persistent connection.
  *
- * <p>After no answer, a broken connection or the word that a job was given up it sends the same job again, to the next
- * node, after the pause that the platform's clients keep.
+ * <p>After a timeout, a broken connection or an answer that the job was given up, it sends the same job to the next
+ * node after the delay that the platform's clients use.
  */
 final class SoakClient implements Runnable {
     private static final long RESEND_MILLIS = 1_300;
     private static final long DEADLINE_MILLIS = 2_500;
-    private static final int TRIES = 3;
-    private static final int MOST_TASKS = 6;
-    private static final int SHORTEST_RUN_MILLIS = 20;
-    private static final int MORE_RUN_MILLIS = 500;
-    private static final int LONGEST_PAUSE_MILLIS = 120;
+    private static final int MAX_ATTEMPTS = 3;
+    private static final int MAX_TASKS = 6;
+    private static final int MIN_RUN_MILLIS = 20;
+    private static final int RUN_RANGE_MILLIS = 500;
+    private static final int MAX_PAUSE_MILLIS = 120;
 
     private final SoakCluster cluster;
     private final int number;
@@ -34,7 +34,7 @@
             .connectTimeout(Duration.ofMillis(500))
             .build();
     private final List<SentJob> jobs = new CopyOnWriteArrayList<>();
-    private volatile boolean ended;
+    private volatile boolean stopped;
 
     SoakClient(SoakCluster cluster, int number, long seed) {
         this.cluster = cluster;
@@ -42,22 +42,22 @@
         this.random = new Random(seed * 31 + number);
     }
 
-    /** Returns every job that it sent. */
+    /** Returns all jobs sent so far. */
     List<SentJob> jobs() {
         return jobs;
     }
 
-    /** Sends nothing new. */
-    void end() {
-        ended = true;
+    /** Stops after the current job. */
+    void stop() {
+        stopped = true;
     }
 
     @Override
     public void run() {
         try {
-            for (int count = 0; !ended; count++) {
+            for (int count = 0; !stopped; count++) {
                 sendUntilAnswered(next(count), number);
-                Thread.sleep(random.nextInt(LONGEST_PAUSE_MILLIS));
+                Thread.sleep(random.nextInt(MAX_PAUSE_MILLIS));
             }
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
@@ -66,16 +66,16 @@
 
     private SentJob next(int count) {
         String id = String.format("%04x%012x", number, count);
-        long runMillis = SHORTEST_RUN_MILLIS + random.nextInt(MORE_RUN_MILLIS);
-        SentJob job = new SentJob(id, 1 + random.nextInt(MOST_TASKS), runMillis);
+        long runMillis = MIN_RUN_MILLIS + random.nextInt(RUN_RANGE_MILLIS);
+        SentJob job = new SentJob(id, 1 + random.nextInt(MAX_TASKS), runMillis);
         jobs.add(job);
         return job;
     }
 
     private void sendUntilAnswered(SentJob job, int firstNode) throws InterruptedException {
-        for (int attempt = 0; attempt < TRIES; attempt++) {
+        for (int attempt = 0; attempt < MAX_ATTEMPTS; attempt++) {
             SentJob.Answer answer = send(job, firstNode + attempt);
-            job.answered(answer, StandInEndpoint.clockMillis());
+            job.recordAnswer(answer, StandInEndpoint.clockMillis());
             if (answer != SentJob.Answer.UNKNOWN) {
                 return;
             }
@@ -94,7 +94,7 @@
             HttpResponse<String> response = http.send(request, HttpResponse.BodyHandlers.ofString());
             return answer(response);
         } catch (IOException e) {
-            // A connection that breaks or times out tells nothing of the job; that is the point of the soak.
+            // After a broken connection or a timeout it is unknown whether the job ran.
             return SentJob.Answer.UNKNOWN;
         }
     }
@@ -104,7 +104,7 @@
             case 200 -> response.body().contains("done") ? SentJob.Answer.DONE : SentJob.Answer.FAILED;
             case 429, 503 -> SentJob.Answer.REFUSED;
             case 502, 504 -> SentJob.Answer.UNKNOWN;
-            default -> throw new AssertionError("an answer that the protocol does not know: " + response);
+            default -> throw new AssertionError("status code that the protocol does not define: " + response);
         };
     }
 }
--- a/tarragonarch-standin/src/test/java/org/tarragonarch/standin/soak/SoakCluster.java
+++ b/tarragonarch-standin/src/test/java/org/tarragonarch/standin/soak/SoakCluster.java
@@ -15,7 +15,7 @@
 import org.tarragonarch.adapter.standin.StandInStore;
 import org.tarragonarch.standin.process.JvmProcess;
 
-/** The system under the soak: nodes as processes, and stand-ins for the platform and the endpoints behind proxies. */
+/** The cluster under test: nodes as processes, and a stand-in store and stand-in endpoints behind proxies. */
 final class SoakCluster implements AutoCloseable {
     static final String QUEUE = "/board/";
 
@@ -32,14 +32,14 @@
     private final List<NodePorts> ports = new ArrayList<>();
     private final List<JvmProcess> nodes = new ArrayList<>();
     private final Thread cleanUp = new Thread(this::killAllNodes);
-    private final List<AddedQueue> added = new ArrayList<>();
+    private final List<AddedQueue> addedQueues = new ArrayList<>();
     private int version = FIRST_VERSION;
-    private int lives;
+    private int restarts;
 
-    /** Starts everything. */
+    /** Starts the store, the endpoints and the nodes. */
     SoakCluster(Path folder, int nodeCount, int endpointCount) throws IOException {
         this.folder = folder;
-        // Were the soak ended from outside, the processes would otherwise stay behind.
+        // Kills the processes even if the JVM of the soak is terminated.
         Runtime.getRuntime().addShutdownHook(cleanUp);
         for (int i = 0; i < endpointCount; i++) {
             StandInEndpoint endpoint = new StandInEndpoint();
@@ -83,15 +83,15 @@
         return ports.size();
     }
 
-    /** Returns where clients reach a node. */
+    /** Returns the address of a node for clients. */
     String clientAddress(int node) {
         return "127.0.0.1:" + ports.get(node % ports.size()).client();
     }
 
-    /** Starts a node again, once its last process is gone; one that runs, since faults overlap, is left alone. */
+    /** Starts a node unless its process is running, which overlapping faults can cause. */
     synchronized void startNode(int node) throws IOException {
         int index = node % nodes.size();
-        if (!nodes.get(index).alive()) {
+        if (!nodes.get(index).isAlive()) {
             nodes.set(index, launch(index));
         }
     }
@@ -106,51 +106,52 @@
         }
     }
 
-    /** Ends every fault, and starts what is not running. */
-    void heal() throws IOException, InterruptedException {
+    /** Ends every fault and starts each node that is not running. */
+    void clearFaults() throws IOException, InterruptedException {
         store.setUnavailable(false);
         store.setUnresponsive(false);
-        storeLinks.forEach(link -> link.mode(FaultyLink.Mode.CLEAR));
-        endpointLinks.forEach(link -> link.mode(FaultyLink.Mode.CLEAR));
+        storeLinks.forEach(link -> link.setMode(FaultyLink.Mode.CLEAR));
+        endpointLinks.forEach(link -> link.setMode(FaultyLink.Mode.CLEAR));
         endpoints.forEach(endpoint -> endpoint.setDelayedShare(0));
         for (JvmProcess node : nodes) {
-            if (node.alive()) {
-                node.thaw();
+            if (node.isAlive()) {
+                node.resume();
             }
         }
         startAllNodes();
     }
 
-    /** Lets an endpoint restart under another id; the entry of the earlier id goes. */
-    synchronized void restartEndpoint(int endpoint) {
+    /** Restarts an endpoint with a new id and removes the entry of the old one. */
+    synchronized void restartEndpointWithNewId(int endpoint) {
         int index = endpoint % endpoints.size();
-        lives++;
+        restarts++;
         store.unregister(id(index));
-        endpoints.get(index).restartWithId("i-" + index + "-" + lives);
+        endpoints.get(index).restartWithId("i-" + index + "-" + restarts);
         register(index);
     }
 
-    /** Lets an endpoint come back under its id; its entry tells of the new incarnation. */
-    synchronized void restartEndpointUnderId(int endpoint) {
+    /** Restarts an endpoint with the same id; its entry names the new incarnation. */
+    synchronized void restartEndpointWithSameId(int endpoint) {
         int index = endpoint % endpoints.size();
         endpoints.get(index).restartWithSameId();
         register(index);
     }
 
-    /** Puts another version of the configuration in force, with one queue more. */
+    /** Stores the next version of the configuration, with one more queue. */
     synchronized void changeConfiguration() {
         version += 2;
         String prefix = "/added-" + version + "/";
-        String routes = Stream.concat(Stream.of(QUEUE, prefix), added.stream().map(AddedQueue::prefix))
+        String routes = Stream.concat(
+                        Stream.of(QUEUE, prefix), addedQueues.stream().map(AddedQueue::prefix))
                 .map(SoakCluster::route)
                 .collect(Collectors.joining(","));
         store.configure("{\"Version\":" + version + ",\"Routes\":[" + routes + "]}");
-        added.add(new AddedQueue(prefix, StandInEndpoint.clockMillis()));
+        addedQueues.add(new AddedQueue(prefix, StandInEndpoint.clockMillis()));
     }
 
-    /** Returns the queue that was added last. */
+    /** Returns the most recently added queue. */
     synchronized AddedQueue newestQueue() {
-        return added.get(added.size() - 1);
+        return addedQueues.get(addedQueues.size() - 1);
     }
 
     private static String route(String prefix) {
@@ -159,7 +160,7 @@
                  "Attempts":3,"Stretch":1.6,"SloMs":200}""".formatted(prefix);
     }
 
-    /** Returns what a node wrote. */
+    /** Returns the log of a node. */
     String log(int node) throws IOException {
         return Files.readString(folder.resolve("node-" + node + ".log"));
     }
@@ -179,8 +180,8 @@
     }
 
     private String id(int endpoint) {
-        String life = endpoints.get(endpoint).instanceId();
-        return life.isEmpty() ? "i-" + endpoint : life;
+        String instanceId = endpoints.get(endpoint).instanceId();
+        return instanceId.isEmpty() ? "i-" + endpoint : instanceId;
     }
 
     private void register(int endpoint) {
@@ -193,8 +194,9 @@
     }
 
     /**
-     * Returns a node's own address. A token is unique by its term and its holder's address: two nodes on one address
-     * that claim within the same tenth of a second have the same token, and an endpoint runs tasks for both.
+     * Returns an IP address that only this node uses. A fencing token consists of a term and the holder's address: two
+     * nodes with one address that claim within the same tenth of a second get equal tokens, and an endpoint accepts
+     * orders from both.
      */
     private static String address(int node) {
         return "127.0.0." + (FIRST_ADDRESS + node);
@@ -229,17 +231,18 @@
     }
 
     /**
-     * A queue that a change of the configuration added.
+     * A queue added by a configuration change.
      *
-     * @param addedAtMillis when the store had taken it, on this machine's steady clock
+     * @param prefix the path prefix of the queue
+     * @param addedAtMillis the time when the store had the change, on this machine's monotonic clock
      */
     record AddedQueue(String prefix, long addedAtMillis) {}
 
     /** The ports of one node. */
     private record NodePorts(int peers, int metrics, int client, int readiness) {
         /**
-         * Below the ports that the system gives to outgoing connections: one of those may take a port while its node is
-         * down, and the node then cannot come back.
+         * The first port of a range below the ephemeral ports: an outgoing connection could otherwise take the port of
+         * a node that is down, and the node could not be restarted.
          */
         private static final int FIRST_PORT = 20_000;
 
@@ -252,15 +255,15 @@
         }
 
         private static int freePort() throws IOException {
-            for (int tries = 0; tries < PORTS; tries++) {
+            for (int attempt = 0; attempt < PORTS; attempt++) {
                 int port = FIRST_PORT + NEXT.getAndIncrement() % PORTS;
                 try (ServerSocket unused = new ServerSocket(port)) {
                     return port;
                 } catch (BindException e) {
-                    // Somebody else listens there; the next one may be free.
+                    // The port is in use; the next one may be free.
                 }
             }
-            throw new IOException("no port is free from " + FIRST_PORT + " on");
+            throw new IOException("no free port from " + FIRST_PORT + " to " + (FIRST_PORT + PORTS - 1));
         }
     }
 }
--- a/tarragonarch-standin/src/test/java/org/tarragonarch/standin/soak/SoakMain.java
+++ b/tarragonarch-standin/src/test/java/org/tarragonarch/standin/soak/SoakMain.java
@@ -6,33 +6,33 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 
-/** Plays soaks by hand; exits with 1 if a promise was broken. */
-@Command(name = "soak", mixinStandardHelpOptions = true, description = "Plays fault soaks, one after the other.")
+/** Runs soaks from the command line; exits with 1 if a guarantee was violated. */
+@Command(name = "soak", mixinStandardHelpOptions = true, description = "Runs fault soaks one after another.")
 public final class SoakMain implements Callable<Integer> {
-    @Option(names = "--first", defaultValue = "1", description = "The first seed; ${DEFAULT-VALUE} unless stated.")
+    @Option(names = "--first", defaultValue = "1", description = "First seed (default: ${DEFAULT-VALUE}).")
     private long first;
 
-    @Option(names = "--seeds", defaultValue = "1", description = "How many seeds.")
+    @Option(names = "--seeds", defaultValue = "1", description = "Number of seeds.")
     private int seeds;
 
-    @Option(names = "--nodes", defaultValue = "3", description = "How many nodes, each a process.")
+    @Option(names = "--nodes", defaultValue = "3", description = "Number of nodes, each a separate process.")
     private int nodes;
 
-    @Option(names = "--endpoints", defaultValue = "4", description = "How many endpoints.")
+    @Option(names = "--endpoints", defaultValue = "4", description = "Number of endpoints.")
     private int endpoints;
 
-    @Option(names = "--clients", defaultValue = "4", description = "How many clients.")
+    @Option(names = "--clients", defaultValue = "4", description = "Number of clients.")
     private int clients;
 
-    @Option(names = "--faults", defaultValue = "8", description = "How many faults a seed.")
+    @Option(names = "--faults", defaultValue = "8", description = "Number of faults per seed.")
     private int faults;
 
-    @Option(names = "--millis", defaultValue = "4000", description = "By when the last fault has begun.")
+    @Option(names = "--millis", defaultValue = "4000", description = "Period in milliseconds in which faults begin.")
     private int millis;
 
     private final PrintStream out = System.out;
 
-    /** Runs the soaks that the arguments name. */
+    /** Parses the arguments, runs the soaks and exits. */
     public static void main(String[] arguments) {
         System.exit(new CommandLine(new SoakMain()).execute(arguments));
     }
@@ -42,9 +42,9 @@
         SoakOptions options = new SoakOptions(nodes, endpoints, clients, faults, millis);
         int failed = 0;
         for (long seed = first; seed < first + seeds; seed++) {
-            SoakResult result = new SoakRun(options, seed).play();
-            out.println(result.line());
-            failed += result.broken().isEmpty() ? 0 : 1;
+            SoakResult result = new SoakRun(options, seed).run();
+            out.println(result.summary());
+            failed += result.violations().isEmpty() ? 0 : 1;
         }
         out.println(seeds - failed + " passed, " + failed + " failed");
         return failed == 0 ? 0 : 1;
--- a/tarragonarch-standin/src/test/java/org/tarragonarch/standin/soak/SoakPlan.java
+++ b/tarragonarch-standin/src/test/java/org/tarragonarch/standin/soak/SoakPlan.java
@@ -8,28 +8,30 @@
 import java.util.Random;
 
 /**
- * What happens in one soak, and when; the same seed gives the same plan.
+ * The schedule of the faults of one soak.
  *
- * @param steps the beginnings and ends of faults, the earliest first
+ * @param steps the beginnings and ends of faults in order of time
  */
 record SoakPlan(ImmutableList<Step> steps) {
-    private static final int SHORTEST_MILLIS = 200;
-    private static final int MORE_MILLIS = 2_500;
+    private static final int MIN_FAULT_MILLIS = 200;
+    private static final int FAULT_RANGE_MILLIS = 2_500;
 
-    /** No fault begins before this, so that every seed starts from a system that serves. */
+    /** The time before the first fault, so that every soak starts with a cluster that serves its clients. */
     private static final int QUIET_MILLIS = 500;
 
-    /** A node that was told to stop may take six seconds to end; it is started again after that. */
+    /** A stopping node may take six seconds to end; it is restarted after that. */
     private static final int STOP_MILLIS = 6_500;
 
     /**
-     * Draws a plan. A third of the faults overlap another of the same kind.
+     * Draws a plan; the same seed gives the same plan. A third of the faults are of the same kind as the one drawn
+     * before, so that faults of one kind overlap.
      *
-     * @param faults how many faults
-     * @param millis by when the last one has begun
-     * @param targets how many nodes, and how many endpoints, there are to choose from
+     * @param seed the seed
+     * @param faults the number of faults
+     * @param millis the period in which faults begin, in milliseconds
+     * @param targets the number of nodes and endpoints to choose from
      */
-    static SoakPlan of(long seed, int faults, int millis, int targets) {
+    static SoakPlan draw(long seed, int faults, int millis, int targets) {
         Random random = new Random(seed);
         List<Step> steps = new ArrayList<>();
         Fault fault = Fault.values()[0];
@@ -37,23 +39,24 @@
             fault = random.nextInt(3) == 0 ? fault : Fault.values()[random.nextInt(Fault.values().length)];
             int target = random.nextInt(targets);
             int from = QUIET_MILLIS + random.nextInt(millis);
-            int lasts = fault == Fault.NODE_STOPPED ? STOP_MILLIS : SHORTEST_MILLIS + random.nextInt(MORE_MILLIS);
+            int duration =
+                    fault == Fault.NODE_STOPPED ? STOP_MILLIS : MIN_FAULT_MILLIS + random.nextInt(FAULT_RANGE_MILLIS);
             steps.add(new Step(from, fault, target, true));
-            steps.add(new Step(from + lasts, fault, target, false));
+            steps.add(new Step(from + duration, fault, target, false));
         }
         return new SoakPlan(ImmutableList.sortedCopyOf(Comparator.comparingInt(Step::atMillis), steps));
     }
 
     /**
-     * One beginning or end.
+     * The beginning or the end of a fault.
      *
-     * @param atMillis when, from the start of the soak
+     * @param atMillis the time since the start of the plan
      * @param fault the fault
      * @param target the number of the node or endpoint
-     * @param begins whether it begins
+     * @param begins whether the fault begins
      */
     record Step(int atMillis, Fault fault, int target, boolean begins) {
-        void carryOut(SoakCluster cluster) throws IOException, InterruptedException {
+        void execute(SoakCluster cluster) throws IOException, InterruptedException {
             if (begins) {
                 fault.begin(cluster, target);
             } else {
--- a/tarragonarch-standin/src/test/java/org/tarragonarch/standin/soak/SoakResult.java
+++ b/tarragonarch-standin/src/test/java/org/tarragonarch/standin/soak/SoakResult.java
@@ -5,26 +5,26 @@
 import java.util.List;
 
 /**
- * What one soak showed.
+ * The result of one soak.
  *
- * @param seed its seed
- * @param folder where its logs are, if a promise was broken
- * @param sent how many jobs were sent
- * @param done how many were answered as done
- * @param refused how many were refused
- * @param broken the promises that were broken
+ * @param seed the seed
+ * @param folder the folder of the logs, which is kept only if there are violations
+ * @param sent the number of jobs sent
+ * @param done the number of jobs answered as done
+ * @param refused the number of jobs refused by every attempt
+ * @param violations a description of each violated guarantee
  */
-record SoakResult(long seed, Path folder, int sent, long done, long refused, ImmutableList<String> broken) {
-    static SoakResult of(long seed, Path folder, List<SentJob> jobs, ImmutableList<String> broken) {
-        long done = jobs.stream().filter(SentJob::done).count();
-        long refused = jobs.stream().filter(SentJob::refused).count();
-        return new SoakResult(seed, folder, jobs.size(), done, refused, broken);
+record SoakResult(long seed, Path folder, int sent, long done, long refused, ImmutableList<String> violations) {
+    static SoakResult of(long seed, Path folder, List<SentJob> jobs, ImmutableList<String> violations) {
+        long done = jobs.stream().filter(SentJob::isDone).count();
+        long refused = jobs.stream().filter(SentJob::isRefused).count();
+        return new SoakResult(seed, folder, jobs.size(), done, refused, violations);
     }
 
-    String line() {
+    String summary() {
         String counts = "seed " + seed + ": " + sent + " jobs, " + done + " done, " + refused + " refused";
-        return broken.isEmpty()
+        return violations.isEmpty()
                 ? counts
-                : counts + "; BROKEN, logs in " + folder + ":\n  " + String.join("\n  ", broken);
+                : counts + "; VIOLATIONS, logs in " + folder + ":\n  " + String.join("\n  ", violations);
     }
 }
--- a/tarragonarch-standin/src/test/java/org/tarragonarch/standin/soak/SoakRun.java
+++ b/tarragonarch-standin/src/test/java/org/tarragonarch/standin/soak/SoakRun.java
@@ -14,12 +14,12 @@
 import java.util.concurrent.TimeUnit;
 import org.tarragonarch.adapter.standin.StandInEndpoint;
 
-/** One soak: a system is started, its clients send, faults come by the plan, and the promises are checked. */
+/** One soak: starts a cluster and clients, injects the faults of a plan, and checks the guarantees. */
 final class SoakRun {
-    /** How long the system may take to serve every client again after the last fault; a busy machine starts slowly. */
-    private static final Duration PATIENCE = Duration.ofSeconds(40);
+    /** The time in which every client must be served again after the last fault; long enough for a busy machine. */
+    private static final Duration RECOVERY_TIMEOUT = Duration.ofSeconds(40);
 
-    private static final long LOOK_MILLIS = 50;
+    private static final long POLL_MILLIS = 50;
 
     private final SoakOptions options;
     private final long seed;
@@ -31,58 +31,58 @@
         this.seed = seed;
     }
 
-    /** Plays the seed; the folder with the logs is kept if a promise was broken. */
-    SoakResult play() throws IOException, InterruptedException {
+    /** Runs the soak and deletes the folder with the logs unless there are violations. */
+    SoakResult run() throws IOException, InterruptedException {
         Path folder = Files.createTempDirectory("tarragonarch-soak-" + seed + "-");
-        SoakResult result = playIn(folder);
-        if (result.broken().isEmpty()) {
+        SoakResult result = runIn(folder);
+        if (result.violations().isEmpty()) {
             MoreFiles.deleteRecursively(folder, RecursiveDeleteOption.ALLOW_INSECURE);
         }
         return result;
     }
 
-    private SoakResult playIn(Path folder) throws IOException, InterruptedException {
+    private SoakResult runIn(Path folder) throws IOException, InterruptedException {
         try (SoakCluster cluster = new SoakCluster(folder, options.nodes(), options.endpoints())) {
-            awaitDoors(cluster);
+            awaitNodesListening(cluster);
             startClients(cluster);
             QueueWatcher watcher = new QueueWatcher(cluster);
             start(watcher, "queue-watcher");
-            List<String> broken = new ArrayList<>();
-            awaitServed(broken, "at the start");
-            carryOut(cluster, SoakPlan.of(seed, options.faults(), options.millis(), options.nodes()));
-            cluster.heal();
-            awaitDoors(cluster);
-            awaitServed(broken, "after the last fault");
-            watcher.awaitLastQueueDue();
-            watcher.end();
-            endClients();
-            broken.addAll(watcher.broken());
+            List<String> violations = new ArrayList<>();
+            awaitServed(violations, "at the start");
+            injectFaults(cluster, SoakPlan.draw(seed, options.faults(), options.faultPeriodMillis(), options.nodes()));
+            cluster.clearFaults();
+            awaitNodesListening(cluster);
+            awaitServed(violations, "after the last fault");
+            watcher.awaitNewestQueueDue();
+            watcher.stop();
+            stopClients();
+            violations.addAll(watcher.violations());
             if (watcher.answers() == 0) {
-                broken.add("no node said anything of its queues");
+                violations.add("no node answered a request for a queue");
             }
             List<SentJob> jobs =
                     clients.stream().flatMap(client -> client.jobs().stream()).toList();
-            broken.addAll(SoakChecks.broken(
+            violations.addAll(SoakChecks.violations(
                     cluster.endpoints().stream().map(StandInEndpoint::runs).toList(), jobs));
-            return SoakResult.of(seed, folder, jobs, ImmutableList.copyOf(broken));
+            return SoakResult.of(seed, folder, jobs, ImmutableList.copyOf(violations));
         }
     }
 
-    /** Waits until every node takes connections; one that was still on its way out is started again. */
-    private void awaitDoors(SoakCluster cluster) throws IOException, InterruptedException {
-        long until = System.nanoTime() + PATIENCE.toNanos();
+    /** Waits until every node accepts connections; restarts a node whose process has ended. */
+    private void awaitNodesListening(SoakCluster cluster) throws IOException, InterruptedException {
+        long until = System.nanoTime() + RECOVERY_TIMEOUT.toNanos();
         for (int node = 0; node < cluster.nodeCount(); node++) {
-            while (!cluster.node(node).alive() || !open(cluster.clientAddress(node))) {
+            while (!cluster.node(node).isAlive() || !isListening(cluster.clientAddress(node))) {
                 if (System.nanoTime() > until) {
-                    throw new IOException("node " + node + " takes no connection: " + cluster.log(node));
+                    throw new IOException("node " + node + " accepts no connections: " + cluster.log(node));
                 }
                 cluster.startNode(node);
-                TimeUnit.MILLISECONDS.sleep(LOOK_MILLIS);
+                TimeUnit.MILLISECONDS.sleep(POLL_MILLIS);
             }
         }
     }
 
-    private static boolean open(String address) {
+    private static boolean isListening(String address) {
         int colon = address.indexOf(':');
         InetSocketAddress at =
                 new InetSocketAddress(address.substring(0, colon), Integer.parseInt(address.substring(colon + 1)));
@@ -90,7 +90,7 @@
             socket.connect(at);
             return true;
         } catch (IOException e) {
-            // Nobody listens yet; the caller asks again.
+            // Nothing listens yet; the caller tries again.
             return false;
         }
     }
@@ -103,46 +103,46 @@
         }
     }
 
-    private void start(Runnable part, String name) {
-        Thread thread = new Thread(part, name);
+    private void start(Runnable task, String name) {
+        Thread thread = new Thread(task, name);
         thread.setDaemon(true);
         threads.add(thread);
         thread.start();
     }
 
-    /** Every client has to have another job done from now on. */
-    private void awaitServed(List<String> broken, String when) throws InterruptedException {
+    /** Waits until every client has a job done after this call; adds a violation if that takes too long. */
+    private void awaitServed(List<String> violations, String when) throws InterruptedException {
         long from = StandInEndpoint.clockMillis();
         for (SoakClient client : clients) {
             while (!servedSince(client, from)) {
-                if (StandInEndpoint.clockMillis() - from > PATIENCE.toMillis()) {
-                    broken.add("a client is not served " + when);
+                if (StandInEndpoint.clockMillis() - from > RECOVERY_TIMEOUT.toMillis()) {
+                    violations.add("a client was not served " + when);
                     return;
                 }
-                TimeUnit.MILLISECONDS.sleep(LOOK_MILLIS);
+                TimeUnit.MILLISECONDS.sleep(POLL_MILLIS);
             }
         }
     }
 
     private static boolean servedSince(SoakClient client, long sinceMillis) {
-        return client.jobs().stream().anyMatch(job -> job.done() && job.answeredAt() >= sinceMillis);
+        return client.jobs().stream().anyMatch(job -> job.isDone() && job.answeredAtMillis() >= sinceMillis);
     }
 
-    private void carryOut(SoakCluster cluster, SoakPlan plan) throws IOException, InterruptedException {
-        long began = StandInEndpoint.clockMillis();
+    private void injectFaults(SoakCluster cluster, SoakPlan plan) throws IOException, InterruptedException {
+        long startMillis = StandInEndpoint.clockMillis();
         for (SoakPlan.Step step : plan.steps()) {
-            long wait = began + step.atMillis() - StandInEndpoint.clockMillis();
+            long wait = startMillis + step.atMillis() - StandInEndpoint.clockMillis();
             if (wait > 0) {
                 TimeUnit.MILLISECONDS.sleep(wait);
             }
-            step.carryOut(cluster);
+            step.execute(cluster);
         }
     }
 
-    private void endClients() throws InterruptedException {
-        clients.forEach(SoakClient::end);
+    private void stopClients() throws InterruptedException {
+        clients.forEach(SoakClient::stop);
         for (Thread thread : threads) {
-            thread.join(PATIENCE.toMillis());
+            thread.join(RECOVERY_TIMEOUT.toMillis());
         }
     }
 }
--- a/tarragonarch-standin/src/test/java/org/tarragonarch/standin/soak/package-info.java
+++ b/tarragonarch-standin/src/test/java/org/tarragonarch/standin/soak/package-info.java
@@ -1,5 +1,6 @@
 /**
- * The fault soak: nodes as separate processes, faults from outside them, and the promises checked by what clients and
- * endpoints saw. One seed is one schedule; {@link org.tarragonarch.standin.soak.SoakMain} runs any number of them.
+ * The fault soak: runs nodes as separate processes, injects faults from outside, and checks the guarantees by what
+ * clients and endpoints recorded. A seed determines the plan of faults;
+ * {@link org.tarragonarch.standin.soak.SoakMain} runs any number of seeds.
  */
 package org.tarragonarch.standin.soak;
