--- a/tarragonarch-benchmark/src/main/java/org/tarragonarch/benchmark/experiment/Cluster.java
+++ b/tarragonarch-benchmark/src/main/java/org/tarragonarch/benchmark/experiment/Cluster.java
@@ -23,14 +23,14 @@
 import org.tarragonarch.model.task.QueueCatalog;
 import org.tarragonarch.model.task.Resources;
 
-/** Every node and endpoint of a run, and the network between them. */
+/** The nodes and endpoints of a run, and the network between them. */
 final class Cluster {
     private static final Region REGION = Region.of("r");
     private static final long MEMORY_MB = 131_072;
     private static final int ENDPOINT_PORT = 80;
     private static final int LARGE_EVERY = 3;
 
-    /** How long a node that was asked to stop still takes jobs from its clients, in milliseconds. */
+    /** The time in which a node that was asked to stop still accepts jobs from its clients. */
     private static final long LEAVING_MILLIS = 2_800;
 
     private final VirtualTime time;
@@ -41,7 +41,7 @@
     private final Map<EndpointId, ModelEndpoint> endpoints = new LinkedHashMap<>();
     private final Map<NodeId, ModelNode> nodes = new LinkedHashMap<>();
 
-    Cluster(VirtualTime time, LoadShape shape, ModelEndpoint.TaskProfiles durations) {
+    Cluster(VirtualTime time, LoadShape shape, ModelEndpoint.TaskProfiles taskProfiles) {
         this.time = time;
         this.shape = shape;
         ImmutableMap.Builder<FailureDomain, Region> all = ImmutableMap.builder();
@@ -51,12 +51,12 @@
         this.regions = all.buildOrThrow();
         for (int domain = 0; domain < shape.domains(); domain++) {
             for (int number = 0; number < shape.endpointsPerDomain(); number++) {
-                addEndpoint(domain, number, durations);
+                addEndpoint(domain, number, taskProfiles);
             }
         }
     }
 
-    private void addEndpoint(int domain, int number, ModelEndpoint.TaskProfiles durations) {
+    private void addEndpoint(int domain, int number, ModelEndpoint.TaskProfiles taskProfiles) {
         long milliCores = number % LARGE_EVERY == LARGE_EVERY - 1
                 ? shape.endpointMilliCores() * 3 / 2
                 : shape.endpointMilliCores();
@@ -69,7 +69,7 @@
                 new Resources(milliCores, MEMORY_MB, 0),
                 false);
         double speed = shape.speeds().get(endpoints.size() % shape.speeds().size());
-        endpoints.put(entry.id(), new ModelEndpoint(time, entry, domain, speed, durations));
+        endpoints.put(entry.id(), new ModelEndpoint(time, entry, domain, speed, taskProfiles));
         endpointList.recordListed(entry);
     }
 
@@ -121,32 +121,32 @@
         node.start();
     }
 
-    /** Ends every node at once; they are back after a while. */
+    /** Kills all nodes at the same time and restarts them after {@code forMillis} and the start time. */
     void powerOff(long forMillis) {
         nodes.values().forEach(ModelNode::kill);
         time.runAfter(TimeUnit.MILLISECONDS.toNanos(forMillis + shape.startMillis()), this::startAll);
     }
 
-    /** Kills the node that holds most; its connections break at once, and it is back after a while. */
+    /** Kills the node that holds most shards, breaks its connections, and restarts it after {@code forMillis}. */
     void killHolder(long forMillis) {
         end(holder(), forMillis);
     }
 
-    /** Asks the node that holds most to stop, as an update does; it ends once the balancer sends it nothing more. */
+    /** Stops the node that holds most shards as an update does: it ends after its clients have moved to others. */
     void stopHolder(long forMillis) {
         ModelNode holder = holder();
         holder.coordinator().leave();
         after(LEAVING_MILLIS, () -> end(holder, forMillis));
     }
 
-    /** Pauses the node that holds most; what was sent to it meanwhile arrives when it goes on. */
+    /** Pauses the node that holds most shards; messages sent to it meanwhile arrive when it resumes. */
     void pauseHolder(long forMillis) {
         ModelNode holder = holder();
         holder.pause();
         after(forMillis, holder::resume);
     }
 
-    /** Cuts one node that holds nothing off from all others; it reaches endpoints and its clients. */
+    /** Cuts a node without shards off from all other nodes, but not from endpoints and clients. */
     void cutOffNonHolder(long forMillis) {
         ModelNode node = liveNodes().stream()
                 .filter(each -> each.coordinator().heldShardCount() == 0)
@@ -175,11 +175,11 @@
         after(forMillis + shape.startMillis(), () -> start(Integer.parseInt(parts[1]), Integer.parseInt(parts[2])));
     }
 
-    private void after(long millis, Runnable happening) {
-        time.runAfter(TimeUnit.MILLISECONDS.toNanos(millis), happening);
+    private void after(long millis, Runnable event) {
+        time.runAfter(TimeUnit.MILLISECONDS.toNanos(millis), event);
     }
 
-    /** Returns the node that a client reaches: by its number one of its own domain, or else any that lives. */
+    /** Returns the node that a client connects to: a node of the client's domain if one is in rotation, or else any. */
     Optional<ModelNode> nodeFor(int domain, int client) {
         List<ModelNode> near = liveNodes().stream()
                 .filter(node -> node.domain() == domain && node.inRotation())
@@ -198,7 +198,7 @@
                 .collect(ImmutableList.toImmutableList());
     }
 
-    /** Brings something to a node; returns whether that node lives as it leaves. */
+    /** Delivers a message to a node after the latency; returns false if the node is not alive when it is sent. */
     boolean deliver(ModelNode from, NodeId to, Consumer<ModelNode> arrival) {
         ModelNode receiver = nodes.get(to);
         if (receiver == null || !receiver.isAlive()) {
--- a/tarragonarch-benchmark/src/main/java/org/tarragonarch/benchmark/experiment/ExperimentTimers.java
+++ b/tarragonarch-benchmark/src/main/java/org/tarragonarch/benchmark/experiment/ExperimentTimers.java
@@ -7,9 +7,9 @@
 import org.tarragonarch.benchmark.time.VirtualTime;
 import org.tarragonarch.model.task.Timers;
 
-/** Virtual time as one process sees it; a process that is ended gets no further events. */
+/** The timers of one simulated process, on virtual time; a stopped process gets no further events. */
 final class ExperimentTimers implements Timers {
-    /** The clock does not start at zero, as that of a machine does not. */
+    /** The clock starts above zero, like that of a real machine. */
     private static final long OFFSET_MILLIS = 1_000;
 
     private final VirtualTime time;
@@ -37,7 +37,7 @@
         return () -> cancelled[0] = true;
     }
 
-    /** Runs something of the process, at once or when it goes on; never if it was ended. */
+    /** Runs a task, now or when the process resumes; drops it if the process was stopped. */
     void runWhenResumed(Runnable task) {
         if (paused) {
             deferred.add(task);
@@ -50,7 +50,7 @@
         paused = true;
     }
 
-    /** Goes on, with all that came due meanwhile, in its order. */
+    /** Resumes the process and runs the deferred tasks in order. */
     void resume() {
         paused = false;
         List<Runnable> due = ImmutableList.copyOf(deferred);
--- a/tarragonarch-benchmark/src/main/java/org/tarragonarch/benchmark/experiment/ModelNode.java
+++ b/tarragonarch-benchmark/src/main/java/org/tarragonarch/benchmark/experiment/ModelNode.java
@@ -17,13 +17,13 @@
 import org.tarragonarch.model.task.Offer;
 import org.tarragonarch.model.task.Verdict;
 
-/** One incarnation of a node: the node's own decisions, with modelled ways to its peers and to the endpoints. */
+/** One incarnation of a node: the core's coordinator with simulated links to its peers and to the endpoints. */
 final class ModelNode implements PeerSender {
     private static final int MILLI_CORES = 750;
     private static final int PEER_PORT = 7_000;
     private static final PlacingSettings PLACING = PlacingSettings.of(1_000, 50);
 
-    /** How long a node that has just started listens for its peers before it takes shards. */
+    /** The time in which a started node discovers its peers before it claims shards. */
     private static final long DISCOVERY_MILLIS = 200;
 
     private final NodeId id;
@@ -92,20 +92,20 @@
         timers.resume();
     }
 
-    void cutOff(boolean now) {
-        cutOff = now;
+    void cutOff(boolean isCutOff) {
+        cutOff = isCutOff;
     }
 
     boolean isCutOff() {
         return cutOff;
     }
 
-    /** Returns whether the balancer sends clients here. */
+    /** Returns whether the load balancer sends clients to this node. */
     boolean inRotation() {
         return !coordinator.status().leaving();
     }
 
-    /** Learns that a peer's connections broke. */
+    /** Handles the loss of the connections to a peer. */
     void connectionLost(NodeId peer) {
         if (isAlive() && coordinator.peers().recordConnectionLost(peer)) {
             peerLost(peer);
@@ -115,11 +115,11 @@
     private void review() {
         cluster.endpointList().recordCurrentAsOf(timers.nowMillis());
         coordinator.peers().expire(timers.nowMillis()).forEach(this::peerLost);
-        coordinator.review(settled());
+        coordinator.review(discoveryOver());
         timers.schedule(PeerTable.STATUS_PERIOD_MILLIS / 2, this::review);
     }
 
-    private boolean settled() {
+    private boolean discoveryOver() {
         return timers.nowMillis() - startedAtMillis >= DISCOVERY_MILLIS;
     }
 
@@ -129,7 +129,7 @@
     }
 
     private void reviewShards() {
-        if (settled()) {
+        if (discoveryOver()) {
             coordinator.reviewShards();
         }
     }
--- a/tarragonarch-benchmark/src/main/java/org/tarragonarch/benchmark/experiment/MoveCount.java
+++ b/tarragonarch-benchmark/src/main/java/org/tarragonarch/benchmark/experiment/MoveCount.java
@@ -24,7 +24,7 @@
         return moved;
     }
 
-    /** Returns how often such an offer was not taken. */
+    /** Returns how often such an offer was declined. */
     int movedBack() {
         return movedBack;
     }
--- a/tarragonarch-benchmark/src/main/java/org/tarragonarch/benchmark/experiment/ScoredJob.java
+++ b/tarragonarch-benchmark/src/main/java/org/tarragonarch/benchmark/experiment/ScoredJob.java
@@ -1,11 +1,11 @@
 package org.tarragonarch.benchmark.experiment;
 
 /**
- * One job and what became of it.
+ * A job with its result and worth.
  *
  * @param job the job
- * @param result what became of it
- * @param worth what it counts if answered in time
+ * @param result the result for its caller
+ * @param worth the worth earned by an answer in time
  */
 record ScoredJob(DrawnJob job, JobResult result, double worth) {
     double earned() {
--- a/tarragonarch-benchmark/src/main/java/org/tarragonarch/benchmark/policy/NodeModel.java
+++ b/tarragonarch-benchmark/src/main/java/org/tarragonarch/benchmark/policy/NodeModel.java
@@ -31,11 +31,11 @@
 import org.tarragonarch.model.report.NodePhase;
 import org.tarragonarch.model.report.PeerReport;
 
-/** The decisions of one node: its directory, queue and estimator, without the rest of a node. */
+/** A model of a node that makes its decisions with the directory and the estimator of the core. */
 final class NodeModel {
     static final ServiceName SERVICE = ServiceName.of("proof-board");
     static final long DEADLINE_NANOS = 10_000_000_000L;
-    private static final int MOST_QUEUED = 5000;
+    private static final int MAX_QUEUED_TASKS = 5000;
     private static final long PROBE_NANOS = 1_000_000;
 
     final NodeId id;
@@ -51,8 +51,8 @@
     private final FailureDomain domainName;
     private long sequence;
     private long pausedUntilNanos;
-    private long wakeNanos = Long.MAX_VALUE;
-    private boolean reportDue;
+    private long nextWakeUpNanos = Long.MAX_VALUE;
+    private boolean reportPending;
 
     NodeModel(NodeId id, int domain, PolicyRun run, long seed) {
         this.id = id;
@@ -81,13 +81,13 @@
         handle(() -> directory.setAliveNodes(nodes, time.nowNanos(), this::perform));
     }
 
-    /** Takes a job in, or refuses it if its expected wait passes its deadline. */
+    /** Accepts a job, or refuses it if its expected wait exceeds half of the deadline or the queue is full. */
     void submit(Job job) {
         handle(() -> {
             long expected = estimator.expectedNanos(SERVICE, job.kind, job.declared);
             long work = expected * job.runNanos.length;
             double wait = (double) (queue.nanosAhead(job, work) + work) / Math.max(1, directory.slotsPerNode(SERVICE));
-            if (wait > DEADLINE_NANOS / 2 || queue.queuedTasks() + job.runNanos.length > MOST_QUEUED) {
+            if (wait > DEADLINE_NANOS / 2 || queue.queuedTasks() + job.runNanos.length > MAX_QUEUED_TASKS) {
                 run.jobRefused(job);
                 return;
             }
@@ -97,7 +97,7 @@
         });
     }
 
-    /** Ends a job without an answer in time; its started tasks run on. */
+    /** Ends a job at its deadline; its started tasks keep running. */
     private void giveUp(Job job) {
         if (jobs.remove(job)) {
             job.ended = true;
@@ -130,7 +130,7 @@
         });
     }
 
-    /** Sends every peer of the failure domain what is in flight. */
+    /** Sends a report to every peer of the failure domain. */
     void sendReports() {
         if (isPaused()) {
             return;
@@ -156,7 +156,7 @@
         handle(() -> directory.peerReported(report, time.nowNanos(), this::perform));
     }
 
-    /** Runs a handler now, or when the node moves again, and then starts what can be started. */
+    /** Runs a handler, now or when the node resumes, and then starts every task that an endpoint has a slot for. */
     private void handle(Runnable handler) {
         if (isPaused()) {
             time.runAt(pausedUntilNanos, () -> handle(handler));
@@ -164,18 +164,18 @@
         }
         handler.run();
         startTasks();
-        if (reportDue) {
-            reportDue = false;
+        if (reportPending) {
+            reportPending = false;
             sendReports();
         }
-        if (directory.nextWakeNanos() < wakeNanos) {
-            wakeNanos = directory.nextWakeNanos();
-            time.runAt(wakeNanos, () -> handle(this::wake));
+        if (directory.nextWakeNanos() < nextWakeUpNanos) {
+            nextWakeUpNanos = directory.nextWakeNanos();
+            time.runAt(nextWakeUpNanos, () -> handle(this::wake));
         }
     }
 
     private void wake() {
-        wakeNanos = Long.MAX_VALUE;
+        nextWakeUpNanos = Long.MAX_VALUE;
         directory.timePassed(time.nowNanos(), this::perform);
     }
 
@@ -238,7 +238,7 @@
             time.runAfter(
                     PROBE_NANOS, () -> handle(() -> directory.probeEnded(answer, time.nowNanos(), this::perform)));
         } else if (action instanceof Note note && note.event() == NoteEvent.ENDPOINT_QUARANTINED) {
-            reportDue = true;
+            reportPending = true;
         }
     }
 }
--- a/tarragonarch-benchmark/src/main/java/org/tarragonarch/benchmark/policy/PolicyComparison.java
+++ b/tarragonarch-benchmark/src/main/java/org/tarragonarch/benchmark/policy/PolicyComparison.java
@@ -14,7 +14,7 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 
-/** Runs every policy in every scenario with the same seeds and prints the two measures side by side. */
+/** Runs every policy in every scenario with the same seeds and prints a table of their measures for comparison. */
 @Command(name = "policy-comparison", description = "Compares placement and queue policies on virtual time.")
 public final class PolicyComparison implements Callable<Integer> {
     private static final Duration SECOND = Duration.ofSeconds(1);
@@ -47,24 +47,28 @@
             Scenario.load("80 %, a node frozen 10 s", 0.8).withFault(Fault.FROZEN_NODE),
             Scenario.load("80 %, half of all jobs cancelled", 0.8).withFault(Fault.CANCEL_WAVE));
 
-    @Option(names = "--seconds", defaultValue = "130", description = "Virtual seconds of each run.")
+    @Option(names = "--seconds", defaultValue = "130", description = "Length of each run in virtual seconds.")
     private int seconds;
 
-    @Option(names = "--seeds", defaultValue = "5", description = "How many runs of each, with seeds from 1.")
+    @Option(names = "--seeds", defaultValue = "5", description = "Number of seeds, from 1.")
     private int seeds;
 
-    @Option(names = "--shape", defaultValue = "DERWENT,KIVILAHTI", split = ",", description = "Users: ${DEFAULT-VALUE}")
+    @Option(
+            names = "--shape",
+            defaultValue = "DERWENT,KIVILAHTI",
+            split = ",",
+            description = "User shapes (default: ${DEFAULT-VALUE}).")
     private List<UserShape> shapes;
 
-    @Option(names = "--scenario", defaultValue = "", description = "Only scenarios whose name holds this.")
-    private String only;
+    @Option(names = "--scenario", defaultValue = "", description = "Run only scenarios whose names contain this text.")
+    private String scenarioFilter;
 
-    @Option(names = "--policy", defaultValue = "", description = "Only policies whose name holds this.")
-    private String onlyPolicy;
+    @Option(names = "--policy", defaultValue = "", description = "Run only policies whose names contain this text.")
+    private String policyFilter;
 
     private final PrintWriter out = new PrintWriter(System.out, true, Charset.defaultCharset());
 
-    /** Runs the comparison. */
+    /** Parses the arguments, runs the comparison and exits. */
     public static void main(String[] arguments) {
         System.exit(new CommandLine(new PolicyComparison()).execute(arguments));
     }
@@ -73,7 +77,7 @@
     public Integer call() {
         for (UserShape shape : shapes) {
             for (Scenario scenario : SCENARIOS) {
-                if (scenario.name().contains(only)) {
+                if (scenario.name().contains(scenarioFilter)) {
                     compare(shape, scenario);
                 }
             }
@@ -86,11 +90,11 @@
         out.println(COLUMNS);
         out.println("|---|---|---|---|---|---|---|---|---|---|---|---|---|---|");
         for (Policy policy : POLICIES) {
-            if (!policy.name().contains(onlyPolicy)) {
+            if (!policy.name().contains(policyFilter)) {
                 continue;
             }
             Measures sum = new Measures();
-            // Runs share nothing, so they may go side by side and still give the same figures.
+            // Runs share no state, so running them in parallel does not change the results.
             IntStream.rangeClosed(1, seeds)
                     .parallel()
                     .mapToObj(seed -> new PolicyRun(policy, shape, scenario, seed, seconds).run())
--- a/tarragonarch-standin/src/test/java/org/tarragonarch/standin/process/EndpointFaultTest.java
+++ b/tarragonarch-standin/src/test/java/org/tarragonarch/standin/process/EndpointFaultTest.java
@@ -37,7 +37,7 @@
     public void clearFaults() throws Exception {
         for (int i = 0; i < ENDPOINTS; i++) {
             StandInControl control = cluster.endpoint(i).control();
-            Await.until("the endpoint listens", ProcessCluster.DEADLINE, () -> {
+            Await.until("the endpoint to accept connections", ProcessCluster.DEADLINE, () -> {
                 control.clearFaults();
                 return true;
             });
@@ -59,10 +59,9 @@
 
     @Test(dataProvider = "faults")
     public void testNonIdempotent_oneFaultyAnswer(String fault, String outcome, int starts) throws Exception {
-        // A word count, which charges the author, meets a worker that misbehaves once. What the worker's answer leaves
-        // open must be answered as unknown and never be sent again; a worker that says it did not start the count
-        // must not keep the author from getting it.
-        onAll(fault);
+        // Guards against a task that is not idempotent and starts twice. After an unusable answer the outcome is
+        // unknown and the task is not sent again; after an answer that the task did not start, it is sent again.
+        injectIntoAll(fault);
         String tag = "once-" + fault;
 
         CallerAnswer answer = request(Caller.NON_IDEMPOTENT, tag);
@@ -73,24 +72,24 @@
 
     @Test
     public void testIdempotent_answerLost() throws Exception {
-        // A worker breaks off in the middle of an availability check. The check harms nobody if it runs twice, so the
-        // customer at the desk must get the answer from the other worker.
+        // Guards against an idempotent request that is not retried after an endpoint closed the connection without an
+        // answer.
         cluster.endpoint(0).control().switchOnFault("close-after-read?count=1");
-        int again = 0;
+        int restarts = 0;
         for (int i = 0; i < 10; i++) {
             assertTrue(request(Caller.IDEMPOTENT, "check-" + i).isComplete());
-            again += starts("check-" + i) - 1;
+            restarts += starts("check-" + i) - 1;
         }
 
-        assertEquals(again, 1, "checks started a second time");
+        assertEquals(restarts, 1, "checks started a second time");
     }
 
     @Test
     public void testNonIdempotent_connectionsRefused() throws Exception {
-        // Every worker restarts its listener for a moment. Nothing was sent to them, so the word count waits for them
-        // and runs once.
-        onAll("refuse-connections?ms=1500");
-        // A connection that closes while the task is being written would leave open whether the task was read.
+        // Guards against an outcome of unknown while every endpoint refuses connections for a short time. Nothing was
+        // sent, so the task waits and runs once.
+        injectIntoAll("refuse-connections?ms=1500");
+        // If a connection closed while the task is being written, it would be unknown whether the task was read.
         for (int i = 0; i < ENDPOINTS; i++) {
             awaitRefused(cluster.endpoint(i).control());
         }
@@ -103,9 +102,9 @@
 
     @Test
     public void testNonIdempotent_lateAnswer() throws Exception {
-        // A worker answers long after the author's time is over. The author is told "unknown" when the time is over,
-        // and the late answer must not reach any of those who come after on the same connections.
-        onAll("answer-late?ms=1000&count=1");
+        // Guards against a late answer that is taken for the answer to a later request on the same connection. The
+        // endpoint answers after the time allowed has passed; the first request is then already answered as unknown.
+        injectIntoAll("answer-late?ms=1000&count=1");
         CompletableFuture<CallerAnswer> late = cluster.caller()
                 .submitWithTimeAllowed(cluster.node(0), Caller.NON_IDEMPOTENT, "late", 10, Duration.ofMillis(300));
 
@@ -123,9 +122,9 @@
 
     @Test
     public void testNonIdempotent_endpointsPaused() throws Exception {
-        // Every worker freezes with its connections open. The author whose count was sent to one is told "unknown" when
-        // the time is over. When the workers wake they read what was sent to them; the count may then start, once,
-        // and its answer is nobody's.
+        // Guards against a second start, and an answer to the wrong request, after endpoints were paused with their
+        // connections open. The request is answered as unknown when its time is over; a resumed endpoint still reads
+        // the task and may start it once.
         CallerAnswer unknown;
         for (int i = 0; i < ENDPOINTS; i++) {
             cluster.endpoint(i).process().pause();
@@ -151,8 +150,8 @@
 
     @Test
     public void testJob_oneTaskAnswerLost() throws Exception {
-        // One task of a style check loses its answer. The member may not see the other parts as if they were the whole,
-        // and none of the tasks may start a second time.
+        // Guards against a partial result when the answer of one task of a job is lost, and against a second start of
+        // any of its tasks.
         cluster.endpoint(0).control().switchOnFault("cut-short?count=1");
 
         CallerAnswer answer = cluster.caller()
@@ -166,14 +165,14 @@
         }
     }
 
-    private void onAll(String fault) throws Exception {
+    private void injectIntoAll(String fault) throws Exception {
         for (int i = 0; i < ENDPOINTS; i++) {
             cluster.endpoint(i).control().switchOnFault(fault);
         }
     }
 
     private static void awaitRefused(StandInControl control) throws InterruptedException {
-        Await.until("connections are refused", ProcessCluster.DEADLINE, () -> {
+        Await.until("connections to be refused", ProcessCluster.DEADLINE, () -> {
             try {
                 control.get("/health");
                 return false;
--- a/tarragonarch-standin/src/test/java/org/tarragonarch/standin/process/EndpointKilledTest.java
+++ b/tarragonarch-standin/src/test/java/org/tarragonarch/standin/process/EndpointKilledTest.java
@@ -12,13 +12,13 @@
 
 public final class EndpointKilledTest {
     private static final int TASK_MILLIS = 6_000;
-    private static final long AT_ONCE_MILLIS = 2_000;
+    private static final long PROMPT_ANSWER_MILLIS = 2_000;
 
     @Test
     public void testJob_endpointKilledInMidTask() throws Exception {
-        // A worker dies while it runs two of a job's four tasks. The member must hear "unknown" at once, not after the
-        // other tasks or the deadline, and no task may be started again elsewhere: nobody knows how far the first
-        // start came.
+        // Guards against a second start elsewhere when an endpoint is killed while it runs two of a job's four tasks:
+        // how far they got is unknown. The job must be answered as unknown at once, not after the other tasks or the
+        // deadline.
         try (ProcessCluster cluster = ProcessCluster.start(1, 2, 2)) {
             CompletableFuture<CallerAnswer> job =
                     cluster.caller().submitJob(cluster.node(0), Caller.NON_IDEMPOTENT, "style-check", 4, TASK_MILLIS);
@@ -27,7 +27,7 @@
             cluster.endpoint(0).control().get("/ledger").path("starts").forEach(startsOfKilled::add);
 
             cluster.endpoint(0).process().kill();
-            CallerAnswer answer = job.get(AT_ONCE_MILLIS, TimeUnit.MILLISECONDS);
+            CallerAnswer answer = job.get(PROMPT_ANSWER_MILLIS, TimeUnit.MILLISECONDS);
 
             assertEquals(answer.outcome(), "unknown", answer.toString());
             assertEquals(startsOfKilled.size(), 2);
--- a/tarragonarch-standin/src/test/java/org/tarragonarch/standin/process/GracefulShutdownTest.java
+++ b/tarragonarch-standin/src/test/java/org/tarragonarch/standin/process/GracefulShutdownTest.java
@@ -16,17 +16,17 @@
     private static final long WAIT_MILLIS = 15_000;
     private static final int REQUESTS = 150;
     private static final long GAP_MILLIS = 20;
-    private static final int TELL_AT = 50;
+    private static final int TERMINATE_AT = 50;
     private static final int SIGTERM_EXIT = 143;
 
     @Test
     public void testNode_terminatedUnderLoad() throws Exception {
-        // The platform replaces an entry VM in the middle of the day. Its balancer asks each node whether it is ready
-        // and sends nothing more to one that is not. No author may see anything of it: every request gets its result.
+        // Guards against requests lost when a node is stopped under load. The load balancer sends nothing more to a
+        // node that is not ready; every request must get its result and start once.
         try (ProcessCluster cluster = ProcessCluster.start(2, 2, 8)) {
             List<CompletableFuture<CallerAnswer>> answers = new ArrayList<>();
             for (int i = 0; i < REQUESTS; i++) {
-                if (i == TELL_AT) {
+                if (i == TERMINATE_AT) {
                     cluster.node(0).process().terminate();
                 }
                 NodeProcess chosen = cluster.node(i % 2 == 0 && ready(cluster, 0) ? 0 : 1);
@@ -43,16 +43,17 @@
 
     @Test
     public void testEndpoint_terminatedUnderLoadWithStaleVmList() throws Exception {
-        // A worker is told to leave while the platform's list stands still, so that only the worker's own answers tell
-        // the nodes. What runs on it must end well, and after two seconds nothing new may reach it.
+        // Guards against tasks sent to an endpoint that is leaving while the platform's VM list is not updated, so that
+        // only the endpoint's own answers show it. Its running tasks must complete, and no task may start on it more
+        // than two seconds later.
         try (ProcessCluster cluster = ProcessCluster.start(2, 2, 8)) {
             cluster.platform().switchOnFault("vms-frozen");
             List<CompletableFuture<CallerAnswer>> answers = new ArrayList<>();
             JsonNode lastLedger = null;
-            long toldMillis = 0;
+            long terminatedMillis = 0;
             for (int i = 0; i < REQUESTS; i++) {
-                if (i == TELL_AT) {
-                    toldMillis = System.currentTimeMillis();
+                if (i == TERMINATE_AT) {
+                    terminatedMillis = System.currentTimeMillis();
                     cluster.endpoint(0).process().terminate();
                 }
                 answers.add(cluster.caller()
@@ -64,7 +65,7 @@
             assertAllComplete(answers);
             assertEquals(cluster.endpoint(0).process().awaitExit(EXIT), SIGTERM_EXIT);
             for (JsonNode start : lastLedger.path("starts")) {
-                assertTrue(start.path("started-ms").asLong() <= toldMillis + 2_000, start.toString());
+                assertTrue(start.path("started-ms").asLong() <= terminatedMillis + 2_000, start.toString());
             }
             List<JsonNode> starts = cluster.starts();
             lastLedger.path("starts").forEach(starts::add);
@@ -89,11 +90,11 @@
         }
     }
 
-    private static JsonNode ledger(EndpointProcess endpoint, JsonNode before) {
+    private static JsonNode ledger(EndpointProcess endpoint, JsonNode previous) {
         try {
             return endpoint.control().get("/ledger");
         } catch (Exception e) {
-            return before;
+            return previous;
         }
     }
 }
--- a/tarragonarch-standin/src/test/java/org/tarragonarch/standin/process/InterleavedLoadTest.java
+++ b/tarragonarch-standin/src/test/java/org/tarragonarch/standin/process/InterleavedLoadTest.java
@@ -21,9 +21,9 @@
 
     @Test
     public void testAnswers_endpointFaultsUnderLoad() throws Exception {
-        // Desks call all day over few connections, while workers answer late and out of order, cut answers short, give
-        // answers of other tasks and say that they are busy. Nobody may get another one's result, no task may start
-        // twice, and what is said not to have run must not have started.
+        // Guards against results given to the wrong caller and against second starts. Many requests share few
+        // connections while endpoints answer late and out of order, cut answers short, give answers with wrong task ids
+        // and refuse tasks as busy.
         try (ProcessCluster cluster = ProcessCluster.start(2, ENDPOINTS, SLOTS)) {
             for (int i = 0; i < ENDPOINTS; i++) {
                 cluster.endpoint(i).control().switchOnFault("cut-short?count=3");
@@ -41,7 +41,7 @@
             assertTrue(unknown >= 1 && unknown <= 6 * ENDPOINTS, result.toString());
             assertTrue(complete >= result.path("sent").asInt() - 6 * ENDPOINTS, result.toString());
             List<JsonNode> starts = cluster.starts();
-            assertEquals(ProcessCluster.startsByTag(starts).size(), starts.size(), "starts, each of another task");
+            assertEquals(ProcessCluster.startsByTag(starts).size(), starts.size(), "distinct tasks among all starts");
         }
     }
 
--- a/tarragonarch-standin/src/test/java/org/tarragonarch/standin/process/KeyedSubmissionTest.java
+++ b/tarragonarch-standin/src/test/java/org/tarragonarch/standin/process/KeyedSubmissionTest.java
@@ -46,9 +46,9 @@
 
     @Test
     public void testKey_nodeKilledAndResubmittedElsewhere() throws Exception {
-        // A renewal is running when the node that took it dies. The desk sees a broken connection and pushes the
-        // renewal again through another node. The customer must not be charged twice: the second node must not run it,
-        // and it may not say "not run" either, since the first one may have.
+        // Guards against a second run when the node that runs a keyed request is killed and the client submits the
+        // request again to another node. That node must not run it, nor answer "not run", since the first node may have
+        // run it.
         CompletableFuture<CallerAnswer> first = renewal(0, "renewal-killed", 3_000);
         cluster.awaitTagsStarted("renewal-killed");
         cluster.node(0).process().kill();
@@ -62,10 +62,10 @@
 
     @Test
     public void testKey_nodePausedWithQueuedSubmission() throws Exception {
-        // Two long tasks fill every slot, so a renewal waits in the first node's queue with its key claimed. The node
-        // freezes; the desk hears nothing and pushes the renewal again through the second node. Then the first node
-        // wakes, unaware of the time that passed, and goes on with its queue. The renewal may start once at most.
-        CompletableFuture<CallerAnswer> filling =
+        // Guards against a second run when a node is paused while a request waits in its queue with the key claimed
+        // (two long tasks fill every slot). The client submits the request again to the second node, and then the first
+        // node resumes and continues with its queue. The request may start once at most.
+        CompletableFuture<CallerAnswer> slotFillers =
                 cluster.caller().submitJob(cluster.node(0), Caller.NON_IDEMPOTENT, "long", 2, 4_000);
         cluster.awaitTagsStarted("long-0", "long-1");
         CompletableFuture<CallerAnswer> first = renewal(0, "renewal-frozen", 50);
@@ -77,24 +77,23 @@
         } finally {
             cluster.node(0).process().resume();
         }
-        CallerAnswer woken = first.get(WAIT_MILLIS, TimeUnit.MILLISECONDS);
-        filling.get(WAIT_MILLIS, TimeUnit.MILLISECONDS);
+        CallerAnswer resumed = first.get(WAIT_MILLIS, TimeUnit.MILLISECONDS);
+        slotFillers.get(WAIT_MILLIS, TimeUnit.MILLISECONDS);
 
         int starts = starts("renewal-frozen");
         assertTrue(starts <= 1, cluster.starts().toString());
-        if (second.outcome().equals("not-run") || woken.outcome().equals("not-run")) {
-            assertEquals(starts, 0, "said not to have run: " + second + woken);
+        if (second.outcome().equals("not-run") || resumed.outcome().equals("not-run")) {
+            assertEquals(starts, 0, "answered as not run: " + second + resumed);
         }
         assertEquals(second.outcome(), "unknown", second.toString());
-        assertEquals(woken.isComplete(), starts == 1, woken.toString());
+        assertEquals(resumed.isComplete(), starts == 1, resumed.toString());
     }
 
     @Test
     public void testKey_nodeRestartedOnItsOldAddress() throws Exception {
-        // The node that runs a renewal dies and is started again at once on its old address. The desk pushes the
-        // renewal
-        // again and meets the new run, which remembers nothing but finds the claim of the run before. It must neither
-        // run the renewal nor say that it was not run, and other renewals go on.
+        // Guards against a second run after the node is killed and restarted on the same address. The new incarnation
+        // has no memory of the request but finds the claim of the earlier one: it must neither run the request nor
+        // answer "not run", and it must serve other keys.
         CompletableFuture<CallerAnswer> first = renewal(0, "renewal-restarted", 1_000);
         cluster.awaitTagsStarted("renewal-restarted");
         cluster.node(0).process().kill();
@@ -104,7 +103,7 @@
         CallerAnswer again = renewal(0, "renewal-restarted", 1_000).get(WAIT_MILLIS, TimeUnit.MILLISECONDS);
         assertEquals(again.outcome(), "unknown", again.toString());
         Await.until(
-                "other renewals go on",
+                "another renewal to complete",
                 ProcessCluster.DEADLINE,
                 () -> renewal(0, "other-restarted", 20)
                         .get(WAIT_MILLIS, TimeUnit.MILLISECONDS)
@@ -116,9 +115,9 @@
 
     @Test
     public void testKey_tableServiceSlowerThanItsTimeout() throws Exception {
-        // The table service takes longer for each call than a node waits. The claim may have been written or not, and
-        // the reads that would tell have no reply either, so the renewal is refused. Then it must not have run, and
-        // once the table service is itself again, the renewal goes through.
+        // Guards against a run without a confirmed claim. Each call to the table service exceeds the node's timeout, so
+        // the node can neither write the claim nor read whether it was written, and refuses the request. Once the table
+        // service recovers, the same key is served.
         cluster.platform().switchOnFault("slow?part=tables&ms=1500");
 
         CallerAnswer refused = renewal(0, "renewal-slow", 20).get(WAIT_MILLIS, TimeUnit.MILLISECONDS);
@@ -128,7 +127,7 @@
         assertEquals(starts("renewal-slow"), 0);
         cluster.platform().clearFaults();
         Await.until(
-                "the renewal goes through",
+                "the renewal to complete",
                 ProcessCluster.DEADLINE,
                 () -> renewal(0, "renewal-slow", 20)
                         .get(WAIT_MILLIS, TimeUnit.MILLISECONDS)
@@ -138,8 +137,8 @@
 
     @Test
     public void testKey_claimReplyLost() throws Exception {
-        // The claim is written and the connection breaks before the reply. The key stands under the node's own token,
-        // so the node may run the renewal, once; a second push must get the same answer and no second start.
+        // Guards against a refusal or a second run when a claim is written but the reply is lost. The stored claim has
+        // the node's own token, so the node runs the request once; a repeated submission gets the same answer.
         cluster.platform().switchOnFault("reply-lost?part=tables&count=1");
 
         CallerAnswer first = renewal(0, "renewal-lost", 50).get(WAIT_MILLIS, TimeUnit.MILLISECONDS);
@@ -152,9 +151,8 @@
 
     @Test
     public void testKey_simultaneousSubmissionsWithLostReplies() throws Exception {
-        // A desk's gateway pushes each of many renewals to two nodes at the same instant, while some replies of the
-        // table service are lost. Each renewal may start once at most, and a node that says "not run" must be right:
-        // the renewal of a key of which both nodes say so must not have started.
+        // Guards against two runs of one key that is submitted to two nodes at the same time while some replies of the
+        // table service are lost. If both nodes answer "not run", the request must not have started.
         cluster.platform().switchOnFault("reply-lost?part=tables&count=4");
         List<List<CompletableFuture<CallerAnswer>>> pairs = new ArrayList<>();
         for (int i = 0; i < 20; i++) {
@@ -170,14 +168,15 @@
             assertTrue(!complete || starts == 1, "complete without a start: " + one + other);
             boolean bothNotRun =
                     one.outcome().equals("not-run") && other.outcome().equals("not-run");
-            assertTrue(!bothNotRun || starts == 0, "not run, says the node: " + one + other);
+            assertTrue(!bothNotRun || starts == 0, "answered as not run by both nodes, but started: " + one + other);
         }
     }
 
     @Test
     public void testKey_platformUnavailable() throws Exception {
-        // The platform is out for a while. Authors' checks go on, since nothing of them needs it; a renewal, which the
-        // platform must keep from running twice, is refused at once with a time to come back, and really does not run.
+        // Guards against requests that fail needlessly, or run without a claim, while the platform is unavailable.
+        // Requests that need no claim are served; one that needs a claim is refused at once with Retry-After and must
+        // not run.
         cluster.platform().switchOnFault("out");
 
         CallerAnswer unkeyed = cluster.caller()
@@ -196,7 +195,7 @@
 
         cluster.platform().clearFaults();
         Await.until(
-                "the renewal goes through",
+                "the renewal to complete",
                 ProcessCluster.DEADLINE,
                 () -> renewal(0, "renewal-out", 20)
                         .get(WAIT_MILLIS, TimeUnit.MILLISECONDS)
@@ -209,7 +208,7 @@
     }
 
     private void awaitClaim(String tag) throws InterruptedException {
-        Await.until("the key is claimed", ProcessCluster.DEADLINE, () -> {
+        Await.until("the key to be claimed", ProcessCluster.DEADLINE, () -> {
             for (JsonNode row : cluster.platform().get("/tables/claims/rows").path("rows")) {
                 if (row.path("key").asText().endsWith("/key-" + tag)) {
                     return true;
@@ -225,7 +224,7 @@
     }
 
     private static boolean answered(CompletableFuture<CallerAnswer> answer) throws InterruptedException {
-        Await.until("the connection breaks", ProcessCluster.DEADLINE, answer::isDone);
+        Await.until("the connection to break", ProcessCluster.DEADLINE, answer::isDone);
         return !answer.isCompletedExceptionally();
     }
 }
--- a/tarragonarch-standin/src/test/java/org/tarragonarch/standin/soak/SentJob.java
+++ b/tarragonarch-standin/src/test/java/org/tarragonarch/standin/soak/SentJob.java
@@ -3,17 +3,17 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** One job of a soak's client, and what the client was told of it. */
+/** A job of a soak's client and the answers that the client received. */
 final class SentJob {
-    /** What one try ended with. */
+    /** The result of one attempt. */
     enum Answer {
         /** Every task is done. */
         DONE,
-        /** A task failed for good. */
+        /** A task failed permanently. */
         FAILED,
-        /** Nothing of it ran. */
+        /** No task ran. */
         REFUSED,
-        /** Nobody knows: no answer, a broken connection, or the word that it was given up. */
+        /** Tasks may have run: no answer, a broken connection, or the job was given up. */
         UNKNOWN
     }
 
@@ -47,7 +47,7 @@
         answeredAtMillis = atMillis;
     }
 
-    /** Returns when the last answer came, on this machine's steady clock. */
+    /** Returns the time of the last answer, on this machine's monotonic clock; the maximum before the first one. */
     long answeredAtMillis() {
         return answeredAtMillis;
     }
@@ -56,7 +56,7 @@
         return answers.contains(Answer.DONE);
     }
 
-    /** Returns whether the client was told by every try that nothing ran. */
+    /** Returns whether every attempt was refused. */
     synchronized boolean isRefused() {
         return !answers.isEmpty() && answers.stream().allMatch(answer -> answer == Answer.REFUSED);
     }
