--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/cluster/Coordinator.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/cluster/Coordinator.java
@@ -110,7 +110,7 @@
         return ownership.placer().map(Placer::shareStates).orElse(ImmutableList.of());
     }
 
-    /** Returns the use in other holders' shards by share priority, in thousandths of a core, from recent statuses. */
+    /** Returns the usage of other holders' shards by share priority, in thousandths of a core, from recent statuses. */
     public ImmutableMap<Integer, Long> remoteUsageByPriority() {
         return remoteUsage.byPriority(timers.nowMillis());
     }
@@ -168,7 +168,7 @@
         statusSender.sendDue();
     }
 
-    /** Sends the status at once if this node has just lost sight of a holder. */
+    /** Sends the status at once if a shard of the pool has just lost its holder. */
     private void reviewHeartbeats() {
         if (heartbeats.review(ownership.heldShards(), timers.nowMillis())) {
             statusSender.sendNow();
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/placing/EndpointLink.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/placing/EndpointLink.java
@@ -47,7 +47,7 @@
     }
 
     /**
-     * Returns the number of the current incarnation, from 0. A call sent under another number was for an earlier one.
+     * Returns the number of the current incarnation, from 0. A call sent under a lower number went to an earlier one.
      */
     int incarnationNumber() {
         return incarnationNumber;
@@ -105,7 +105,8 @@
     }
 
     /**
-     * Sends an order to stop a run. An answer from an earlier incarnation is dropped: it binds only that incarnation.
+     * Sends an order to stop a run. An answer from an earlier incarnation is dropped: it says nothing about the current
+     * one.
      *
      * @param fresh whether to use a new connection, because the open ones may be dead
      */
@@ -131,7 +132,7 @@
 
     /**
      * Extends the lease of all runs, and reads the lists; the endpoint answers at the next end of a run or after the
-     * hold wait.
+     * poll wait.
      *
      * @param acknowledgedEnd the highest number of an end that need not be listed again
      * @param fresh whether to use a new connection, because the open ones may be dead
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/placing/OfferAdmission.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/placing/OfferAdmission.java
@@ -24,7 +24,7 @@
         this.pending = pending;
     }
 
-    /** Returns whether to admit a job; an admitted job of an own client is recorded as own use. */
+    /** Returns whether to admit a job; an admitted job of an own client is recorded as local usage. */
     boolean admit(PlacedJob job, CompletionEstimate estimate, long nowMillis) {
         Offer offer = job.offer();
         boolean admitted = offer.terms().permits(startsAtOnce(offer, estimate, nowMillis), estimate.isAdmissible());
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/shard/Heartbeats.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/shard/Heartbeats.java
@@ -63,15 +63,15 @@
      * @return whether this node must send its status at once because a shard of its pool has just lost its holder
      */
     public boolean review(Set<FailureDomain> held, long nowMillis) {
-        boolean withoutBefore = missesHolder;
+        boolean missedBefore = missesHolder;
         holding = !held.isEmpty();
         missesHolder = neighbourDomains().stream()
                 .anyMatch(shard -> !held.contains(shard) && peers.holder(shard).isEmpty());
-        if (missesHolder && !withoutBefore) {
+        if (missesHolder && !missedBefore) {
             missesHolderSinceMillis = nowMillis;
         }
         peers.expectStatusesFrom(neighbourDomains(), holding, holding || missesHolder, nowMillis);
-        return missesHolder && !withoutBefore;
+        return missesHolder && !missedBefore;
     }
 
     /** Returns whether this node knows of no holder for a shard of its pool. */
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/shard/ShardOwnership.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/shard/ShardOwnership.java
@@ -126,7 +126,7 @@
         return isNew ? endpoints.inDomainWithDeparted(shard) : endpoints.inDomain(shard);
     }
 
-    /** Tells the placer that a status of an origin arrived. */
+    /** Tells the placer that a message from an origin arrived. */
     public void messageReceivedFrom(NodeId node) {
         placer.ifPresent(current -> current.messageReceivedFrom(node));
     }
--- a/tarragonarch-core/src/test/java/org/tarragonarch/core/placing/FakeEndpoint.java
+++ b/tarragonarch-core/src/test/java/org/tarragonarch/core/placing/FakeEndpoint.java
@@ -91,9 +91,9 @@
         hasOtherId = true;
         running.keySet().forEach(run -> ledger.ended(run.task(), this));
         running.clear();
-        List<Runnable> holds = new ArrayList<>(waitingPolls);
+        List<Runnable> polls = new ArrayList<>(waitingPolls);
         waitingPolls.clear();
-        holds.forEach(Runnable::run);
+        polls.forEach(Runnable::run);
     }
 
     /** Returns whether the endpoint restarted so recently that a holder may not have sent any stop to it yet. */
@@ -123,9 +123,9 @@
         restartedAtMillis = timers.nowMillis();
         startedMillis++;
         clockOffset = 5 - timers.nowMillis();
-        List<Runnable> holds = new ArrayList<>(waitingPolls);
+        List<Runnable> polls = new ArrayList<>(waitingPolls);
         waitingPolls.clear();
-        holds.forEach(Runnable::run);
+        polls.forEach(Runnable::run);
     }
 
     /** Runs a task after the given time unless the endpoint restarts before. */
@@ -222,9 +222,9 @@
         overUpTo.merge(run.task(), run.run(), Math::max);
         lastEnd++;
         ends.add(new TaskEnd(lastEnd, run, kind));
-        List<Runnable> holds = new ArrayList<>(waitingPolls);
+        List<Runnable> polls = new ArrayList<>(waitingPolls);
         waitingPolls.clear();
-        holds.forEach(Runnable::run);
+        polls.forEach(Runnable::run);
     }
 
     private RunProgress progress(TaskRun run) {
--- a/tarragonarch-core/src/test/java/org/tarragonarch/core/placing/PlacerFixture.java
+++ b/tarragonarch-core/src/test/java/org/tarragonarch/core/placing/PlacerFixture.java
@@ -95,8 +95,8 @@
         return orders.endpoints.get(EndpointId.of("w-" + number));
     }
 
-    void setFault(int number, FakeOrders.Fault way) {
-        orders.faults.put(EndpointId.of("w-" + number), way);
+    void setFault(int number, FakeOrders.Fault fault) {
+        orders.faults.put(EndpointId.of("w-" + number), fault);
     }
 
     /** Returns a placer that holds all endpoints as one shard. */
--- a/tarragonarch-core/src/test/java/org/tarragonarch/core/shard/HeartbeatsTest.java
+++ b/tarragonarch-core/src/test/java/org/tarragonarch/core/shard/HeartbeatsTest.java
@@ -42,10 +42,10 @@
         heartbeats = new Heartbeats(peers, POOLS, HOBART);
     }
 
-    private static NodeStatus status(NodeId node, boolean withoutHolder, HeldShard... held) {
+    private static NodeStatus status(NodeId node, boolean missesHolder, HeldShard... held) {
         Address address = new Address("10.0.0.9", 7_000);
         return new NodeStatus(
-                node, HOBART, address, 750, false, withoutHolder, 1, DrainedDomains.UNREAD, ImmutableList.copyOf(held));
+                node, HOBART, address, 750, false, missesHolder, 1, DrainedDomains.UNREAD, ImmutableList.copyOf(held));
     }
 
     private static NodeStatus holder() {
--- a/tarragonarch-wire/src/main/java/org/tarragonarch/wire/StatusCodec.java
+++ b/tarragonarch-wire/src/main/java/org/tarragonarch/wire/StatusCodec.java
@@ -34,7 +34,7 @@
     static NodeStatus read(FrameReader reader) throws MalformedFrameException {
         Member member = MemberCodec.read(reader);
         boolean leaving = reader.readBoolean();
-        boolean withoutHolder = reader.readBoolean();
+        boolean missesHolder = reader.readBoolean();
         long version = reader.readLong();
         DrainedDomains drained = readDrained(reader);
         int count = reader.readCount();
@@ -51,7 +51,7 @@
                 member.address(),
                 member.milliCores(),
                 leaving,
-                withoutHolder,
+                missesHolder,
                 version,
                 drained,
                 shards.build());
