--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/cluster/Discovery.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/cluster/Discovery.java
@@ -37,7 +37,8 @@
      * Returns whether this node knows of every holder that may exist.
      *
      * <p>This holds once all located nodes have sent a status. The highest-ranked candidate need not wait for the
-     * slowest of them if every status received reports a shard without a reachable holder.
+     * slowest of them if every status received reports a shard without a reachable holder, since a neighbour that
+     * reports this reaches no holder itself.
      *
      * @param located every other known node of the pool
      * @param present the last status of each reachable node of the pool
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/cluster/KnownHolders.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/cluster/KnownHolders.java
@@ -99,7 +99,7 @@
      *
      * <p>Guards against a job whose tasks run twice when two nodes have claimed the same shards, as can happen while
      * all nodes restart after a loss of power. Peers know only those shards of a holder for which no other node has a
-     * higher token, and may not know at all of shards that it claims just before it gives up.
+     * higher token, and may not know at all of shards that it claims just before it is lost.
      */
     @Override
     public ImmutableSet<FailureDomain> shardsWithPossibleRuns(Holder lost) {
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/endpoint/HealthPolicy.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/endpoint/HealthPolicy.java
@@ -2,11 +2,11 @@
 
 import java.time.Duration;
 
-/** Thresholds and intervals of the health checks on endpoints. */
+/** Thresholds and intervals of the endpoint health checks; {@code docs/design/endpoint-health.md} has the reasons. */
 final class HealthPolicy {
     /** The assumed failure rate of a broken endpoint. */
     static final double BROKEN_FAILURE_RATE = 0.9;
-    /** The assumed minimum failure rate of a healthy endpoint; two failures alone do not lead to quarantine. */
+    /** The assumed minimum failure rate of a healthy endpoint, so that two failures alone cause no quarantine. */
     static final double MIN_FAILURE_RATE = 0.02;
     /** The number of prior tasks, failing at the minimum rate, that each kind is assumed to have had. */
     static final double PRIOR_TASKS = 10;
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/endpoint/PeerEffects.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/endpoint/PeerEffects.java
@@ -46,7 +46,11 @@
         };
     }
 
-    /** Quarantines an endpoint while a peer does, before it fails tasks of this node as well. */
+    /**
+     * Quarantines an endpoint while a peer holds it in quarantine, before it fails tasks of this node as well.
+     *
+     * <p>If no more endpoints may be quarantined, the endpoint is only suspected and gets one task at a time.
+     */
     void updatePeerQuarantine(EndpointRecord endpoint, long nowNanos, ActionSink sink) {
         boolean quarantinedAtPeers = endpoint.isQuarantinedAtPeers();
         if (quarantinedAtPeers == endpoint.isQuarantinedForPeers()) {
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/follow/TableFollower.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/follow/TableFollower.java
@@ -18,7 +18,7 @@
  * <p>A call lost in a store or connection that went silent looks like one waiting for a change, and hides all changes
  * until it times out. Two rules limit that time. The store must answer within {@link FollowPace#waitMillis} even if
  * nothing changed. After a failed call the store must answer at once until a call succeeds, so that the first call to
- * reach a recovered store shows the recovery.
+ * reach a recovered store shows the recovery, at the latest after the timeout of the call before it.
  */
 public final class TableFollower {
     /**
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/placement/PlacementStrategy.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/placement/PlacementStrategy.java
@@ -6,7 +6,7 @@
 import java.util.Set;
 import org.tarragonarch.model.id.EndpointId;
 
-/** The strategies for the choice among the endpoints of a pool. */
+/** The strategies for the choice among the endpoints of a pool; {@code docs/design/placement.md} has figures. */
 public enum PlacementStrategy {
     /** Any endpoint that this node has not filled itself. */
     RANDOM {
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/placing/RunOrders.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/placing/RunOrders.java
@@ -16,7 +16,7 @@
     /** The upper bound of the exponential backoff between two sends. */
     private static final long MAX_RESEND_MILLIS = 80;
 
-    /** The ejection time of an endpoint that refuses a start: a few times the run time of a short task. */
+    /** The ejection time of an endpoint that refuses a start as unhealthy: a few run times of a short task. */
     private static final long UNHEALTHY_EJECTION_MILLIS = 250;
 
     private final EndpointLink link;
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/placing/StallDetector.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/placing/StallDetector.java
@@ -6,7 +6,7 @@
  * Detects stalled runs on one endpoint, and stops them so that their tasks are restarted elsewhere.
  *
  * <p>Guards against an endpoint on which tasks stall although it answers all calls: each of its slots would block a job
- * until the client of the job gives up.
+ * until the client of the job disconnects.
  */
 final class StallDetector {
     /** A run is stalled if its next percent takes this many times as long as its slowest percent so far. */
--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/routing/OpenJob.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/routing/OpenJob.java
@@ -218,7 +218,7 @@
         return mayHaveRun;
     }
 
-    /** Returns the time since a holder was lost, in milliseconds; empty if none was lost. */
+    /** Returns the time since the last holder was lost, in milliseconds; empty if none was lost. */
     OptionalLong sinceLossMillis(long nowMillis) {
         return lostHolder.isPresent() ? OptionalLong.of(nowMillis - lostAtMillis) : OptionalLong.empty();
     }
--- a/tarragonarch-core/src/test/java/org/tarragonarch/core/cluster/SeparatePoolsTest.java
+++ b/tarragonarch-core/src/test/java/org/tarragonarch/core/cluster/SeparatePoolsTest.java
@@ -156,7 +156,7 @@
     }
 
     /**
-     * Guards against two runs of a job whose origin hears nothing from the holder of its own domain, because one
+     * Guards against two runs of a job whose origin gets no message from the holder of its own domain, because one
      * connection has stalled permanently, while the holder receives frames of the origin on a new connection.
      */
     @Test
--- a/tarragonarch-core/src/test/java/org/tarragonarch/core/placing/PlacerCrashTest.java
+++ b/tarragonarch-core/src/test/java/org/tarragonarch/core/placing/PlacerCrashTest.java
@@ -41,7 +41,7 @@
         fixture.timers.advance(20);
     }
 
-    /** Guards against a task that crashes one endpoint after the other until its client gives up. */
+    /** Guards against a task that crashes one endpoint after the other until its client disconnects. */
     @Test
     public void testCrash_taskFailsAfterTwoCrashes() {
         PlacerFixture fixture = fixture(4);
--- a/tarragonarch-ctl/src/main/java/org/tarragonarch/ctl/explain/JobHistory.java
+++ b/tarragonarch-ctl/src/main/java/org/tarragonarch/ctl/explain/JobHistory.java
@@ -12,8 +12,8 @@
 /** The log entries about a job, and the cause of its outcome. */
 final class JobHistory {
     /**
-     * How long before the answer the loss of the holder may have been logged. Runs of a lost holder may go on for a
-     * second, and the job waits for them unless another holder may take it sooner.
+     * How long before the answer the loss of the holder may have been logged. Runs of a lost holder may continue for
+     * a second, and the job waits for them unless another holder may take it sooner.
      */
     private static final Duration MAX_LOSS_AGE = Duration.ofMillis(1_500);
 
--- a/tarragonarch-model/src/main/java/org/tarragonarch/model/task/JobProgress.java
+++ b/tarragonarch-model/src/main/java/org/tarragonarch/model/task/JobProgress.java
@@ -4,7 +4,7 @@
 public enum JobProgress {
     /** No task was sent to an endpoint yet. */
     QUEUED,
-    /** The job was handed on. */
+    /** The job was offered to a holder; its tasks may have started. */
     RUNNING,
     /** Every task succeeded. */
     DONE,
--- a/tarragonarch-settings/src/main/java/org/tarragonarch/settings/CanonicalText.java
+++ b/tarragonarch-settings/src/main/java/org/tarragonarch/settings/CanonicalText.java
@@ -10,7 +10,7 @@
 import org.tarragonarch.settings.SettingsValue.ObjectValue;
 import org.tarragonarch.settings.SettingsValue.ScalarValue;
 
-/** Formats an object in its canonical form, from which the digest is computed: sorted keys, no comments. */
+/** Formats an object in its canonical form, the input of the digest: sorted keys, two spaces per level, no comments. */
 final class CanonicalText {
     private static final JsonMapper MAPPER = JsonMapper.builder().build();
 
--- a/tarragonarch-standin/src/main/java/org/tarragonarch/standin/explore/World.java
+++ b/tarragonarch-standin/src/main/java/org/tarragonarch/standin/explore/World.java
@@ -78,7 +78,7 @@
         return new World(seed, policy);
     }
 
-    /** Sets the factory of recorderFactory; each run of a node that starts afterwards has its own. */
+    /** Sets the factory of event recorders; each run of a node that starts afterwards has its own recorder. */
     public void recordWith(Function<TraceHeader, EventRecorder> factory) {
         recorderFactory = factory;
     }
--- a/tarragonarch-standin/src/test/java/org/tarragonarch/standin/soak/SoakChecks.java
+++ b/tarragonarch-standin/src/test/java/org/tarragonarch/standin/soak/SoakChecks.java
@@ -13,7 +13,7 @@
 
 /** Compares the answers that clients received with the runs that endpoints recorded. */
 final class SoakChecks {
-    /** An endpoint has 16 cores and each task takes 7. */
+    /** An endpoint has 16 cores and each task takes 7, so that two fit. */
     private static final int TASKS_PER_ENDPOINT = 2;
 
     private final List<String> violations = new ArrayList<>();
