--- a/tarragonarch-core/src/main/java/org/tarragonarch/core/shard/CandidateRanking.java
+++ b/tarragonarch-core/src/main/java/org/tarragonarch/core/shard/CandidateRanking.java
@@ -67,8 +67,9 @@
     /**
      * Returns whether this node should release its shards of the pool to a peer in the pool.
      *
-     * <p>It should if the peer is much stronger, or if the two are comparable and the peer holds more of the pool. The
-     * latter occurs after a network partition in which each side had its own holder.
+     * <p>It should if the peer is much stronger, or if the two are comparable and the peer holds more of the pool, or
+     * as much and is first by name. The latter cases occur after a network partition in which each side had its own
+     * holder.
      */
     boolean shouldYieldTo(NodeStatus peer, ImmutableSet<FailureDomain> pool) {
         if (peer.milliCores() >= TAKEOVER_STRENGTH_RATIO * ownMilliCores) {
--- a/tarragonarch-entry/src/main/java/org/tarragonarch/entry/log/NoteLog.java
+++ b/tarragonarch-entry/src/main/java/org/tarragonarch/entry/log/NoteLog.java
@@ -13,8 +13,8 @@
  * Logs the notes of the core, with a rate limit.
  *
  * <p>Each pair of event and peer has one line a second, and hashing the pairs into buckets bounds the total rate.
- * Without the peer in the key, the second endpoint to leave within one second would not be logged. The metrics count
- * every note.
+ * Without the peer in the key, the second endpoint to leave within one second would not be logged. A line is built only
+ * if it is written, so a note that the limit drops costs next to nothing. The metrics count every note.
  */
 public final class NoteLog {
     private static final FluentLogger LOG = FluentLogger.forEnclosingClass();
